--- a/aggregator/core/core.go
+++ b/aggregator/core/core.go
@@ -88,7 +88,7 @@
 	c.gate = gate.Engine{Self: c.Settings.Host.Name, Domain: c.Settings.Host.Domain}
 	c.node = node.Node{
 		Settings: c.Settings, Program: node.Aggregator, Incarnation: node.NewIncarnation(), Log: c.Log, Meter: c.Meter,
-		Owner: owner{c}, HTTP: &c.http, Post: func(m node.Message) bool { return c.loop.Post(m) },
+		Delegate: owner{c}, HTTP: &c.http, Post: func(m node.Message) bool { return c.loop.Post(m) },
 	}
 	c.loop.Start(c.handle)
 	// In the loop, since links may come up while the node still starts.
@@ -120,7 +120,7 @@
 	case tick:
 		c.tick(now)
 	case leave:
-		c.node.Leave(now)
+		c.node.AnnounceLeaving(now)
 		close(m.done)
 	case refuse:
 		c.act(now, c.gate.Leave(now))
@@ -134,7 +134,7 @@
 	out, paused := c.gate.Tick(now)
 	if paused {
 		c.Log.Warn().Msg("process was paused; new work waits until the configuration is confirmed")
-		c.node.Confirm(now)
+		c.node.ConfirmVersions(now)
 	}
 	c.act(now, out)
 }
@@ -165,7 +165,7 @@
 		case gate.Struck:
 			c.Log.Warn().Uint64("fingerprint", a.Strike.Fingerprint).Int("count", a.Strike.Count).
 				Msg("request crashed a backend server")
-			c.node.Share(now, a.Strike, nil)
+			c.node.ShareStrike(now, a.Strike, nil)
 		case gate.Note:
 			c.Log.Info().Str("leaf", a.Leaf).Str("cause", a.Cause).Msg(a.Event)
 			c.Meter.Count("leaf_events", 1, meter.Label{Name: "event", Value: a.Event}, meter.Label{Name: "cause", Value: a.Cause})
@@ -231,7 +231,7 @@
 }
 
 func (c *Core) shown(now clock.Milli) show.Program {
-	s := show.Program{Node: c.node.Show(now), Strikes: show.StrikesFrom(c.gate.Strikes(now))}
+	s := show.Program{Node: c.node.Status(now), Strikes: show.StrikesFrom(c.gate.Strikes(now))}
 	for _, l := range c.gate.State(now) {
 		s.Leafs = append(s.Leafs, show.Leaf{
 			Leaf: l.Leaf, Server: l.Server, Service: l.Service, Primary: l.Primary, Exclusive: l.Exclusive,
@@ -298,7 +298,7 @@
 	c := o.c
 	clear(c.addrs)
 	for _, s := range cfg.Inventory.Servers {
-		for _, l := range s.Leafs {
+		for _, l := range s.Leaves {
 			c.addrs[l.Name] = s.Address
 		}
 	}
@@ -338,15 +338,15 @@
 
 func (o owner) RTT(clock.Milli, *mesh.Link, time.Duration) {}
 
-func (o owner) Leaving(clock.Milli, *mesh.Link, bool) {}
+func (o owner) PeerLeaving(clock.Milli, *mesh.Link, bool) {}
 
-func (o owner) Strike(now clock.Milli, s poison.Strike) bool {
+func (o owner) MergeStrike(now clock.Milli, s poison.Strike) bool {
 	news, out := o.c.gate.Strike(now, s)
 	o.c.act(now, out)
 	return news
 }
 
-func (o owner) Confirmed(clock.Milli) { o.c.gate.Unfence() }
+func (o owner) VersionsConfirmed(clock.Milli) { o.c.gate.Unfence() }
 
 // Bounds of Dials.
 const (
@@ -358,9 +358,9 @@
 	farNeighbours = 2
 )
 
-// Dials lists the aggregators to link to: all in a small fleet; in a large one
+// LinkAddrs lists the aggregators to link to: all in a small fleet; in a large one
 // a few, and the other candidates of this host's servers.
-func (o owner) Dials(cfg *invent.Config, hosts []invent.Host) []string {
+func (o owner) LinkAddrs(cfg *invent.Config, hosts []invent.Host) []string {
 	self := o.c.Settings.Host
 	return place.Neighbours(place.Network{
 		Self: self.Name, Domain: self.Domain, Small: smallFleet, Near: neighbours, Far: farNeighbours,
@@ -401,7 +401,7 @@
 		c.jobs[key] = &open{service: b.GetService(), span: span}
 		job := &leafs.Job{
 			Attempt: c.attempt(key), Service: b.GetService(),
-			Pin:   invent.Pin{Layout: b.GetLayout(), Version: b.GetSnapshot()},
+			Pin:   invent.SnapshotID{Layout: b.GetLayout(), Version: b.GetSnapshot()},
 			Shard: int(w.GetShard()), Text: b.GetText(), Limit: int(b.GetLimit()), Parent: span.Parent(),
 		}
 		c.act(now, c.gate.Arrive(now, gate.Call{
--- a/aggregator/leafs/codec.go
+++ b/aggregator/leafs/codec.go
@@ -33,7 +33,7 @@
 	// Attempt differs between all calls of all hosts.
 	Attempt string
 	Service string
-	Pin     invent.Pin
+	Pin     invent.SnapshotID
 	Shard   int
 	Text    string
 	Limit   int
@@ -160,7 +160,7 @@
 	s.Incarnation, _ = strconv.ParseUint(h.Get(headerIncarnation), 10, 64) // 0 is "not told"
 	if text := h.Get(headerSnapshots); text != "" {
 		for _, one := range strings.Split(text, ",") {
-			if p, ok := invent.ParseID(strings.TrimSpace(one)); ok {
+			if p, ok := invent.ParseSnapshotID(strings.TrimSpace(one)); ok {
 				s.Holds = append(s.Holds, p)
 			}
 		}
--- a/aggregator/leafs/codec_test.go
+++ b/aggregator/leafs/codec_test.go
@@ -13,7 +13,7 @@
 )
 
 func job() *Job {
-	return &Job{Attempt: "a1", Service: "s", Pin: invent.Pin{Layout: 1, Version: 2}, Shard: 3}
+	return &Job{Attempt: "a1", Service: "s", Pin: invent.SnapshotID{Layout: 1, Version: 2}, Shard: 3}
 }
 
 const goodReply = `{"attempt":"a1","snapshot":"1-2","shards":[3],"rows":[{"key":"k","score":1,"text":"t"}]}`
--- a/bench/deploy/deploy.go
+++ b/bench/deploy/deploy.go
@@ -101,7 +101,7 @@
 	for _, v := range d.Services {
 		cfg.Inventory.Services = append(cfg.Inventory.Services, invent.Service{
 			Name: v.Name, Layouts: []invent.Layout{{ID: 1, Shards: v.Shards()}, {ID: 2, Shards: v.reshaped()}},
-			Warm: Warm, Deadline: Deadline, Patience: v.Patience,
+			WarmUp: Warm, Deadline: Deadline, Patience: v.Patience,
 		})
 		for i := range v.Instances {
 			s := invent.Server{
@@ -113,7 +113,7 @@
 				// leafs hold different shards.
 				slot := j*v.Instances + i
 				shard := slot / v.Replicas % v.Shards()
-				s.Leafs = append(s.Leafs, invent.Leaf{
+				s.Leaves = append(s.Leaves, invent.Leaf{
 					Name: fmt.Sprintf("%s-%d-%d", v.Name, i, j), Slots: v.Slots, Connections: v.Connections,
 					Holds: []invent.Hold{{Layout: 1, Shard: shard}, {Layout: 2, Shard: shard % v.reshaped()}},
 				})
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -217,7 +217,7 @@
 	n.boot(list)
 	n.Down = false
 	for peer := range n.links {
-		n.f.Node(peer).do(func() { n.f.Node(peer).act(n.f.Node(peer).Engine.PeerGone(n.f.Clock.Now(), n.Name)) })
+		n.f.Node(peer).do(func() { n.f.Node(peer).act(n.f.Node(peer).Engine.RemovePeer(n.f.Clock.Now(), n.Name)) })
 	}
 }
 
@@ -236,7 +236,7 @@
 	digest := n.Engine.Digest()
 	for _, p := range n.peers() {
 		n.send(p, beatBytes+pingBytes, func(to *Node) {
-			to.act(to.Engine.Beat(n.f.Clock.Now(), n.Name, digest, age, heard))
+			to.act(to.Engine.HandleHeartbeat(n.f.Clock.Now(), n.Name, digest, age, heard))
 		})
 	}
 }
@@ -248,7 +248,7 @@
 		for _, n := range f.Nodes {
 			for _, p := range n.peers() {
 				if f.cut[[2]string{n.Domain, f.Node(p).Domain}] {
-					n.do(func() { n.act(n.Engine.PeerGone(f.Clock.Now(), p)) })
+					n.do(func() { n.act(n.Engine.RemovePeer(f.Clock.Now(), p)) })
 				}
 			}
 		}
@@ -277,11 +277,11 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case spread.SendPull:
-			n.send(a.Peer, stampBytes, func(to *Node) { to.act(to.Engine.Pull(f.Clock.Now(), n.Name, a.Key, a.Have)) })
+			n.send(a.Peer, stampBytes, func(to *Node) { to.act(to.Engine.HandlePull(f.Clock.Now(), n.Name, a.Key, a.Have)) })
 		case spread.SendDelta:
-			n.send(a.Peer, a.Delta.Size()/packing+headerBytes, func(to *Node) { to.act(to.Engine.Delta(f.Clock.Now(), n.Name, a.Delta)) })
+			n.send(a.Peer, a.Delta.Size()/packing+headerBytes, func(to *Node) { to.act(to.Engine.HandleDelta(f.Clock.Now(), n.Name, a.Delta)) })
 		case spread.SendStamps:
-			n.send(a.Peer, headerBytes+stampBytes*len(a.Stamps), func(to *Node) { to.act(to.Engine.Stamps(f.Clock.Now(), n.Name, a.Stamps)) })
+			n.send(a.Peer, headerBytes+stampBytes*len(a.Stamps), func(to *Node) { to.act(to.Engine.HandleStamps(f.Clock.Now(), n.Name, a.Stamps)) })
 		case spread.ReadPlatform:
 			n.read(a)
 		case spread.Adopt:
@@ -308,7 +308,7 @@
 	f.Reads++
 	if n.Isolated || f.Down {
 		f.Clock.After(readTime, func() {
-			n.do(func() { n.act(n.Engine.Platform(f.Clock.Now(), spread.Read{Key: a.Key, Err: errDown})) })
+			n.do(func() { n.act(n.Engine.HandleRead(f.Clock.Now(), spread.ReadResult{Key: a.Key, Err: errDown})) })
 		})
 		return
 	}
@@ -319,7 +319,7 @@
 		f.Clock.After(watchTime, func() {
 			if !done {
 				done = true
-				n.do(func() { n.act(n.Engine.Platform(f.Clock.Now(), spread.Read{Key: a.Key})) })
+				n.do(func() { n.act(n.Engine.HandleRead(f.Clock.Now(), spread.ReadResult{Key: a.Key})) })
 			}
 		})
 		return
@@ -342,7 +342,7 @@
 		f.Reads += max(1, f.changed) // the changed parts
 	}
 	f.Clock.After(readTime, func() {
-		n.do(func() { n.act(n.Engine.Platform(f.Clock.Now(), spread.Read{Key: key, Set: set})) })
+		n.do(func() { n.act(n.Engine.HandleRead(f.Clock.Now(), spread.ReadResult{Key: key, Set: set})) })
 	})
 }
 
--- a/bench/scene/clairvoyant.go
+++ b/bench/scene/clairvoyant.go
@@ -70,7 +70,7 @@
 			if s.Service != v.Name {
 				continue
 			}
-			for _, l := range s.Leafs {
+			for _, l := range s.Leaves {
 				shard, _ := l.Shard(1)
 				for range l.Slots {
 					slots[shard] = append(slots[shard], slot{domain: s.Domain})
--- a/bench/slope/io.go
+++ b/bench/slope/io.go
@@ -156,7 +156,7 @@
 	for _, servers := range []int{4, 16, 64} {
 		parts := inventory(2*servers, domains)
 		body := parts[len(parts)-1].Body
-		packed := node.Pack(&wire.Items{Items: []*wire.Item{{Name: "p0001.yaml", Body: body}}})
+		packed := node.CompressItems(&wire.Items{Items: []*wire.Item{{Name: "p0001.yaml", Body: body}}})
 		l.Points = append(l.Points, Point{float64(len(body)), float64(len(packed))})
 	}
 	return fit(l)
--- a/bench/slope/measure.go
+++ b/bench/slope/measure.go
@@ -34,7 +34,7 @@
 		cfg.Inventory.Services[0].Layouts[0].Shards = shards
 		kept := cfg.Inventory.Servers[:0]
 		for _, s := range cfg.Inventory.Servers {
-			if s.Leafs[0].Holds[0].Shard < shards && s.Leafs[1].Holds[0].Shard < shards {
+			if s.Leaves[0].Holds[0].Shard < shards && s.Leaves[1].Holds[0].Shard < shards {
 				kept = append(kept, s)
 			}
 		}
@@ -122,7 +122,7 @@
 	}
 	var names []string
 	for _, s := range cfg.Inventory.Servers {
-		for _, f := range s.Leafs {
+		for _, f := range s.Leaves {
 			names = append(names, f.Name)
 		}
 	}
@@ -132,7 +132,7 @@
 func probeAll(e *gate.Engine, now clock.Milli, actions []gate.Action) {
 	for _, a := range actions {
 		if p, ok := a.(gate.Probe); ok {
-			e.Probed(now, p.Leaf, p.Conn, gate.Sign{Incarnation: 1, Holds: []invent.Pin{{Layout: 1, Version: 1}}}, nil)
+			e.Probed(now, p.Leaf, p.Conn, gate.Sign{Incarnation: 1, Holds: []invent.SnapshotID{{Layout: 1, Version: 1}}}, nil)
 		}
 	}
 }
@@ -247,7 +247,7 @@
 	for i := range calls {
 		o := query.Outcome{
 			Call: uint64(1e6 + i), Kind: query.OK, Took: 9,
-			Feedback: &query.Feedback{Leaf: "s00001-1", Busy: 1, Limit: 2, Holds: []invent.Pin{{Layout: 1, Version: 7}}, Pace: 9},
+			Feedback: &query.Feedback{Leaf: "s00001-1", Busy: 1, Limit: 2, Holds: []invent.SnapshotID{{Layout: 1, Version: 7}}, Pace: 9},
 		}
 		for range 3 {
 			o.Rows = append(o.Rows, query.Row{Key: "garment-0001234", Score: 0.5, Text: "a row with some hundred bytes of text, as a search result has, more or less as long as this one here is"})
--- a/bench/slope/world.go
+++ b/bench/slope/world.go
@@ -71,10 +71,10 @@
 		e.HostUp(h.Name)
 		e.HostRTT(h.Name, 1)
 	}
-	pin := invent.Pin{Layout: 1, Version: 1}
+	pin := invent.SnapshotID{Layout: 1, Version: 1}
 	for _, s := range cfg.Inventory.Servers {
-		for _, l := range s.Leafs {
-			e.Feedback(query.Feedback{Leaf: l.Name, Limit: 2, Holds: []invent.Pin{pin}, Pace: 10})
+		for _, l := range s.Leaves {
+			e.Feedback(query.Feedback{Leaf: l.Name, Limit: 2, Holds: []invent.SnapshotID{pin}, Pace: 10})
 		}
 	}
 	return e
--- a/bench/virt/host.go
+++ b/bench/virt/host.go
@@ -234,7 +234,7 @@
 type job struct {
 	entry  *Host
 	query  uint64
-	pin    invent.Pin
+	pin    invent.SnapshotID
 	shard  int
 	text   string
 	update *fanout.SendUpdate
--- a/bench/virt/leaf.go
+++ b/bench/virt/leaf.go
@@ -65,7 +65,7 @@
 	warming     bool
 	unseen      bool // cold with no sign of it yet
 	straggle    float64
-	holds       []invent.Pin
+	holds       []invent.SnapshotID
 	conns       map[connKey]bool // false: silent
 	running     map[attemptKey]func()
 	mostConns   int
@@ -82,12 +82,12 @@
 		w: w, spec: l, server: s.Name, service: s.Service, domain: s.Domain, connect: v.Connect,
 		incarnation: 1, straggle: 1, conns: map[connKey]bool{}, running: map[attemptKey]func(){},
 	}
-	f.holds = []invent.Pin{{Layout: 1, Version: 1}}
+	f.holds = []invent.SnapshotID{{Layout: 1, Version: 1}}
 	return f
 }
 
 // SetSnapshots changes what a leaf holds.
-func (f *Leaf) SetSnapshots(pins ...invent.Pin) { f.holds = pins }
+func (f *Leaf) SetSnapshots(pins ...invent.SnapshotID) { f.holds = pins }
 
 // bears is how many requests the leaf can have at once now.
 func (f *Leaf) bears() int {
@@ -296,7 +296,7 @@
 	})
 }
 
-func (f *Leaf) has(pin invent.Pin, shard int) bool {
+func (f *Leaf) has(pin invent.SnapshotID, shard int) bool {
 	if mine, ok := f.spec.Shard(pin.Layout); !ok || mine != shard {
 		return false
 	}
--- a/bench/virt/property_test.go
+++ b/bench/virt/property_test.go
@@ -129,7 +129,7 @@
 	for _, f := range c.w.order {
 		old := f.holds
 		c.w.Clock.After(clock.Milli(c.w.Random.IntN(2000)), func() {
-			next := []invent.Pin{{Layout: layout, Version: version}}
+			next := []invent.SnapshotID{{Layout: layout, Version: version}}
 			if keep && len(old) > 0 {
 				next = append(next, old[0])
 			}
@@ -249,7 +249,7 @@
 			w.Drain(s.Name, false)
 		}
 		for _, f := range w.order {
-			f.SetSnapshots(invent.Pin{Layout: 1, Version: 9})
+			f.SetSnapshots(invent.SnapshotID{Layout: 1, Version: 9})
 		}
 		w.Publish(invent.Rules{}, 200)
 		w.Clock.Run(w.Now() + 14*clock.Second)
--- a/bench/virt/stats.go
+++ b/bench/virt/stats.go
@@ -138,7 +138,7 @@
 	return float64(n) / float64(s.Asked)
 }
 
-func rowKey(service string, pin invent.Pin, shard int) string {
+func rowKey(service string, pin invent.SnapshotID, shard int) string {
 	return fmt.Sprintf("%s/%s/%d", service, pin, shard)
 }
 
--- a/bench/virt/world.go
+++ b/bench/virt/world.go
@@ -73,7 +73,7 @@
 	w.Leafs = map[string]*Leaf{}
 	for _, s := range w.Config.Inventory.Servers {
 		v, _ := w.Deployment.Service(s.Service)
-		for _, l := range s.Leafs {
+		for _, l := range s.Leaves {
 			f := newLeaf(w, s, l, v)
 			w.Leafs[l.Name] = f
 			w.order = append(w.order, f)
--- a/entry/core/admin.go
+++ b/entry/core/admin.go
@@ -9,7 +9,7 @@
 )
 
 func (c *Core) shown(now clock.Milli) show.Program {
-	s := show.Program{Node: c.node.Show(now), Strikes: show.StrikesFrom(c.fan.Strikes(now))}
+	s := show.Program{Node: c.node.Status(now), Strikes: show.StrikesFrom(c.fan.Strikes(now))}
 	if cfg := c.fan.Config(); cfg != nil {
 		for _, v := range cfg.Inventory.Services {
 			s.Services = append(s.Services, c.shownService(v.Name))
--- a/entry/core/core.go
+++ b/entry/core/core.go
@@ -113,7 +113,7 @@
 	c.fan.Incarnate(incarnation)
 	c.node = node.Node{
 		Settings: c.Settings, Program: node.Entry, Incarnation: incarnation, Log: c.Log, Meter: c.Meter,
-		Owner: owner{c}, HTTP: &c.http, Post: func(m node.Message) bool { return c.loop.Post(m) },
+		Delegate: owner{c}, HTTP: &c.http, Post: func(m node.Message) bool { return c.loop.Post(m) },
 	}
 	c.loop.Start(c.handle)
 	// In the loop, since links may come up while the node still starts.
@@ -143,7 +143,7 @@
 	case left:
 		c.left(now, m.reply)
 	case leave:
-		c.node.Leave(now)
+		c.node.AnnounceLeaving(now)
 		close(m.done)
 	}
 }
@@ -194,7 +194,7 @@
 		case fanout.Answered:
 			c.answer(now, a)
 		case fanout.ShareStrike:
-			c.node.Share(now, a.Strike, func(now clock.Milli) {
+			c.node.ShareStrike(now, a.Strike, func(now clock.Milli) {
 				if a.Query != 0 {
 					c.act(now, c.fan.Shared(now, a.Query))
 				}
--- a/entry/core/links.go
+++ b/entry/core/links.go
@@ -36,7 +36,7 @@
 	host := l.Peer.GetHost()
 	switch l.Peer.GetProgram() {
 	case node.Aggregator:
-		if l.Dialed == "" {
+		if l.DialedAddr == "" {
 			return
 		}
 		c.aggs[host] = l
@@ -75,15 +75,15 @@
 	}
 }
 
-func (o owner) Leaving(_ clock.Milli, l *mesh.Link, leaving bool) {
+func (o owner) PeerLeaving(_ clock.Milli, l *mesh.Link, leaving bool) {
 	if l.Peer.GetProgram() == node.Aggregator {
 		o.c.fan.HostLeaving(l.Peer.GetHost(), leaving)
 	}
 }
 
-func (o owner) Strike(now clock.Milli, s poison.Strike) bool { return o.c.fan.Strike(now, s) }
+func (o owner) MergeStrike(now clock.Milli, s poison.Strike) bool { return o.c.fan.Strike(now, s) }
 
-func (o owner) Confirmed(clock.Milli) {}
+func (o owner) VersionsConfirmed(clock.Milli) {}
 
 // smallFleet is how many hosts an entry links to whole.
 const smallFleet = 64
@@ -94,7 +94,7 @@
 	farLinks  = 8
 )
 
-func (o owner) Dials(cfg *invent.Config, hosts []invent.Host) []string {
+func (o owner) LinkAddrs(cfg *invent.Config, hosts []invent.Host) []string {
 	self := o.c.Settings.Host
 	return place.Neighbours(place.Network{
 		Self: self.Name, Domain: self.Domain, Small: smallFleet, Near: nearLinks, Far: farLinks,
--- a/entry/routed/routed.go
+++ b/entry/routed/routed.go
@@ -106,7 +106,7 @@
 // there: an opaque request names none of the server's own.
 func facts(cfg *invent.Config) router.Facts {
 	f := router.Facts{
-		Table:   cfg.Table(),
+		Table:   cfg.RouteTable(),
 		Out:     make(map[string]bool, len(cfg.Rules.DomainsOut)),
 		Regions: make(map[string]string, len(cfg.Inventory.Domains)),
 	}
@@ -116,7 +116,7 @@
 	for _, d := range cfg.Rules.DomainsOut {
 		f.Out[d] = true
 	}
-	carry := cfg.CarryRules()
+	carry := cfg.ServerLimits()
 	for _, s := range cfg.Inventory.Servers {
 		rule := carry[s.Name]
 		f.Leafs = append(f.Leafs, roster.Leaf{
@@ -134,7 +134,7 @@
 		return s.Slots()
 	}
 	n := 0
-	for _, l := range s.Leafs {
+	for _, l := range s.Leaves {
 		n += min(l.Slots, most)
 	}
 	return n
--- a/fakes/lab/lab_test.go
+++ b/fakes/lab/lab_test.go
@@ -340,12 +340,12 @@
 	d := startLoad(t, l, 4)
 	for version := uint64(2); version <= 4; version++ {
 		for _, s := range l.Specs {
-			l.Servers[s.Name].SetSnapshots(invent.Pin{Layout: 1, Version: version - 1}, invent.Pin{Layout: 1, Version: version})
+			l.Servers[s.Name].SetSnapshots(invent.SnapshotID{Layout: 1, Version: version - 1}, invent.SnapshotID{Layout: 1, Version: version})
 			time.Sleep(10 * time.Millisecond)
 		}
 		d.awaitMore(200)
 		for _, s := range l.Specs {
-			l.Servers[s.Name].SetSnapshots(invent.Pin{Layout: 1, Version: version})
+			l.Servers[s.Name].SetSnapshots(invent.SnapshotID{Layout: 1, Version: version})
 		}
 	}
 	d.awaitMore(200)
@@ -365,7 +365,7 @@
 	}
 	for i, fault := range faults {
 		spec := l.Specs[i]
-		l.Servers[spec.Name].SetFault(spec.Leafs[0].Name, fault)
+		l.Servers[spec.Name].SetFault(spec.Leaves[0].Name, fault)
 	}
 	before := make([]int, len(faults))
 	for i := range faults {
--- a/fakes/lab/layout.go
+++ b/fakes/lab/layout.go
@@ -62,7 +62,7 @@
 			for j := range v.LeafsPer {
 				// Replicas of one shard follow each other over the domains.
 				shard := (i/len(l.Domains)*v.LeafsPer + j) % v.Shards
-				s.Leafs = append(s.Leafs, invent.Leaf{
+				s.Leaves = append(s.Leaves, invent.Leaf{
 					Name: fmt.Sprintf("%s-%d-%d", v.Name, i, j), Slots: v.Slots, Connections: v.Connections,
 					Holds: []invent.Hold{{Layout: 1, Shard: shard}},
 				})
@@ -109,7 +109,7 @@
 		}
 		fmt.Fprintf(&b, "  - name: %s\n    service: %s\n    failure-domain: %s\n    address: %s\n    leafs:\n",
 			s.Name, s.Service, s.Domain, s.Address)
-		for _, f := range s.Leafs {
+		for _, f := range s.Leaves {
 			fmt.Fprintf(&b, "      - {name: %s, slots: %d, connections: %d, holds: [", f.Name, f.Slots, f.Connections)
 			for i, h := range f.Holds {
 				if i > 0 {
--- a/fakes/leaf/control.go
+++ b/fakes/leaf/control.go
@@ -69,9 +69,9 @@
 	case "fault":
 		s.SetFault(cmd.Leaf, cmd.Fault)
 	case "snapshots":
-		var pins []invent.Pin
+		var pins []invent.SnapshotID
 		for _, text := range cmd.Snapshots {
-			if p, ok := invent.ParseID(text); ok {
+			if p, ok := invent.ParseSnapshotID(text); ok {
 				pins = append(pins, p)
 			}
 		}
--- a/fakes/leaf/leaf.go
+++ b/fakes/leaf/leaf.go
@@ -59,7 +59,7 @@
 	cold      time.Time // start of the warm-up; zero when warm
 	straggle  float64
 	fault     Fault
-	snapshots []invent.Pin
+	snapshots []invent.SnapshotID
 
 	// Calls counts the queries that started; Excess those beyond what the leaf
 	// could bear; Refused the connections over the limit.
@@ -102,10 +102,10 @@
 		leafs:  map[string]*Leaf{}, silent: map[string]bool{}, executed: map[string]int{},
 		attempts: map[string]chan struct{}{}, started: time.Now(),
 	}
-	for _, l := range spec.Leafs {
+	for _, l := range spec.Leaves {
 		f := &Leaf{spec: l, conns: map[string]bool{}, straggle: 1}
 		for _, h := range l.Holds {
-			f.snapshots = append(f.snapshots, invent.Pin{Layout: h.Layout, Version: 1})
+			f.snapshots = append(f.snapshots, invent.SnapshotID{Layout: h.Layout, Version: 1})
 		}
 		s.leafs[l.Name] = f
 	}
@@ -121,7 +121,7 @@
 }
 
 // Key is the row key that a shard of a service has under a snapshot.
-func Key(service string, pin invent.Pin, shard, row int) string {
+func Key(service string, pin invent.SnapshotID, shard, row int) string {
 	return fmt.Sprintf("%s/%s/%d/%d", service, pin, shard, row)
 }
 
@@ -166,7 +166,7 @@
 }
 
 // SetSnapshots changes what all leafs hold.
-func (s *Server) SetSnapshots(pins ...invent.Pin) {
+func (s *Server) SetSnapshots(pins ...invent.SnapshotID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range s.leafs {
@@ -295,7 +295,7 @@
 	}
 }
 
-func (s *Server) holds(f *Leaf, pin invent.Pin) bool {
+func (s *Server) holds(f *Leaf, pin invent.SnapshotID) bool {
 	for _, p := range f.snapshots {
 		if p == pin {
 			return true
--- a/fakes/plat/plat.go
+++ b/fakes/plat/plat.go
@@ -192,8 +192,8 @@
 }
 
 func (p *Platform) controlPut(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, invent.MaxPart+1))
-	if err != nil || len(body) > invent.MaxPart {
+	body, err := io.ReadAll(io.LimitReader(r.Body, invent.MaxPartBytes+1))
+	if err != nil || len(body) > invent.MaxPartBytes {
 		http.Error(w, "value over a megabyte", http.StatusRequestEntityTooLarge)
 		return
 	}
--- a/share/fanout/canary.go
+++ b/share/fanout/canary.go
@@ -11,8 +11,8 @@
 const maxCanaries = 2
 
 // proof names the query on the snapshot that it is pinned to.
-func (q *running) proof() poison.Proof {
-	return poison.Proof{Fingerprint: q.fingerprint, Layout: q.pin.Layout, Version: q.pin.Version}
+func (q *running) proof() poison.ProvenKey {
+	return poison.ProvenKey{Fingerprint: q.fingerprint, Layout: q.pin.Layout, Version: q.pin.Version}
 }
 
 // sendCanary sends the query to one leaf before all others see it.
@@ -74,7 +74,7 @@
 	if q.deaths >= maxCanaries && strike.Count < maxCanaries {
 		// Each server's aggregator counts one crash and cannot know of the
 		// other's.
-		strike.Count, strike.Left = maxCanaries, poison.Quarantine
+		strike.Count, strike.TimeLeft = maxCanaries, poison.QuarantineTime
 		e.strikes.Merge(now, strike)
 	}
 	if strike.Count < maxCanaries && len(q.flying) > 0 {
@@ -88,7 +88,7 @@
 // died takes a crash report. The aggregators count; an entry only learns, or one
 // crash would count twice.
 func (e *Engine) died(now clock.Milli, fingerprint uint64, strikes int, left clock.Milli) {
-	e.strikes.Merge(now, poison.Strike{Fingerprint: fingerprint, Count: max(1, strikes), Left: left})
+	e.strikes.Merge(now, poison.Strike{Fingerprint: fingerprint, Count: max(1, strikes), TimeLeft: left})
 	e.good.Drop(fingerprint)
 }
 
@@ -105,7 +105,7 @@
 			return out
 		}
 	}
-	return e.answerRefused(now, q, query.ReasonCrashed, strike.Left)
+	return e.answerRefused(now, q, query.ReasonCrashed, strike.TimeLeft)
 }
 
 // hedgeCanary sends a second canary when the first takes unusually long. There
--- a/share/fanout/engine.go
+++ b/share/fanout/engine.go
@@ -37,7 +37,7 @@
 	Service     string
 	Text        string
 	Caller      string
-	Pin         invent.Pin
+	Pin         invent.SnapshotID
 	Limit       int
 	Deadline    clock.Milli
 	Fingerprint uint64
@@ -158,7 +158,7 @@
 	order    []*running // in order of arrival; may hold finished ones
 	attempts map[uint64]*attempt
 	strikes  poison.Table
-	good     poison.Proven
+	good     poison.ProvenSet
 	lastCall uint64
 	owners   place.Table
 	updates  updates
@@ -172,7 +172,7 @@
 	timing timing
 	budget budget
 	door   door
-	pin    invent.Pin
+	pin    invent.SnapshotID
 	pinned bool
 	dirty  bool // the pin has to be chosen again
 }
@@ -218,14 +218,14 @@
 			e.hosts[h.Name] = &host{}
 		}
 	}
-	carry := cfg.CarryRules()
+	carry := cfg.ServerLimits()
 	for _, s := range cfg.Inventory.Servers {
 		v := services[s.Service]
 		var owners []string
 		for _, h := range e.owners.Owners(s.Domain, s.Name) {
 			owners = append(owners, h.Name)
 		}
-		for _, l := range s.Leafs {
+		for _, l := range s.Leaves {
 			f := e.leafs[l.Name]
 			if f == nil {
 				f = &leaf{name: l.Name}
@@ -251,7 +251,7 @@
 // maxEarly bounds what is kept of leafs that no configuration names yet.
 const maxEarly = 100000
 
-func outOf(cfg *invent.Config, carry map[string]invent.Carry, s invent.Server) query.Reason {
+func outOf(cfg *invent.Config, carry map[string]invent.ServerLimit, s invent.Server) query.Reason {
 	if cfg.DomainOut(s.Domain) {
 		return query.ReasonDomainOut
 	}
@@ -301,7 +301,7 @@
 func (e *Engine) Strike(now clock.Milli, s poison.Strike) bool { return e.strikes.Merge(now, s) }
 
 // Strikes lists the requests refused now.
-func (e *Engine) Strikes(now clock.Milli) []poison.Strike { return e.strikes.Strikes(now) }
+func (e *Engine) Strikes(now clock.Milli) []poison.Strike { return e.strikes.Active(now) }
 
 // cancelActions lists cancellations by host, in order, so that runs repeat.
 func cancelActions(byHost map[string][]uint64) []Action {
--- a/share/fanout/query.go
+++ b/share/fanout/query.go
@@ -27,7 +27,7 @@
 	key         string // the fingerprint as a placement key
 	arrived     clock.Milli
 	until       clock.Milli // when it is answered with what is there
-	pin         invent.Pin
+	pin         invent.SnapshotID
 	pins        int // how often it was pinned
 	shards      []shard
 	open        int // shards without a result or reason
@@ -105,7 +105,7 @@
 	e.order = append(e.order, q)
 	q.note(now, Step{Event: EventPinned, Cause: query.Reason(pin.String())})
 	q.pinTo(pin, len(s.shards[pin.Layout]))
-	if !e.Policy.NoCanary && (e.strikes.Struck(fingerprint) || !e.good.Has(q.proof())) {
+	if !e.Policy.NoCanary && (e.strikes.HasStrikes(fingerprint) || !e.good.Has(q.proof())) {
 		q.canary = true
 		// A server that the query brought down earlier counts as a canary.
 		q.canaries = min(e.strikes.Get(now, fingerprint).Count, maxCanaries-1)
@@ -130,7 +130,7 @@
 	return []Action{Answered{Query: id, Answer: query.Answer{Refused: why, RetryAfter: wait}}}
 }
 
-func (q *running) pinTo(pin invent.Pin, shards int) {
+func (q *running) pinTo(pin invent.SnapshotID, shards int) {
 	q.past, _ = q.load()
 	q.pin = pin
 	q.pins++
--- a/share/fanout/update.go
+++ b/share/fanout/update.go
@@ -72,7 +72,7 @@
 
 // updates holds the updates under way on this host.
 type updates struct {
-	book    ticket.Book[UpdateResult]
+	book    ticket.Registry[UpdateResult]
 	running map[uint64]*runningUpdate // by call
 	byID    map[ticket.ID]*runningUpdate
 	away    map[uint64]*forwarded // by number
@@ -135,9 +135,9 @@
 		return nil
 	case ticket.Done:
 		return answerUpdate(u.Number, result)
-	case ticket.Reused, ticket.Unissued:
+	case ticket.Reused, ticket.NeverMinted:
 		return answerUpdate(u.Number, UpdateResult{Kind: query.NotRun, Reason: query.ReasonReused})
-	case ticket.Foreign, ticket.Lost:
+	case ticket.Foreign, ticket.Unknown:
 	}
 	return answerUpdate(u.Number, UpdateResult{Kind: query.Unknown, Reason: query.ReasonOwnerGone})
 }
@@ -234,7 +234,7 @@
 	if res.Kind.Ran() {
 		e.updates.book.Finish(r.ID, res)
 	} else {
-		e.updates.book.Reopen(r.ID)
+		e.updates.book.Release(r.ID)
 	}
 	var out []Action
 	for _, n := range r.waiting {
--- a/share/gate/flow.go
+++ b/share/gate/flow.go
@@ -32,8 +32,8 @@
 }
 
 // proof names a query on its snapshot.
-func (c Call) proof() poison.Proof {
-	return poison.Proof{Fingerprint: c.Fingerprint, Layout: c.Pin.Layout, Version: c.Pin.Version}
+func (c Call) proof() poison.ProvenKey {
+	return poison.ProvenKey{Fingerprint: c.Fingerprint, Layout: c.Pin.Layout, Version: c.Pin.Version}
 }
 
 func refuse(k Key, why query.Reason, wait clock.Milli) Reply {
@@ -335,7 +335,7 @@
 		return nil
 	}
 	strike := e.strikes.Add(now, k.Fingerprint)
-	o.Strikes, o.RetryAfter = strike.Count, strike.Left
+	o.Strikes, o.RetryAfter = strike.Count, strike.TimeLeft
 	return append([]Action{Struck{Strike: strike}}, e.purge(now, k.Fingerprint)...)
 }
 
--- a/share/gate/gate.go
+++ b/share/gate/gate.go
@@ -37,7 +37,7 @@
 	// Again: a server died under this canary's predecessor of the same query.
 	Again bool
 	// Pin is the snapshot that a query runs on.
-	Pin invent.Pin
+	Pin invent.SnapshotID
 	// Update is set for changes; they are run whatever was proven.
 	Update bool
 	// Request is what the program sends; the engine does not look at it.
@@ -184,7 +184,7 @@
 	order    []*leaf // by name
 	calls    map[Key]*call
 	strikes  poison.Table
-	proven   poison.Proven
+	proven   poison.ProvenSet
 	canaries map[uint64]Key
 	leases   leases
 	means    map[string]float64 // usual time by service
@@ -211,7 +211,7 @@
 	busy    int
 	lost    []ghost
 	queue   []*call
-	holds   []invent.Pin
+	holds   []invent.SnapshotID
 	ramp    ramp
 	health  health
 	feeding query.Feedback // as last published
@@ -248,7 +248,7 @@
 	e.init(now)
 	var out []Action
 	e.owners.Hosts(hosts)
-	carry := cfg.CarryRules()
+	carry := cfg.ServerLimits()
 	next := map[string]*leaf{}
 	for _, s := range cfg.Inventory.Servers {
 		if s.Domain != e.Domain {
@@ -261,14 +261,14 @@
 			continue
 		}
 		service, _ := cfg.Service(s.Service)
-		for _, l := range s.Leafs {
+		for _, l := range s.Leaves {
 			f := e.leafs[l.Name]
 			if f == nil {
 				f = &leaf{conns: map[ConnID]*conn{}}
 				f.ramp.begin(now, false)
 			}
 			f.Leaf, f.server, f.service, f.address, f.rank = l, s.Name, s.Service, s.Address, rank
-			f.warm, f.cap = service.Warm, l.Slots
+			f.warm, f.cap = service.WarmUp, l.Slots
 			f.out = query.ReasonNone
 			if cfg.DomainOut(s.Domain) {
 				f.out = query.ReasonDomainOut
@@ -318,7 +318,7 @@
 // serves tells whether calls are still at a server's leafs. Such a server is
 // kept until they are done, though this host no longer owns it.
 func (e *Engine) serves(s invent.Server) bool {
-	for _, l := range s.Leafs {
+	for _, l := range s.Leaves {
 		if f := e.leafs[l.Name]; f != nil && f.busy > 0 {
 			return true
 		}
--- a/share/gate/gate_test.go
+++ b/share/gate/gate_test.go
@@ -17,10 +17,10 @@
 func testConfig() *invent.Config {
 	return &invent.Config{Version: 1, Inventory: invent.Inventory{
 		Domains:  []invent.Domain{{Name: "a", Region: "r"}},
-		Services: []invent.Service{{Name: "search", Layouts: []invent.Layout{{ID: 1, Shards: 1}}, Warm: 1000}},
+		Services: []invent.Service{{Name: "search", Layouts: []invent.Layout{{ID: 1, Shards: 1}}, WarmUp: 1000}},
 		Servers: []invent.Server{{
 			Name: "s", Service: "search", Domain: "a", Address: "127.0.0.1:1",
-			Leafs: []invent.Leaf{{Name: "l", Slots: 4, Connections: 16, Holds: []invent.Hold{{Layout: 1, Shard: 0}}}},
+			Leaves: []invent.Leaf{{Name: "l", Slots: 4, Connections: 16, Holds: []invent.Hold{{Layout: 1, Shard: 0}}}},
 		}},
 	}}
 }
--- a/share/gate/health.go
+++ b/share/gate/health.go
@@ -40,7 +40,7 @@
 	Incarnation uint64
 	Draining    bool
 	// Holds are the leaf's snapshots; nil when not told.
-	Holds []invent.Pin
+	Holds []invent.SnapshotID
 }
 
 // restarted tells whether the sign comes from another incarnation than the one
--- a/share/gate/state.go
+++ b/share/gate/state.go
@@ -10,7 +10,7 @@
 func (e *Engine) Idle() bool { return len(e.calls) == 0 }
 
 // Strikes lists the requests refused now.
-func (e *Engine) Strikes(now clock.Milli) []poison.Strike { return e.strikes.Strikes(now) }
+func (e *Engine) Strikes(now clock.Milli) []poison.Strike { return e.strikes.Active(now) }
 
 // Strike takes a strike from another host and tells whether it was news.
 // Waiting calls with that fingerprint are answered as not run.
--- a/share/invent/invent.go
+++ b/share/invent/invent.go
@@ -10,16 +10,16 @@
 	"dandelionstile/share/route"
 )
 
-// Pin names one snapshot of a service's index. The layout is the generation of
+// SnapshotID names one snapshot of a service's index. The layout is the generation of
 // the partition map: an index built for one layout cannot be merged with
 // another.
-type Pin struct {
+type SnapshotID struct {
 	Layout  uint32
 	Version uint64
 }
 
 // Less orders pins from old to new.
-func (p Pin) Less(o Pin) bool {
+func (p SnapshotID) Less(o SnapshotID) bool {
 	if p.Layout != o.Layout {
 		return p.Layout < o.Layout
 	}
@@ -42,9 +42,9 @@
 type Service struct {
 	Name    string
 	Layouts []Layout
-	// Warm is how long a leaf takes from a cold start until it bears all of its
+	// WarmUp is how long a leaf takes from a cold start until it bears all of its
 	// slots, in milliseconds.
-	Warm clock.Milli
+	WarmUp clock.Milli
 	// Deadline bounds a query that names no budget, in milliseconds.
 	Deadline clock.Milli
 	// Patience expresses the trade between coverage and tail latency: the share
@@ -100,7 +100,7 @@
 	Domain  string
 	// Address is the IP and port that the server's leafs are reached at.
 	Address string
-	Leafs   []Leaf
+	Leaves  []Leaf
 }
 
 // Inventory is the operators' asset register.
@@ -110,8 +110,8 @@
 	Servers  []Server
 }
 
-// Carry limits what one backend server may carry.
-type Carry struct {
+// ServerLimit limits what one backend server may carry.
+type ServerLimit struct {
 	Server string
 	// Slots caps the slots used on each of the server's leafs; with Out it is
 	// not read.
@@ -129,9 +129,9 @@
 // Rules are the operators' rules on top of an inventory.
 type Rules struct {
 	// DomainsOut lists the failure domains that are out of service.
-	DomainsOut  []string
-	Carry       []Carry
-	NeverRepeat []NeverRepeat
+	DomainsOut   []string
+	ServerLimits []ServerLimit
+	NeverRepeat  []NeverRepeat
 }
 
 // Config is one accepted configuration. It is never changed after it has been
@@ -150,10 +150,10 @@
 	return slices.Contains(c.Rules.DomainsOut, domain)
 }
 
-// CarryRules returns the carry rules by backend server.
-func (c *Config) CarryRules() map[string]Carry {
-	rules := make(map[string]Carry, len(c.Rules.Carry))
-	for _, r := range c.Rules.Carry {
+// ServerLimits returns the carry rules by backend server.
+func (c *Config) ServerLimits() map[string]ServerLimit {
+	rules := make(map[string]ServerLimit, len(c.Rules.ServerLimits))
+	for _, r := range c.Rules.ServerLimits {
 		rules[r.Server] = r
 	}
 	return rules
--- a/share/invent/parse.go
+++ b/share/invent/parse.go
@@ -13,9 +13,9 @@
 	"dandelionstile/share/conf"
 )
 
-// MaxPart is the largest value the platform's configuration service holds, in
+// MaxPartBytes is the largest value the platform's configuration service holds, in
 // bytes.
-const MaxPart = 1 << 20
+const MaxPartBytes = 1 << 20
 
 // Defaults of a service that does not say otherwise.
 const (
@@ -140,9 +140,9 @@
 }
 
 func readOne(p Part) readPart {
-	if len(p.Body) > MaxPart {
+	if len(p.Body) > MaxPartBytes {
 		return readPart{faults: conf.Faults{{
-			File: p.Name, Line: 1, Problem: fmt.Sprintf("%d bytes, over the limit of %d", len(p.Body), MaxPart),
+			File: p.Name, Line: 1, Problem: fmt.Sprintf("%d bytes, over the limit of %d", len(p.Body), MaxPartBytes),
 			Hint: "split the file",
 		}}}
 	}
@@ -232,7 +232,7 @@
 		b.unique(src, "service", s.Name, key+".name")
 		service := Service{
 			Name:       s.Name,
-			Warm:       orDefault(clock.Milli(s.Warm), defaultWarm),
+			WarmUp:     orDefault(clock.Milli(s.Warm), defaultWarm),
 			Deadline:   orDefault(clock.Milli(s.Deadline), defaultDeadline),
 			Patience:   orDefault(s.Patience, defaultPatience),
 			HealthPath: orDefault(s.Health, defaultHealth),
@@ -266,7 +266,7 @@
 			for _, h := range l.Holds {
 				leaf.Holds = append(leaf.Holds, Hold(h))
 			}
-			server.Leafs = append(server.Leafs, leaf)
+			server.Leaves = append(server.Leaves, leaf)
 		}
 		b.config.Inventory.Servers = append(b.config.Inventory.Servers, server)
 		b.servers = append(b.servers, serverAt{server, place{src, key}})
@@ -282,7 +282,7 @@
 		b.fault(src, key+".service", fmt.Sprintf("service %q is not in the inventory", s.Service), "")
 		return
 	}
-	for j, leaf := range s.Leafs {
+	for j, leaf := range s.Leaves {
 		for k, h := range leaf.Holds {
 			at := fmt.Sprintf("%s.leafs[%d].holds[%d]", key, j, k)
 			layout, ok := service.Layout(h.Layout)
@@ -303,7 +303,7 @@
 		b.expect(src, fmt.Sprintf("out-of-service[%d]", i), "failure domain", d)
 	}
 	for i, c := range f.Carry {
-		rules.Carry = append(rules.Carry, Carry(c))
+		rules.ServerLimits = append(rules.ServerLimits, ServerLimit(c))
 		key := fmt.Sprintf("carry[%d]", i)
 		b.unique(src, "carry rule for", c.Server, key+".server")
 		b.expect(src, key+".server", "server", c.Server)
@@ -363,7 +363,7 @@
 // ParseManifest reads a manifest.
 func ParseManifest(body []byte) (Manifest, error) {
 	var f fileManifest
-	if len(body) > MaxPart {
+	if len(body) > MaxPartBytes {
 		return Manifest{}, conf.Faults{{File: "manifest", Line: 1, Problem: "over the size limit"}}
 	}
 	if _, err := conf.Decode("manifest", body, &f); err != nil {
@@ -398,24 +398,24 @@
 	return m
 }
 
-// ParseID splits a pin written as layout-version.
-func ParseID(s string) (Pin, bool) {
+// ParseSnapshotID splits a pin written as layout-version.
+func ParseSnapshotID(s string) (SnapshotID, bool) {
 	l, v, ok := strings.Cut(s, "-")
 	if !ok {
-		return Pin{}, false
+		return SnapshotID{}, false
 	}
 	layout, err := strconv.ParseUint(l, 10, 32)
 	if err != nil {
-		return Pin{}, false
+		return SnapshotID{}, false
 	}
 	version, err := strconv.ParseUint(v, 10, 64)
 	if err != nil {
-		return Pin{}, false
+		return SnapshotID{}, false
 	}
-	return Pin{Layout: uint32(layout), Version: version}, true
+	return SnapshotID{Layout: uint32(layout), Version: version}, true
 }
 
 // String writes the pin as layout-version.
-func (p Pin) String() string {
+func (p SnapshotID) String() string {
 	return strconv.FormatUint(uint64(p.Layout), 10) + "-" + strconv.FormatUint(p.Version, 10)
 }
--- a/share/invent/parse_test.go
+++ b/share/invent/parse_test.go
@@ -26,7 +26,7 @@
 func TestParseGood(t *testing.T) {
 	c, err := Parse(3, []Part{{Name: "a.yaml", Body: []byte(good)}})
 	assert.NilError(t, err)
-	assert.Equal(t, c.Inventory.Servers[0].Leafs[0].Slots, 2)
+	assert.Equal(t, c.Inventory.Servers[0].Leaves[0].Slots, 2)
 	assert.Equal(t, c.Inventory.Services[0].Patience, 100)
 }
 
@@ -58,7 +58,7 @@
 }
 
 func TestPartOverAMegabyte(t *testing.T) {
-	_, err := Parse(1, []Part{{Name: "big.yaml", Body: make([]byte, MaxPart+1)}})
+	_, err := Parse(1, []Part{{Name: "big.yaml", Body: make([]byte, MaxPartBytes+1)}})
 	assert.ErrorContains(t, err, "over the limit")
 }
 
--- a/share/invent/routes.go
+++ b/share/invent/routes.go
@@ -116,15 +116,15 @@
 	return slices.ContainsFunc(b.config.Inventory.Domains, func(d Domain) bool { return d.Region == name })
 }
 
-// Table returns the routes with what the inventory says of their services. A
+// RouteTable returns the routes with what the inventory says of their services. A
 // service's leafs share its bounds, so the least of its servers counts.
-func (c *Config) Table() *route.Table {
+func (c *Config) RouteTable() *route.Table {
 	t := &route.Table{
 		Version: c.Version, Routes: c.Routes,
 		Services: make(map[string]route.Service, len(c.Inventory.Services)),
 	}
 	for _, s := range c.Inventory.Services {
-		t.Services[s.Name] = route.Service{Name: s.Name, HealthPath: s.HealthPath, Warm: s.Warm}
+		t.Services[s.Name] = route.Service{Name: s.Name, HealthPath: s.HealthPath, Warm: s.WarmUp}
 	}
 	for _, s := range c.Inventory.Servers {
 		service := t.Services[s.Service]
@@ -139,7 +139,7 @@
 // Connections is how many connections the server's leafs accept together.
 func (s Server) Connections() int {
 	n := 0
-	for _, l := range s.Leafs {
+	for _, l := range s.Leaves {
 		n += l.Connections
 	}
 	return n
@@ -148,7 +148,7 @@
 // Slots is how many requests the server's leafs work on at once.
 func (s Server) Slots() int {
 	n := 0
-	for _, l := range s.Leafs {
+	for _, l := range s.Leaves {
 		n += l.Slots
 	}
 	return n
--- a/share/invent/routes_test.go
+++ b/share/invent/routes_test.go
@@ -27,7 +27,7 @@
 func TestRoutesOfTheInventory(t *testing.T) {
 	c, err := Parse(7, []Part{{Name: "a.yaml", Body: []byte(good)}, {Name: "routes.yaml", Body: []byte(routed)}})
 	assert.NilError(t, err)
-	table := c.Table()
+	table := c.RouteTable()
 	assert.Equal(t, table.Version, uint64(7))
 	find, ok := table.Match("find.example", "/find/2f")
 	assert.Assert(t, ok && find.Merged())
--- a/share/mesh/mesh.go
+++ b/share/mesh/mesh.go
@@ -30,13 +30,13 @@
 	// ErrProtocol: the peer sent what no dandelionstile process sends.
 	ErrProtocol = errors.New("peer breaks the protocol")
 	// ErrSilent: the peer does not answer pings.
-	ErrSilent = errors.New("peer is silent")
+	ErrUnresponsive = errors.New("peer is silent")
 )
 
 // Limits and timing of links.
 const (
-	// MaxFrame is the largest message, in bytes.
-	MaxFrame = 4 << 20
+	// MaxFrameBytes is the largest message, in bytes.
+	MaxFrameBytes = 4 << 20
 	// streams is how many streams a link has: one for control, the others for
 	// traffic, so that a large answer does not hold up a heartbeat.
 	streams = 3
@@ -73,8 +73,8 @@
 	ID uint64
 	// Peer is what the other side said of itself.
 	Peer *wire.Hello
-	// Dialed is the address that this side dialed, or "".
-	Dialed string
+	// DialedAddr is the address that this side dialed, or "".
+	DialedAddr string
 
 	session *yamux.Session
 	queues  [streams]chan *wire.Envelope
@@ -150,9 +150,9 @@
 	TLS *tls.Config
 	// MaxLinks bounds the links accepted; 0 means DefaultMaxLinks.
 	MaxLinks int
-	// Source is the IP that links are dialed from; empty leaves it to the
+	// SourceIP is the IP that links are dialed from; empty leaves it to the
 	// system. With it, a host's links come from the address it is known by.
-	Source string
+	SourceIP string
 
 	mu       sync.Mutex
 	links    map[*Link]struct{}
@@ -224,14 +224,14 @@
 	m.wait.Go(func() { m.redial(ctx, addr) })
 }
 
-// Hangup gives up the link to an address.
-func (m *Mesh) Hangup(addr string) {
+// Disconnect gives up the link to an address.
+func (m *Mesh) Disconnect(addr string) {
 	m.mu.Lock()
 	cancel := m.dials[addr]
 	delete(m.dials, addr)
 	var gone []*Link
 	for l := range m.links {
-		if l.Dialed == addr {
+		if l.DialedAddr == addr {
 			gone = append(gone, l)
 		}
 	}
@@ -247,7 +247,7 @@
 func (m *Mesh) redial(ctx context.Context, addr string) {
 	pause := redialLeast
 	for ctx.Err() == nil {
-		d := net.Dialer{Timeout: dialTimeout, LocalAddr: fetch.SourceAddr(m.Source)}
+		d := net.Dialer{Timeout: dialTimeout, LocalAddr: fetch.SourceAddr(m.SourceIP)}
 		started := time.Now()
 		if c, err := d.DialContext(ctx, "tcp", addr); err == nil {
 			if m.TLS != nil {
@@ -270,7 +270,7 @@
 	c := yamux.DefaultConfig()
 	c.EnableKeepAlive = false // ping does it, and measures
 	c.ConnectionWriteTimeout = pingTimeout
-	c.MaxStreamWindowSize = MaxFrame
+	c.MaxStreamWindowSize = MaxFrameBytes
 	c.LogOutput = io.Discard
 	return c
 }
@@ -282,7 +282,7 @@
 		_ = c.Close() // it was never used
 		return
 	}
-	l := &Link{ID: lastLink.Add(1), Dialed: dialed, session: session, done: make(chan struct{})}
+	l := &Link{ID: lastLink.Add(1), DialedAddr: dialed, session: session, done: make(chan struct{})}
 	for i := range l.queues {
 		l.queues[i] = make(chan *wire.Envelope, sendQueue)
 	}
@@ -338,7 +338,7 @@
 
 // open opens all streams, or accepts them, within helloTimeout.
 func (l *Link) open(dialer bool) ([]lane, error) {
-	guard := time.AfterFunc(helloTimeout, func() { l.Fail(ErrSilent) })
+	guard := time.AfterFunc(helloTimeout, func() { l.Fail(ErrUnresponsive) })
 	defer guard.Stop()
 	lanes := make([]lane, streams)
 	for i := range lanes {
@@ -381,7 +381,7 @@
 }
 
 func unmarshal(r protodelim.Reader, m *wire.Envelope) error {
-	return protodelim.UnmarshalOptions{MaxSize: MaxFrame}.UnmarshalFrom(r, m)
+	return protodelim.UnmarshalOptions{MaxSize: MaxFrameBytes}.UnmarshalFrom(r, m)
 }
 
 // write sends what is queued, gathering small messages into one write.
@@ -449,7 +449,7 @@
 	tick := time.NewTicker(pingEvery)
 	defer tick.Stop()
 	for {
-		guard := time.AfterFunc(pingTimeout, func() { l.Fail(ErrSilent) })
+		guard := time.AfterFunc(pingTimeout, func() { l.Fail(ErrUnresponsive) })
 		rtt, err := l.session.Ping()
 		guard.Stop()
 		if err != nil {
--- a/share/mesh/mesh_test.go
+++ b/share/mesh/mesh_test.go
@@ -109,7 +109,7 @@
 // A peer sends a message larger than any; memory must not go with it.
 func TestOversizeMessageClosesTheLink(t *testing.T) {
 	server, client, _ := pair(t)
-	big := &wire.Envelope{Body: &wire.Envelope_Delta{Delta: &wire.Delta{Packed: make([]byte, MaxFrame+1)}}}
+	big := &wire.Envelope{Body: &wire.Envelope_Delta{Delta: &wire.Delta{Packed: make([]byte, MaxFrameBytes+1)}}}
 	assert.NilError(t, client.up[0].Send(big))
 	server.await(t, "link down", func(_, down, frames int) bool { return down == 1 && frames == 0 })
 	assert.Assert(t, errors.Is(server.why, ErrProtocol), "%v", server.why)
--- a/share/node/beats.go
+++ b/share/node/beats.go
@@ -11,10 +11,10 @@
 	p.echo, p.digest, p.echoed = b.GetSequence(), b.GetDigest(), b.GetEcho()
 	heard := b.GetPlatformAgeMs() > 0
 	age := clock.Milli(b.GetPlatformAgeMs()) - 1
-	n.act(now, n.engine.Beat(now, p.name, b.GetDigest(), age, heard))
+	n.act(now, n.engine.HandleHeartbeat(now, p.name, b.GetDigest(), age, heard))
 	if b.GetLeaving() != p.leaving {
 		p.leaving = b.GetLeaving()
-		n.Owner.Leaving(now, p.link, p.leaving)
+		n.Delegate.PeerLeaving(now, p.link, p.leaving)
 		n.configure(now)
 	}
 	if b.GetAnswer() {
@@ -23,10 +23,10 @@
 	n.checkConfirmed(now)
 }
 
-// Confirm asks the peers whether the versions in force here are current. The
+// ConfirmVersions asks the peers whether the versions in force here are current. The
 // program is told by Confirmed. Heartbeats that were on their way before the
 // call do not count.
-func (n *Node) Confirm(now clock.Milli) {
+func (n *Node) ConfirmVersions(now clock.Milli) {
 	n.confirm = n.sequence + 1
 	for _, p := range n.sorted() {
 		n.beat(now, p, true)
@@ -40,7 +40,7 @@
 	for _, p := range n.peers {
 		if p.echoed >= n.confirm && p.digest == n.engine.Digest() {
 			n.confirm = 0
-			n.Owner.Confirmed(now)
+			n.Delegate.VersionsConfirmed(now)
 			return
 		}
 	}
@@ -68,7 +68,7 @@
 		n.beat(now, p, false)
 		if now-p.heard > peerQuiet*every {
 			n.Log.Warn().Str("peer", p.name).Msg("peer sends no heartbeats")
-			p.link.Fail(mesh.ErrSilent)
+			p.link.Fail(mesh.ErrUnresponsive)
 		}
 	}
 }
@@ -82,8 +82,8 @@
 	return beatRarely
 }
 
-// Leave tells the peers that this process is on its way out.
-func (n *Node) Leave(now clock.Milli) {
+// AnnounceLeaving tells the peers that this process is on its way out.
+func (n *Node) AnnounceLeaving(now clock.Milli) {
 	n.leaving = true
 	for _, p := range n.sorted() {
 		n.beat(now, p, false)
--- a/share/node/codec.go
+++ b/share/node/codec.go
@@ -55,12 +55,12 @@
 	for _, it := range d.Changed {
 		items.Items = append(items.Items, &wire.Item{Name: it.Name, Body: it.Body})
 	}
-	w.Packed = Pack(items)
+	w.Packed = CompressItems(items)
 	return &wire.Envelope{Body: &wire.Envelope_Delta{Delta: w}}
 }
 
-// Pack marshals and compresses items.
-func Pack(items *wire.Items) []byte {
+// CompressItems marshals and compresses items.
+func CompressItems(items *wire.Items) []byte {
 	plain, err := proto.Marshal(items)
 	if err != nil {
 		return nil // items of bytes and names always marshal
@@ -103,12 +103,12 @@
 
 func strikeTo(id uint64, s poison.Strike) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_Strike{Strike: &wire.Strike{
-		Id: id, Fingerprint: s.Fingerprint, Count: uint32(s.Count), LeftMs: uint32(s.Left),
+		Id: id, Fingerprint: s.Fingerprint, Count: uint32(s.Count), LeftMs: uint32(s.TimeLeft),
 	}}}
 }
 
 func strikeFrom(w *wire.Strike) poison.Strike {
 	return poison.Strike{
-		Fingerprint: w.GetFingerprint(), Count: int(w.GetCount()), Left: clock.Milli(w.GetLeftMs()),
+		Fingerprint: w.GetFingerprint(), Count: int(w.GetCount()), TimeLeft: clock.Milli(w.GetLeftMs()),
 	}
 }
--- a/share/node/node.go
+++ b/share/node/node.go
@@ -61,12 +61,12 @@
 
 // RTT is a measured round trip.
 type RTT struct {
-	Link *mesh.Link
-	Trip time.Duration
+	Link      *mesh.Link
+	RoundTrip time.Duration
 }
 
 // PlatformRead is the platform's answer.
-type PlatformRead struct{ Read spread.Read }
+type PlatformRead struct{ Read spread.ReadResult }
 
 // Tick lets the node run what is due.
 type Tick struct{}
@@ -78,9 +78,9 @@
 func (PlatformRead) message() {}
 func (Tick) message()         {}
 
-// Program is what a Node tells its program. All calls come from the control
+// Delegate is what a Node tells its program. All calls come from the control
 // loop.
-type Program interface {
+type Delegate interface {
 	// Configure puts a configuration and host list in force.
 	Configure(now clock.Milli, cfg *invent.Config, hosts []invent.Host)
 	LinkUp(now clock.Milli, l *mesh.Link)
@@ -88,15 +88,15 @@
 	// Frame takes what the node does not know.
 	Frame(now clock.Milli, l *mesh.Link, m *wire.Envelope)
 	RTT(now clock.Milli, l *mesh.Link, trip time.Duration)
-	// Leaving says that a peer is on its way out, or no longer is.
-	Leaving(now clock.Milli, l *mesh.Link, leaving bool)
-	// Strike takes a crash report and tells whether it was news.
-	Strike(now clock.Milli, s poison.Strike) bool
-	// Confirmed says that a peer has the same versions in force as this node,
+	// PeerLeaving says that a peer is on its way out, or no longer is.
+	PeerLeaving(now clock.Milli, l *mesh.Link, leaving bool)
+	// MergeStrike takes a crash report and tells whether it was news.
+	MergeStrike(now clock.Milli, s poison.Strike) bool
+	// VersionsConfirmed says that a peer has the same versions in force as this node,
 	// as of after the last call of Confirm.
-	Confirmed(now clock.Milli)
-	// Dials lists the addresses to keep links to.
-	Dials(cfg *invent.Config, hosts []invent.Host) []string
+	VersionsConfirmed(now clock.Milli)
+	// LinkAddrs lists the addresses to keep links to.
+	LinkAddrs(cfg *invent.Config, hosts []invent.Host) []string
 }
 
 // Node is one process's common part. Fields are set before Start.
@@ -106,7 +106,7 @@
 	Incarnation uint64
 	Log         zerolog.Logger
 	Meter       *meter.Meter
-	Owner       Program
+	Delegate    Delegate
 	// Post hands a message to the control loop.
 	Post func(Message) bool
 	// HTTP makes the calls to the platform.
@@ -170,7 +170,7 @@
 	n.strikes = map[uint64]*sharing{}
 	n.platform = platform{engine: n.HTTP, address: n.Settings.Platform.Address}
 	n.engine = spread.Engine{
-		WatchKeys: []string{KeyConfig, KeyHosts + n.Settings.Host.Domain},
+		WatchKeys: []string{KeyConfig, KeyHostsPrefix + n.Settings.Host.Domain},
 		Rank:      -1, Check: n.check,
 	}
 	n.mesh = mesh.Mesh{
@@ -178,7 +178,7 @@
 			Host: n.Settings.Host.Name, Domain: n.Settings.Host.Domain,
 			Program: n.Program, Incarnation: n.Incarnation,
 		},
-		Handler: handler{n}, TLS: tlsConfig, Source: n.Settings.Listen.IP(),
+		Handler: handler{n}, TLS: tlsConfig, SourceIP: n.Settings.Listen.IP(),
 	}
 	if _, err := n.mesh.Listen(n.Settings.Listen.Links); err != nil {
 		return err
@@ -213,13 +213,13 @@
 	case Frame:
 		n.frame(now, m.Link, m.Body)
 	case RTT:
-		n.Owner.RTT(now, m.Link, m.Trip)
+		n.Delegate.RTT(now, m.Link, m.RoundTrip)
 	case PlatformRead:
 		if m.Read.Err != nil {
 			n.Meter.Count("platform_read_failures", 1)
 			n.Log.Warn().Err(m.Read.Err).Str("key", m.Read.Key).Msg("platform read failed")
 		}
-		n.act(now, n.engine.Platform(now, m.Read))
+		n.act(now, n.engine.HandleRead(now, m.Read))
 	case Tick:
 		n.tick(now)
 	}
@@ -228,7 +228,7 @@
 func (n *Node) linkUp(now clock.Milli, l *mesh.Link) {
 	n.peers[l.ID] = &peer{link: l, name: l.Peer.GetHost() + "/" + l.Peer.GetProgram() + "#" + itoa(l.ID), heard: now}
 	n.Log.Info().Str("peer", n.peers[l.ID].name).Msg("link up")
-	n.Owner.LinkUp(now, l)
+	n.Delegate.LinkUp(now, l)
 	n.beat(now, n.peers[l.ID], false)
 }
 
@@ -240,11 +240,11 @@
 	delete(n.peers, m.Link.ID)
 	n.Meter.Count("links_lost", 1, meter.Label{Name: "cause", Value: lossOf(m.Err)})
 	n.Log.Info().Str("peer", p.name).AnErr("cause", m.Err).Msg("link down")
-	n.act(now, n.engine.PeerGone(now, p.name))
+	n.act(now, n.engine.RemovePeer(now, p.name))
 	for id := range n.strikes {
 		n.acked(now, id, m.Link.ID)
 	}
-	n.Owner.LinkDown(now, m.Link, m.Err)
+	n.Delegate.LinkDown(now, m.Link, m.Err)
 }
 
 // lossOf maps why a link was lost to one of a few words.
@@ -252,7 +252,7 @@
 	switch {
 	case errors.Is(err, mesh.ErrProtocol):
 		return "protocol"
-	case errors.Is(err, mesh.ErrSilent):
+	case errors.Is(err, mesh.ErrUnresponsive):
 		return "silent"
 	case errors.Is(err, mesh.ErrBusy):
 		return "busy"
@@ -271,22 +271,22 @@
 	case *wire.Envelope_Beat:
 		n.beaten(now, p, b.Beat)
 	case *wire.Envelope_Stamps:
-		n.act(now, n.engine.Stamps(now, p.name, stampsFrom(b.Stamps)))
+		n.act(now, n.engine.HandleStamps(now, p.name, stampsFrom(b.Stamps)))
 	case *wire.Envelope_Pull:
-		n.act(now, n.engine.Pull(now, p.name, b.Pull.GetHave().GetKey(), stampFrom(b.Pull.GetHave())))
+		n.act(now, n.engine.HandlePull(now, p.name, b.Pull.GetHave().GetKey(), stampFrom(b.Pull.GetHave())))
 	case *wire.Envelope_Delta:
 		d, err := deltaFrom(b.Delta)
 		if err != nil {
 			n.Log.Warn().Err(err).Str("peer", p.name).Msg("delta cannot be read")
 			return
 		}
-		n.act(now, n.engine.Delta(now, p.name, d))
+		n.act(now, n.engine.HandleDelta(now, p.name, d))
 	case *wire.Envelope_Strike:
 		n.struck(now, p, b.Strike)
 	case *wire.Envelope_StrikeAck:
 		n.acked(now, b.StrikeAck.GetId(), l.ID)
 	default:
-		n.Owner.Frame(now, l, m)
+		n.Delegate.Frame(now, l, m)
 	}
 }
 
--- a/share/node/platform.go
+++ b/share/node/platform.go
@@ -17,8 +17,8 @@
 // Keys of what spreads between hosts.
 const (
 	KeyConfig = "config"
-	// KeyHosts starts the key of a failure domain's host list.
-	KeyHosts = "hosts/"
+	// KeyHostsPrefix starts the key of a failure domain's host list.
+	KeyHostsPrefix = "hosts/"
 	// manifestItem is the manifest's name within the config set.
 	manifestItem = "manifest"
 )
@@ -56,12 +56,12 @@
 	if err != nil {
 		return nil, errors.Mark(err, ErrPlatform)
 	}
-	return HostSet(list), nil
+	return NewHostSet(list), nil
 }
 
-// HostSet makes a set of a host list, one item a host, so that a change of one
+// NewHostSet makes a set of a host list, one item a host, so that a change of one
 // host travels as one item.
-func HostSet(list invent.HostList) *spread.Set {
+func NewHostSet(list invent.HostList) *spread.Set {
 	items := make([]spread.Item, len(list.Hosts))
 	for i, h := range list.Hosts {
 		items[i] = spread.Item{
@@ -72,8 +72,8 @@
 	return spread.NewSet(list.Version, items)
 }
 
-// Hosts reads a set back into a host list.
-func Hosts(s *spread.Set) ([]invent.Host, error) {
+// ParseHostSet reads a set back into a host list.
+func ParseHostSet(s *spread.Set) ([]invent.Host, error) {
 	hosts := make([]invent.Host, 0, len(s.Items))
 	for _, it := range s.Sorted() {
 		list, err := invent.ParseHosts(it.Body)
@@ -106,11 +106,11 @@
 		parts = append(parts, invent.Part{Name: ref.Name, Body: body})
 	}
 	p.keep(parts)
-	return ConfigSet(m.Version, parts), nil
+	return NewConfigSet(m.Version, parts), nil
 }
 
-// ConfigSet makes a set of the operators' files.
-func ConfigSet(version uint64, parts []invent.Part) *spread.Set {
+// NewConfigSet makes a set of the operators' files.
+func NewConfigSet(version uint64, parts []invent.Part) *spread.Set {
 	items := make([]spread.Item, len(parts))
 	for i, part := range parts {
 		items[i] = spread.Item(part)
--- a/share/node/settings_tls.go
+++ b/share/node/settings_tls.go
@@ -25,8 +25,8 @@
 	CA   string `yaml:"ca"`
 }
 
-// On tells whether links use TLS.
-func (t TLSSettings) On() bool { return t.Cert != "" }
+// Enabled tells whether links use TLS.
+func (t TLSSettings) Enabled() bool { return t.Cert != "" }
 
 func (t TLSSettings) check(src conf.Source) conf.Faults {
 	given := 0
@@ -49,7 +49,7 @@
 // they cannot be used, as in the middle of a replacement, the last good ones stay
 // in force, and fault is told why; it is told nil once they can be used again.
 func (t TLSSettings) Config(fault func(error)) (*tls.Config, error) {
-	if !t.On() {
+	if !t.Enabled() {
 		return nil, nil
 	}
 	first, err := t.read()
--- a/share/node/shown.go
+++ b/share/node/shown.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// Show returns the node's state.
-func (n *Node) Show(now clock.Milli) show.Node {
+// Status returns the node's state.
+func (n *Node) Status(now clock.Milli) show.Node {
 	s := show.Node{
 		Host: n.Settings.Host.Name, Domain: n.Settings.Host.Domain, Program: n.Program,
 		Incarnation: n.Incarnation, Ready: n.Ready(), Leaving: n.leaving,
--- a/share/node/strikes.go
+++ b/share/node/strikes.go
@@ -12,8 +12,8 @@
 	done    func(now clock.Milli)
 }
 
-// Share tells all peers of a strike and calls done once they have it.
-func (n *Node) Share(now clock.Milli, s poison.Strike, done func(now clock.Milli)) {
+// ShareStrike tells all peers of a strike and calls done once they have it.
+func (n *Node) ShareStrike(now clock.Milli, s poison.Strike, done func(now clock.Milli)) {
 	n.lastID++
 	sh := &sharing{waiting: map[uint64]bool{}, done: done}
 	for _, p := range n.sorted() {
@@ -44,7 +44,7 @@
 // not news stops here, so a strike goes round once.
 func (n *Node) struck(now clock.Milli, p *peer, w *wire.Strike) {
 	s := strikeFrom(w)
-	if n.Owner.Strike(now, s) {
+	if n.Delegate.MergeStrike(now, s) {
 		n.Log.Warn().Uint64("fingerprint", s.Fingerprint).Int("count", s.Count).Str("from", p.name).
 			Msg("request crashed a backend server and is refused")
 		for _, other := range n.sorted() {
--- a/share/node/versions.go
+++ b/share/node/versions.go
@@ -16,7 +16,7 @@
 		return err
 	}
 	var err error
-	n.checkedHosts, err = Hosts(s)
+	n.checkedHosts, err = ParseHostSet(s)
 	return err
 }
 
@@ -32,7 +32,7 @@
 		case spread.ReadPlatform:
 			n.reads.Go(func() {
 				set, err := n.platform.read(a)
-				n.Post(PlatformRead{spread.Read{Key: a.Key, Set: set, Err: err}})
+				n.Post(PlatformRead{spread.ReadResult{Key: a.Key, Set: set, Err: err}})
 			})
 		case spread.Refuse:
 			n.noteRefused(a)
@@ -56,7 +56,7 @@
 	n.Log.Info().Str("key", a.Key).Uint64("version", a.Stamp.Version).Msg("version in force")
 	if a.Key == KeyConfig {
 		n.cfg = n.checked // the check before this adoption read it
-		n.engine.Want(wanted(n.cfg))
+		n.engine.SetRequiredKeys(wanted(n.cfg))
 	} else {
 		n.byKey[a.Key] = n.checkedHosts // the check before this adoption read them
 		n.hosts = n.allHosts()
@@ -74,7 +74,7 @@
 func wanted(cfg *invent.Config) []string {
 	keys := make([]string, len(cfg.Inventory.Domains))
 	for i, d := range cfg.Inventory.Domains {
-		keys[i] = KeyHosts + d.Name
+		keys[i] = KeyHostsPrefix + d.Name
 	}
 	return keys
 }
@@ -121,13 +121,13 @@
 	for i := range hosts {
 		hosts[i].Leaving = hosts[i].Leaving || gone[hosts[i].Name]
 	}
-	n.Owner.Configure(now, n.cfg, hosts)
+	n.Delegate.Configure(now, n.cfg, hosts)
 	n.redial(hosts)
 }
 
 func (n *Node) redial(hosts []invent.Host) {
 	want := map[string]bool{}
-	for _, addr := range n.Owner.Dials(n.cfg, hosts) {
+	for _, addr := range n.Delegate.LinkAddrs(n.cfg, hosts) {
 		if addr != n.Settings.Listen.Links {
 			want[addr] = true
 		}
@@ -139,7 +139,7 @@
 	}
 	for addr := range n.dialed {
 		if !want[addr] && !n.seed(addr) {
-			n.mesh.Hangup(addr)
+			n.mesh.Disconnect(addr)
 		}
 	}
 	for _, addr := range n.Settings.Peers {
--- a/share/poison/poison.go
+++ b/share/poison/poison.go
@@ -11,11 +11,11 @@
 
 // How long a fingerprint is refused, by the number of servers it brought down.
 const (
-	// Suspect follows the first crash. The server may have died for another
+	// SuspectTime follows the first crash. The server may have died for another
 	// reason, so the request gets a second chance once all hosts have heard.
-	Suspect = clock.Second
-	// Quarantine follows the second crash, and starts anew with each resend.
-	Quarantine = 10 * clock.Minute
+	SuspectTime = clock.Second
+	// QuarantineTime follows the second crash, and starts anew with each resend.
+	QuarantineTime = 10 * clock.Minute
 )
 
 // maxStrikes bounds the memory of a table; the entry that expires first goes.
@@ -36,8 +36,8 @@
 	Fingerprint uint64
 	// Count is how many servers it brought down.
 	Count int
-	// Left is how long it is still refused.
-	Left clock.Milli
+	// TimeLeft is how long it is still refused.
+	TimeLeft clock.Milli
 }
 
 type entry struct {
@@ -55,12 +55,12 @@
 func (t *Table) Add(now clock.Milli, fingerprint uint64) Strike {
 	e := t.entries[fingerprint]
 	e.count++
-	e.until = now + Suspect
+	e.until = now + SuspectTime
 	if e.count > 1 {
-		e.until = now + Quarantine
+		e.until = now + QuarantineTime
 	}
 	t.put(fingerprint, e)
-	return Strike{Fingerprint: fingerprint, Count: e.count, Left: e.until - now}
+	return Strike{Fingerprint: fingerprint, Count: e.count, TimeLeft: e.until - now}
 }
 
 // Merge takes a strike from another host and tells whether it was news, so
@@ -70,7 +70,7 @@
 	if s.Count <= e.count {
 		return false
 	}
-	t.put(s.Fingerprint, entry{count: s.Count, until: max(e.until, now+min(s.Left, Quarantine))})
+	t.put(s.Fingerprint, entry{count: s.Count, until: max(e.until, now+min(s.TimeLeft, QuarantineTime))})
 	return true
 }
 
@@ -82,7 +82,7 @@
 		return 0, false
 	}
 	if e.count > 1 {
-		e.until = now + Quarantine
+		e.until = now + QuarantineTime
 		t.entries[fingerprint] = e
 	}
 	return e.until - now, true
@@ -91,22 +91,22 @@
 // Get returns what is known of a fingerprint.
 func (t *Table) Get(now clock.Milli, fingerprint uint64) Strike {
 	e := t.entries[fingerprint]
-	return Strike{Fingerprint: fingerprint, Count: e.count, Left: max(0, e.until-now)}
+	return Strike{Fingerprint: fingerprint, Count: e.count, TimeLeft: max(0, e.until-now)}
 }
 
-// Struck tells whether a request has ever brought down a server that this
+// HasStrikes tells whether a request has ever brought down a server that this
 // table remembers. Such a request always goes out as a canary first.
-func (t *Table) Struck(fingerprint uint64) bool {
+func (t *Table) HasStrikes(fingerprint uint64) bool {
 	_, ok := t.entries[fingerprint]
 	return ok
 }
 
-// Strikes lists what is refused now.
-func (t *Table) Strikes(now clock.Milli) []Strike {
+// Active lists what is refused now.
+func (t *Table) Active(now clock.Milli) []Strike {
 	var list []Strike
 	for f, e := range t.entries {
 		if now < e.until {
-			list = append(list, Strike{Fingerprint: f, Count: e.count, Left: e.until - now})
+			list = append(list, Strike{Fingerprint: f, Count: e.count, TimeLeft: e.until - now})
 		}
 	}
 	return list
--- a/share/poison/proven.go
+++ b/share/poison/proven.go
@@ -1,14 +1,14 @@
 package poison
 
-// Proven remembers requests that a leaf survived, in two generations, so that
+// ProvenSet remembers requests that a leaf survived, in two generations, so that
 // the memory is bounded and the recent ones stay. The zero value is empty.
-type Proven struct {
-	young, old map[Proof]struct{}
+type ProvenSet struct {
+	young, old map[ProvenKey]struct{}
 }
 
-// Proof names a request together with the snapshot that it ran on: what one
+// ProvenKey names a request together with the snapshot that it ran on: what one
 // snapshot survived, the next one may not.
-type Proof struct {
+type ProvenKey struct {
 	Fingerprint uint64
 	Layout      uint32
 	Version     uint64
@@ -18,7 +18,7 @@
 const provenMax = 32768
 
 // Has tells whether a request is remembered.
-func (p *Proven) Has(k Proof) bool {
+func (p *ProvenSet) Has(k ProvenKey) bool {
 	if _, ok := p.young[k]; ok {
 		return true
 	}
@@ -27,16 +27,16 @@
 }
 
 // Add remembers a request.
-func (p *Proven) Add(k Proof) {
+func (p *ProvenSet) Add(k ProvenKey) {
 	if p.young == nil || len(p.young) >= provenMax {
-		p.old, p.young = p.young, map[Proof]struct{}{}
+		p.old, p.young = p.young, map[ProvenKey]struct{}{}
 	}
 	p.young[k] = struct{}{}
 }
 
 // Drop forgets a request on all snapshots: it has brought down a server.
-func (p *Proven) Drop(fingerprint uint64) {
-	for _, m := range []map[Proof]struct{}{p.young, p.old} {
+func (p *ProvenSet) Drop(fingerprint uint64) {
+	for _, m := range []map[ProvenKey]struct{}{p.young, p.old} {
 		for k := range m {
 			if k.Fingerprint == fingerprint {
 				delete(m, k)
--- a/share/show/show.go
+++ b/share/show/show.go
@@ -131,7 +131,7 @@
 func StrikesFrom(list []poison.Strike) []Strike {
 	out := make([]Strike, len(list))
 	for i, s := range list {
-		out[i] = Strike{Fingerprint: fmt.Sprintf("%016x", s.Fingerprint), Count: s.Count, Left: int64(s.Left)}
+		out[i] = Strike{Fingerprint: fmt.Sprintf("%016x", s.Fingerprint), Count: s.Count, Left: int64(s.TimeLeft)}
 	}
 	return out
 }
--- a/share/spread/engine.go
+++ b/share/spread/engine.go
@@ -89,9 +89,9 @@
 func (Adopt) action()        {}
 func (Refuse) action()       {}
 
-// Read is the platform's answer to a ReadPlatform: a whole set, or an error.
+// ReadResult is the platform's answer to a ReadPlatform: a whole set, or an error.
 // The program assembles the parts; Needs tells it which ones it lacks.
-type Read struct {
+type ReadResult struct {
 	Key string
 	Set *Set
 	Err error
@@ -197,9 +197,9 @@
 	return now - e.platform, true
 }
 
-// Beat takes a peer's heartbeat: the digest of its versions and the age of the
+// HandleHeartbeat takes a peer's heartbeat: the digest of its versions and the age of the
 // platform's last word that it knows of.
-func (e *Engine) Beat(now clock.Milli, from string, digest uint64, age clock.Milli, heard bool) []Action {
+func (e *Engine) HandleHeartbeat(now clock.Milli, from string, digest uint64, age clock.Milli, heard bool) []Action {
 	e.init(now)
 	p := e.peer(from)
 	p.digest = digest
@@ -231,8 +231,8 @@
 	return m
 }
 
-// PeerGone forgets a peer whose link is closed.
-func (e *Engine) PeerGone(now clock.Milli, name string) []Action {
+// RemovePeer forgets a peer whose link is closed.
+func (e *Engine) RemovePeer(now clock.Milli, name string) []Action {
 	e.init(now)
 	delete(e.peers, name)
 	var out []Action
--- a/share/spread/pull.go
+++ b/share/spread/pull.go
@@ -9,8 +9,8 @@
 	"dandelionstile/share/clock"
 )
 
-// Stamps takes what a peer says it has in force, and pulls what is newer.
-func (e *Engine) Stamps(now clock.Milli, from string, stamps map[string]Stamp) []Action {
+// HandleStamps takes what a peer says it has in force, and pulls what is newer.
+func (e *Engine) HandleStamps(now clock.Milli, from string, stamps map[string]Stamp) []Action {
 	e.init(now)
 	p := e.peer(from)
 	var out []Action
@@ -79,8 +79,8 @@
 	return names
 }
 
-// Pull answers a peer that asks for what is newer than a version it has.
-func (e *Engine) Pull(now clock.Milli, from, key string, have Stamp) []Action {
+// HandlePull answers a peer that asks for what is newer than a version it has.
+func (e *Engine) HandlePull(now clock.Milli, from, key string, have Stamp) []Action {
 	e.init(now)
 	v, ok := e.keys[key]
 	if !ok || v.now == nil || !have.Less(v.stamp) {
@@ -104,8 +104,8 @@
 	return []Action{SendDelta{Peer: from, Delta: v.now.diff(key, base)}}
 }
 
-// Delta takes a peer's answer to a pull.
-func (e *Engine) Delta(now clock.Milli, from string, d Delta) []Action {
+// HandleDelta takes a peer's answer to a pull.
+func (e *Engine) HandleDelta(now clock.Milli, from string, d Delta) []Action {
 	e.init(now)
 	v := e.key(d.Key)
 	if v.asked == from {
--- a/share/spread/set.go
+++ b/share/spread/set.go
@@ -11,8 +11,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrDelta says that a delta does not fit the version that it was applied to.
-var ErrDelta = errors.New("delta does not lead to the version it names")
+// ErrDeltaMismatch says that a delta does not fit the version that it was applied to.
+var ErrDeltaMismatch = errors.New("delta does not lead to the version it names")
 
 // Stamp orders the versions of one key. Operators number versions; when two of
 // them publish the same number at once, the digest decides, so that all hosts
@@ -146,7 +146,7 @@
 		delete(next.Items, name)
 	}
 	if next.seal().Stamp() != d.To {
-		return nil, ErrDelta
+		return nil, ErrDeltaMismatch
 	}
 	return next, nil
 }
--- a/share/spread/spread_test.go
+++ b/share/spread/spread_test.go
@@ -35,7 +35,7 @@
 	d := next.diff("k", old)
 	d.Changed = nil
 	_, err := old.apply(d)
-	assert.ErrorIs(t, err, ErrDelta)
+	assert.ErrorIs(t, err, ErrDeltaMismatch)
 }
 
 var errBad = errors.New("bad")
@@ -58,11 +58,11 @@
 			now := clock.Milli(i)
 			switch rapid.IntRange(0, 2).Draw(t, "from") {
 			case 0:
-				out = e.Platform(now, Read{Key: "k", Set: s})
+				out = e.HandleRead(now, ReadResult{Key: "k", Set: s})
 			case 1:
-				out = e.Delta(now, "peer", s.diff("k", nil))
+				out = e.HandleDelta(now, "peer", s.diff("k", nil))
 			case 2:
-				out = e.Delta(now, "peer", s.diff("k", set(1, "x")))
+				out = e.HandleDelta(now, "peer", s.diff("k", set(1, "x")))
 			}
 			for _, a := range out {
 				if ad, ok := a.(Adopt); ok {
@@ -85,7 +85,7 @@
 	e := Engine{WatchKeys: []string{"k"}, Rank: -1}
 	next := set(2, "x").Stamp()
 	for _, p := range []string{"p1", "p2"} {
-		e.Stamps(1, p, map[string]Stamp{"k": next})
+		e.HandleStamps(1, p, map[string]Stamp{"k": next})
 	}
 	asked := map[string]bool{}
 	for now := clock.Milli(1); now < 5000; now += 100 {
--- a/share/spread/watch.go
+++ b/share/spread/watch.go
@@ -12,8 +12,8 @@
 	pause clock.Milli
 }
 
-// Platform takes the platform's answer to a read.
-func (e *Engine) Platform(now clock.Milli, r Read) []Action {
+// HandleRead takes the platform's answer to a read.
+func (e *Engine) HandleRead(now clock.Milli, r ReadResult) []Action {
 	e.init(now)
 	rd := e.reader(r.Key)
 	rd.busy = false
@@ -61,9 +61,9 @@
 	return out
 }
 
-// Want names further keys that this host needs. Those that no peer offers are
+// SetRequiredKeys names further keys that this host needs. Those that no peer offers are
 // read once from the platform; after that, peers bring what is newer.
-func (e *Engine) Want(keys []string) {
+func (e *Engine) SetRequiredKeys(keys []string) {
 	e.wants = e.wants[:0]
 	for _, k := range keys {
 		if !slices.Contains(e.WatchKeys, k) {
--- a/share/ticket/ticket.go
+++ b/share/ticket/ticket.go
@@ -25,8 +25,8 @@
 const (
 	// MaxMint is how many ids one call mints.
 	MaxMint = 1000
-	// Life is how long an id may be used after it was minted.
-	Life = 10 * clock.Minute
+	// Lifetime is how long an id may be used after it was minted.
+	Lifetime = 10 * clock.Minute
 	// maxOpen bounds the ids remembered at once; the oldest goes first and is
 	// answered "unknown" from then on.
 	maxOpen = 1 << 17
@@ -92,17 +92,17 @@
 	// Foreign: another host minted it; send it there.
 	Foreign
 	// Lost: this host cannot know what became of it; it will not run.
-	Lost
+	Unknown
 	// Unissued: this host never minted it.
-	Unissued
+	NeverMinted
 	// Reused: the id came before with another request.
 	Reused
 )
 
-// Book is the memory of one incarnation: every id it minted and what became of
+// Registry is the memory of one incarnation: every id it minted and what became of
 // it. R is the result kept for resends. Host and Incarnation are set before the
 // first call. A Book is used from one goroutine.
-type Book[R any] struct {
+type Registry[R any] struct {
 	Host        string
 	Incarnation uint64
 
@@ -119,7 +119,7 @@
 }
 
 // Mint returns n new ids.
-func (b *Book[R]) Mint(now clock.Milli, n int) ([]ID, error) {
+func (b *Registry[R]) Mint(now clock.Milli, n int) ([]ID, error) {
 	if n < 1 || n > MaxMint {
 		return nil, ErrTooMany
 	}
@@ -138,11 +138,11 @@
 }
 
 // forget drops ids past their life, oldest first. A running one stays.
-func (b *Book[R]) forget(now clock.Milli) {
+func (b *Registry[R]) forget(now clock.Milli) {
 	for b.floor < b.next {
 		r := b.open[b.floor]
 		if r != nil {
-			old := now-r.minted > Life || len(b.open) > maxOpen
+			old := now-r.minted > Lifetime || len(b.open) > maxOpen
 			if !old || r.state == Join {
 				return
 			}
@@ -155,21 +155,21 @@
 // Begin decides about a request with an id. The content is a hash over the
 // request, so that one id cannot stand for two requests. After Run the caller
 // must call Finish once.
-func (b *Book[R]) Begin(now clock.Milli, id ID, content uint64) (Verdict, R) {
+func (b *Registry[R]) Begin(now clock.Milli, id ID, content uint64) (Verdict, R) {
 	var none R
 	if id.Host != b.Host {
 		return Foreign, none
 	}
 	if id.Incarnation != b.Incarnation {
-		return Lost, none
+		return Unknown, none
 	}
 	b.forget(now)
 	if id.Sequence == 0 || id.Sequence >= b.next {
-		return Unissued, none
+		return NeverMinted, none
 	}
 	r, ok := b.open[id.Sequence]
-	if !ok || (r.state == 0 && now-r.minted > Life) {
-		return Lost, none
+	if !ok || (r.state == 0 && now-r.minted > Lifetime) {
+		return Unknown, none
 	}
 	if r.state != 0 && r.content != content {
 		return Reused, none
@@ -182,19 +182,19 @@
 }
 
 // Finish records the result of a request that Begin let run.
-func (b *Book[R]) Finish(id ID, result R) {
+func (b *Registry[R]) Finish(id ID, result R) {
 	if r, ok := b.open[id.Sequence]; ok && r.state == Join {
 		r.state, r.result = Done, result
 	}
 }
 
-// Reopen takes back a request that truly did not run, so that a resend of its
+// Release takes back a request that truly did not run, so that a resend of its
 // id may run.
-func (b *Book[R]) Reopen(id ID) {
+func (b *Registry[R]) Release(id ID) {
 	if r, ok := b.open[id.Sequence]; ok && r.state == Join {
 		r.state, r.content = 0, 0
 	}
 }
 
-// Open is how many ids the book remembers.
-func (b *Book[R]) Open() int { return len(b.open) }
+// Len is how many ids the book remembers.
+func (b *Registry[R]) Len() int { return len(b.open) }
--- a/share/ticket/ticket_test.go
+++ b/share/ticket/ticket_test.go
@@ -13,7 +13,7 @@
 // reported not to have run.
 func TestAnIDRunsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := Book[string]{Host: "h", Incarnation: 3}
+		b := Registry[string]{Host: "h", Incarnation: 3}
 		var now clock.Milli
 		var ids []ID
 		ran := map[ID]bool{}
@@ -42,7 +42,7 @@
 					ran[id] = true
 					b.Finish(id, "done")
 				} else {
-					b.Reopen(id)
+					b.Release(id)
 				}
 			}
 		}
@@ -50,7 +50,7 @@
 }
 
 func TestForeignAndForgottenIDs(t *testing.T) {
-	b := Book[string]{Host: "h", Incarnation: 3}
+	b := Registry[string]{Host: "h", Incarnation: 3}
 	ids, err := b.Mint(1, 1)
 	assert.NilError(t, err)
 	for _, c := range []struct {
@@ -58,14 +58,14 @@
 		want Verdict
 	}{
 		{ID{"other", 3, 1}, Foreign},
-		{ID{"h", 2, 1}, Lost},
-		{ID{"h", 3, 99}, Unissued},
+		{ID{"h", 2, 1}, Unknown},
+		{ID{"h", 3, 99}, NeverMinted},
 	} {
 		got, _ := b.Begin(1, c.id, 1)
 		assert.Equal(t, got, c.want)
 	}
-	got, _ := b.Begin(2+Life, ids[0], 1)
-	assert.Equal(t, got, Lost)
+	got, _ := b.Begin(2+Lifetime, ids[0], 1)
+	assert.Equal(t, got, Unknown)
 }
 
 func FuzzParse(f *testing.F) {
--- a/stile/cmds/check.go
+++ b/stile/cmds/check.go
@@ -61,7 +61,7 @@
 	s := shownCheck{Valid: true, Faults: []shownFault{}, Dangers: dangers(cfg)}
 	s.Services, s.Servers, s.Routes = len(cfg.Inventory.Services), len(cfg.Inventory.Servers), len(cfg.Routes)
 	for _, v := range cfg.Inventory.Servers {
-		s.Leafs += len(v.Leafs)
+		s.Leafs += len(v.Leaves)
 	}
 	for _, d := range s.Dangers {
 		out.line("%s %s", out.paint(yellow, "danger:"), d)
--- a/stile/cmds/effect.go
+++ b/stile/cmds/effect.go
@@ -44,9 +44,9 @@
 		}
 		r.services[v.Name] = s
 	}
-	carry := c.CarryRules()
+	carry := c.ServerLimits()
 	for _, s := range c.Inventory.Servers {
-		for _, l := range s.Leafs {
+		for _, l := range s.Leaves {
 			f := leafReach{server: s.Name, domain: s.Domain, slots: l.Slots}
 			rule := carry[s.Name]
 			switch {
@@ -94,7 +94,7 @@
 		}
 	}
 	for _, s := range c.Inventory.Servers {
-		for _, l := range s.Leafs {
+		for _, l := range s.Leaves {
 			if l.Connections < 2*l.Slots {
 				list = append(list, fmt.Sprintf("leaf %s: %d connections for %d slots: two aggregators share them, and neither gets enough", l.Name, l.Connections, l.Slots))
 			}
@@ -145,7 +145,7 @@
 	for _, d := range c.Inventory.Domains {
 		regions[d.Name] = d.Region
 	}
-	carry := c.CarryRules()
+	carry := c.ServerLimits()
 	n := serverCounts{}
 	for _, s := range c.Inventory.Servers {
 		if !c.DomainOut(s.Domain) && !carry[s.Name].Out {
