--- a/aggregator/core/core.go
+++ b/aggregator/core/core.go
@@ -67,7 +67,7 @@
 	tick   struct{}
 	leave  struct{ done chan struct{} }
 	refuse struct{}
-	status struct{ reply chan show.Program }
+	status struct{ reply chan show.Status }
 )
 
 // Start links up and begins to serve.
@@ -230,10 +230,10 @@
 	}
 }
 
-func (c *Core) shown(now clock.Milli) show.Program {
-	s := show.Program{Node: c.node.Status(now), Strikes: show.StrikesFrom(c.gate.Strikes(now))}
+func (c *Core) shown(now clock.Milli) show.Status {
+	s := show.Status{Node: c.node.Status(now), Strikes: show.StrikesFrom(c.gate.Strikes(now))}
 	for _, l := range c.gate.State(now) {
-		s.Leafs = append(s.Leafs, show.Leaf{
+		s.Leaves = append(s.Leaves, show.Leaf{
 			Leaf: l.Leaf, Server: l.Server, Service: l.Service, Primary: l.Primary, Exclusive: l.Exclusive,
 			Busy: l.Busy, Queued: l.Queued, Limit: l.Limit, Slots: l.Slots, Conns: l.Conns,
 			RampLeft: int64(l.RampLeft), Closed: string(l.Closed),
@@ -243,16 +243,16 @@
 }
 
 // Show returns the state, or false when the loop has ended.
-func (c *Core) Show() (show.Program, bool) {
-	ask := status{reply: make(chan show.Program, 1)}
+func (c *Core) Show() (show.Status, bool) {
+	ask := status{reply: make(chan show.Status, 1)}
 	if !c.loop.Post(ask) {
-		return show.Program{}, false
+		return show.Status{}, false
 	}
 	select {
 	case s := <-ask.reply:
 		return s, true
 	case <-time.After(time.Second):
-		return show.Program{}, false
+		return show.Status{}, false
 	}
 }
 
@@ -275,8 +275,8 @@
 	}
 }
 
-func idle(s show.Program) bool {
-	for _, l := range s.Leafs {
+func idle(s show.Status) bool {
+	for _, l := range s.Leaves {
 		if l.Busy > 0 || l.Queued > 0 {
 			return false
 		}
@@ -363,7 +363,7 @@
 func (o owner) LinkAddrs(cfg *invent.Config, hosts []invent.Host) []string {
 	self := o.c.Settings.Host
 	return place.Neighbours(place.Network{
-		Self: self.Name, Domain: self.Domain, Small: smallFleet, Near: neighbours, Far: farNeighbours,
+		Self: self.Name, Domain: self.Domain, FullMeshMax: smallFleet, LocalLinks: neighbours, RemoteLinks: farNeighbours,
 	}, cfg, hosts)
 }
 
--- a/aggregator/main.go
+++ b/aggregator/main.go
@@ -24,7 +24,7 @@
 
 func main() {
 	var a arguments
-	os.Exit(daemon.Main("aggregator", &a, &a.Arguments, func(b daemon.Base) (daemon.Service, error) {
+	os.Exit(daemon.Main("aggregator", &a, &a.Arguments, func(b daemon.Env) (daemon.Service, error) {
 		c := &core.Core{Settings: b.Settings, Log: b.Log, Meter: b.Meter, Tracer: b.Tracer}
 		return daemon.Service{Admin: c.Admin(), Leave: c.Leave, Close: c.Close}, c.Start()
 	}))
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -147,7 +147,7 @@
 	}
 	empty := &invent.Config{}
 	for _, n := range f.Nodes {
-		network := place.Network{Self: n.Name, Domain: n.Domain, Small: 16, Near: 3, Far: 2}
+		network := place.Network{Self: n.Name, Domain: n.Domain, FullMeshMax: 16, LocalLinks: 3, RemoteLinks: 2}
 		for _, peer := range place.Neighbours(network, empty, list) {
 			if peer != n.Name {
 				n.links[peer] = true
--- a/bench/slope/measure.go
+++ b/bench/slope/measure.go
@@ -247,7 +247,7 @@
 	for i := range calls {
 		o := query.Outcome{
 			Call: uint64(1e6 + i), Kind: query.OK, Took: 9,
-			Feedback: &query.Feedback{Leaf: "s00001-1", Busy: 1, Limit: 2, Holds: []invent.SnapshotID{{Layout: 1, Version: 7}}, Pace: 9},
+			Feedback: &query.Feedback{Leaf: "s00001-1", Busy: 1, Limit: 2, Holds: []invent.SnapshotID{{Layout: 1, Version: 7}}, CallTime: 9},
 		}
 		for range 3 {
 			o.Rows = append(o.Rows, query.Row{Key: "garment-0001234", Score: 0.5, Text: "a row with some hundred bytes of text, as a search result has, more or less as long as this one here is"})
--- a/bench/slope/world.go
+++ b/bench/slope/world.go
@@ -74,7 +74,7 @@
 	pin := invent.SnapshotID{Layout: 1, Version: 1}
 	for _, s := range cfg.Inventory.Servers {
 		for _, l := range s.Leaves {
-			e.Feedback(query.Feedback{Leaf: l.Name, Limit: 2, Holds: []invent.SnapshotID{pin}, Pace: 10})
+			e.Feedback(query.Feedback{Leaf: l.Name, Limit: 2, Holds: []invent.SnapshotID{pin}, CallTime: 10})
 		}
 	}
 	return e
--- a/entry/core/admin.go
+++ b/entry/core/admin.go
@@ -8,8 +8,8 @@
 	"dandelionstile/share/show"
 )
 
-func (c *Core) shown(now clock.Milli) show.Program {
-	s := show.Program{Node: c.node.Status(now), Strikes: show.StrikesFrom(c.fan.Strikes(now))}
+func (c *Core) shown(now clock.Milli) show.Status {
+	s := show.Status{Node: c.node.Status(now), Strikes: show.StrikesFrom(c.fan.Strikes(now))}
 	if cfg := c.fan.Config(); cfg != nil {
 		for _, v := range cfg.Inventory.Services {
 			s.Services = append(s.Services, c.shownService(v.Name))
@@ -30,7 +30,7 @@
 }
 
 // Show returns the state, or false when the loop has ended.
-func (c *Core) Show() (show.Program, bool) { return inLoop(c, c.shown) }
+func (c *Core) Show() (show.Status, bool) { return inLoop(c, c.shown) }
 
 // Explain returns what is kept of an answered query.
 func (c *Core) Explain(id string) (show.Query, bool) {
--- a/entry/core/links.go
+++ b/entry/core/links.go
@@ -97,7 +97,7 @@
 func (o owner) LinkAddrs(cfg *invent.Config, hosts []invent.Host) []string {
 	self := o.c.Settings.Host
 	return place.Neighbours(place.Network{
-		Self: self.Name, Domain: self.Domain, Small: smallFleet, Near: nearLinks, Far: farLinks,
+		Self: self.Name, Domain: self.Domain, FullMeshMax: smallFleet, LocalLinks: nearLinks, RemoteLinks: farLinks,
 	}, cfg, hosts)
 }
 
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -354,7 +354,7 @@
 	case r.Reason == query.ReasonReused:
 		e.Error, e.Field = errBadRequest, "id"
 		httpd.WriteJSON(w, http.StatusConflict, e)
-	case !r.Kind.Ran():
+	case !r.Kind.MayHaveRun():
 		e.Error = errNotRun
 		unavailable(w, http.StatusServiceUnavailable, e, max(r.RetryAfter, 100))
 	default:
--- a/entry/main.go
+++ b/entry/main.go
@@ -34,12 +34,12 @@
 	os.Exit(daemon.Main("entry", &a, &a.Arguments, a.start))
 }
 
-func (a *arguments) start(b daemon.Base) (daemon.Service, error) {
+func (a *arguments) start(b daemon.Env) (daemon.Service, error) {
 	if a.Callers != "" {
 		b.Settings.Listen.Callers = a.Callers
 	}
 	if b.Settings.Listen.Callers == "" {
-		return daemon.Service{}, daemon.Invalid(errNoCallers)
+		return daemon.Service{}, daemon.MarkInvalid(errNoCallers)
 	}
 	e := &entry{routed: routed.Routed{Settings: b.Settings, Log: b.Log, Meter: b.Meter, Tracer: b.Tracer}}
 	e.core = core.Core{
--- a/entry/routed/routed.go
+++ b/entry/routed/routed.go
@@ -29,7 +29,7 @@
 	Meter    *meter.Meter
 	Tracer   *spans.Tracer
 
-	tier tier.Tier
+	tier tier.Server
 }
 
 func (r *Routed) on() bool { return r.Settings.Routes.Listen != "" }
@@ -40,14 +40,14 @@
 		return nil
 	}
 	s := r.Settings.Routes
-	r.tier = tier.Tier{
+	r.tier = tier.Server{
 		Settings: tier.Settings{
-			Callers: s.Listen, Gossip: s.Gossip, Relay: s.Relay, Seeds: s.Seeds,
-			Source: r.Settings.Listen.IP(), Dialect: hop.Own,
+			CallerAddress: s.Listen, GossipAddress: s.Gossip, ForwardAddress: s.Relay, Seeds: s.Seeds,
+			SourceIP: r.Settings.Listen.IP(), Dialect: hop.Own,
 			Self:   router.Place{Host: r.Settings.Host.Name, Domain: r.Settings.Host.Domain, Address: s.Relay},
 			Policy: router.Policy{Ratio: s.SecondCalls.Ratio, Reserve: s.SecondCalls.Reserve},
 		},
-		Log: r.Log, Meter: r.Meter, Clock: clock.Wall{}, Around: r.traced,
+		Log: r.Log, Meter: r.Meter, Clock: clock.Wall{}, Middleware: r.traced,
 	}
 	return r.tier.Start()
 }
--- a/share/budget/budget.go
+++ b/share/budget/budget.go
@@ -18,9 +18,9 @@
 	filled bool
 }
 
-// Fill sets the bounds. A budget starts half full, so that processes that
+// Configure sets the bounds. A budget starts half full, so that processes that
 // restart together cannot spend their whole reserve at once twice.
-func (b *Budget) Fill(ratio, most float64) {
+func (b *Budget) Configure(ratio, most float64) {
 	b.ratio, b.most = ratio, most
 	if !b.filled {
 		b.filled = true
--- a/share/budget/budget_test.go
+++ b/share/budget/budget_test.go
@@ -12,7 +12,7 @@
 func TestSecondCallsStayWithinRatioAndReserve(t *testing.T) {
 	const ratio, reserve, requests = 0.2, 10, 1000
 	var b Budget
-	b.Fill(ratio, reserve)
+	b.Configure(ratio, reserve)
 	for range requests {
 		b.Earn()
 	}
@@ -31,8 +31,8 @@
 // reserve, and a smaller part for more hosts takes effect at once.
 func TestNewBudgetIsHalfFull(t *testing.T) {
 	var b Budget
-	b.Fill(0.2, 10)
+	b.Configure(0.2, 10)
 	assert.Equal(t, b.Tokens, 5.0)
-	b.Fill(0.2, 3)
+	b.Configure(0.2, 3)
 	assert.Equal(t, b.Tokens, 3.0)
 }
--- a/share/call/call.go
+++ b/share/call/call.go
@@ -37,8 +37,8 @@
 	Missing []string
 }
 
-// Good tells whether a reply is a success.
-func (r *Reply) Good() bool { return r.Status >= 200 && r.Status < 300 }
+// Successful tells whether a reply is a success.
+func (r *Reply) Successful() bool { return r.Status >= 200 && r.Status < 300 }
 
 // Kind is what became of a call.
 type Kind int
--- a/share/crash/crash.go
+++ b/share/crash/crash.go
@@ -26,20 +26,20 @@
 	// to be gone, for the request to be suspected: a leaf that only lost an
 	// answer accepts the next connection.
 	span clock.Milli = 1500
-	// Leafs is at how many leafs that went down a request must have been
+	// BlockThreshold is at how many leafs that went down a request must have been
 	// to be refused. Two may be chance where leafs die of other causes with
 	// many requests on them.
-	Leafs = 3
-	// Lasts is how long reports count, and a request is refused after
+	BlockThreshold = 3
+	// ReportTTL is how long reports count, and a request is refused after
 	// the last.
-	Lasts = 60 * clock.Second
+	ReportTTL = 60 * clock.Second
 	// mostReports bounds the memory; beyond it new reports are not kept.
 	mostReports = 4096
-	// ProvenFor is how long an answer at least speaks for a request, and at most
+	// ProvenTTL is how long an answer at least speaks for a request, and at most
 	// twice as long. It is several times span, so that what was answered
 	// before a leaf is found down still counts; and short, for a request that new
 	// leafs cannot bear any more.
-	ProvenFor = 10 * clock.Second
+	ProvenTTL = 10 * clock.Second
 	// mostProven bounds the memory for answered requests; with more in ProvenFor
 	// each speaks for a shorter time.
 	mostProven = 4096
@@ -47,8 +47,8 @@
 	mostTold = 16
 )
 
-// Memory remembers which requests were at which leafs as they went down.
-type Memory struct {
+// Tracker remembers which requests were at which leafs as they went down.
+type Tracker struct {
 	// broken are calls that broke of late, by leaf.
 	broken map[string][]brokenCall
 	// seen are the reports by fingerprint and leaf, with when they were seen.
@@ -65,8 +65,8 @@
 	at          clock.Milli
 }
 
-// Broke notes a call that broke; it becomes a report once the leaf is known gone.
-func (c *Memory) Broke(now clock.Milli, leaf string, fingerprint uint64) {
+// RecordBroken notes a call that broke; it becomes a report once the leaf is known gone.
+func (c *Tracker) RecordBroken(now clock.Milli, leaf string, fingerprint uint64) {
 	if c.broken == nil {
 		c.broken = map[string][]brokenCall{}
 	}
@@ -77,8 +77,8 @@
 	c.broken[leaf] = append(list, brokenCall{fingerprint, now})
 }
 
-// Down takes a leaf as gone and returns the reports that follow from it.
-func (c *Memory) Down(now clock.Milli, leaf string) []Report {
+// LeafDown takes a leaf as gone and returns the reports that follow from it.
+func (c *Tracker) LeafDown(now clock.Milli, leaf string) []Report {
 	var list []Report
 	for _, b := range c.broken[leaf] {
 		if now-b.at <= span && !c.Proven(now, b.fingerprint) && c.Add(now, b.fingerprint, leaf) && len(list) < mostTold {
@@ -89,9 +89,9 @@
 	return list
 }
 
-// Answered records that a leaf has answered a request well, which takes back
+// RecordAnswer records that a leaf has answered a request well, which takes back
 // what it was blamed for.
-func (c *Memory) Answered(now clock.Milli, fingerprint uint64) {
+func (c *Tracker) RecordAnswer(now clock.Milli, fingerprint uint64) {
 	c.turn(now)
 	if c.well == nil {
 		c.well = map[uint64]bool{}
@@ -102,25 +102,25 @@
 }
 
 // Proven tells whether leafs have answered a request well of late.
-func (c *Memory) Proven(now clock.Milli, fingerprint uint64) bool {
+func (c *Tracker) Proven(now clock.Milli, fingerprint uint64) bool {
 	c.turn(now)
 	return c.well[fingerprint] || c.provenBefore[fingerprint]
 }
 
 // turn forgets what was answered long ago.
-func (c *Memory) turn(now clock.Milli) {
+func (c *Tracker) turn(now clock.Milli) {
 	age := now - c.turned
-	if age < ProvenFor && len(c.well) < mostProven {
+	if age < ProvenTTL && len(c.well) < mostProven {
 		return
 	}
 	c.provenBefore, c.well, c.turned = c.well, nil, now
-	if age >= 2*ProvenFor {
+	if age >= 2*ProvenTTL {
 		c.provenBefore = nil
 	}
 }
 
 // Add keeps a report and tells whether it was new.
-func (c *Memory) Add(at clock.Milli, fingerprint uint64, leaf string) bool {
+func (c *Tracker) Add(at clock.Milli, fingerprint uint64, leaf string) bool {
 	if c.seen == nil {
 		c.seen = map[uint64]map[string]clock.Milli{}
 	}
@@ -139,18 +139,18 @@
 
 // Blocked tells whether a request is refused. One that comes again while it is
 // refused is refused for longer.
-func (c *Memory) Blocked(now clock.Milli, fingerprint uint64) bool {
+func (c *Tracker) Blocked(now clock.Milli, fingerprint uint64) bool {
 	leafs := c.seen[fingerprint]
 	newest := clock.Milli(0)
 	for _, at := range leafs {
 		newest = max(newest, at)
 	}
-	if len(leafs) > 0 && now-newest > Lasts {
+	if len(leafs) > 0 && now-newest > ReportTTL {
 		c.count -= len(leafs)
 		delete(c.seen, fingerprint)
 		return false
 	}
-	if len(leafs) < Leafs {
+	if len(leafs) < BlockThreshold {
 		return false
 	}
 	for leaf := range leafs {
--- a/share/crash/crash_test.go
+++ b/share/crash/crash_test.go
@@ -14,29 +14,29 @@
 // A request is at three leafs as they go down. It is refused from then on, for
 // as long as its caller sends it again, and let in again a while after that.
 func TestRequestAtThreeLeafsIsRefused(t *testing.T) {
-	var m Memory
+	var m Tracker
 	now := clock.Milli(1000)
-	for i := range Leafs {
+	for i := range BlockThreshold {
 		assert.Assert(t, !m.Blocked(now, harmful))
 		leaf := fmt.Sprintf("i-%d", i)
-		m.Broke(now, leaf, harmful)
-		assert.Equal(t, len(m.Down(now+100, leaf)), 1)
+		m.RecordBroken(now, leaf, harmful)
+		assert.Equal(t, len(m.LeafDown(now+100, leaf)), 1)
 	}
 	for range 5 {
-		now += Lasts / 2
+		now += ReportTTL / 2
 		assert.Assert(t, m.Blocked(now, harmful))
 	}
-	assert.Assert(t, !m.Blocked(now+Lasts+1, harmful))
+	assert.Assert(t, !m.Blocked(now+ReportTTL+1, harmful))
 }
 
 // Leafs lose single answers and live on, or go down long after a call broke:
 // neither is put down to the request.
 func TestBrokenCallAloneIsNoCrash(t *testing.T) {
-	var m Memory
-	for i := range 2 * Leafs {
+	var m Tracker
+	for i := range 2 * BlockThreshold {
 		leaf := fmt.Sprintf("i-%d", i)
-		m.Broke(1000, leaf, harmful)
-		assert.Equal(t, len(m.Down(1000+span+1, leaf)), 0)
+		m.RecordBroken(1000, leaf, harmful)
+		assert.Equal(t, len(m.LeafDown(1000+span+1, leaf)), 0)
 	}
 	assert.Assert(t, !m.Blocked(1000, harmful))
 }
@@ -44,12 +44,12 @@
 // Many callers send a request that leafs answer well. Leafs that die of something
 // else with it under way do not get it refused.
 func TestAnsweredRequestIsNotBlamed(t *testing.T) {
-	var m Memory
-	m.Answered(1000, popular)
-	for i := range 2 * Leafs {
+	var m Tracker
+	m.RecordAnswer(1000, popular)
+	for i := range 2 * BlockThreshold {
 		leaf := fmt.Sprintf("i-%d", i)
-		m.Broke(1100, leaf, popular)
-		m.Down(1200, leaf)
+		m.RecordBroken(1100, leaf, popular)
+		m.LeafDown(1200, leaf)
 	}
 	assert.Assert(t, !m.Blocked(1300, popular))
 }
--- a/share/daemon/daemon.go
+++ b/share/daemon/daemon.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// Base is what a program starts from.
-type Base struct {
+// Env is what a program starts from.
+type Env struct {
 	Settings node.Settings
 	Log      zerolog.Logger
 	Meter    *meter.Meter
@@ -86,7 +86,7 @@
 
 // Main runs a program and returns its exit code. The arguments are parsed into
 // all, which embeds common.
-func Main(program string, all any, common *Arguments, start func(Base) (Service, error)) int {
+func Main(program string, all any, common *Arguments, start func(Env) (Service, error)) int {
 	arg.MustParse(all)
 	settings, err := node.Load(common.Settings)
 	if err != nil {
@@ -108,7 +108,7 @@
 	return ExitOK
 }
 
-func run(program string, settings node.Settings, start func(Base) (Service, error)) error {
+func run(program string, settings node.Settings, start func(Env) (Service, error)) error {
 	log, err := logs.New(os.Stderr, settings.Log.Level, program, settings.Host.Name)
 	if err != nil {
 		return errors.Mark(err, conf.ErrInvalid)
@@ -118,7 +118,7 @@
 		return err
 	}
 	m := meter.New(program)
-	service, err := start(Base{Settings: settings, Log: log, Meter: m, Tracer: tracer})
+	service, err := start(Env{Settings: settings, Log: log, Meter: m, Tracer: tracer})
 	if err != nil {
 		return err
 	}
@@ -156,5 +156,5 @@
 	}
 }
 
-// Invalid marks an error as one of the settings, for the exit code.
-func Invalid(err error) error { return errors.Mark(err, conf.ErrInvalid) }
+// MarkInvalid marks an error as one of the settings, for the exit code.
+func MarkInvalid(err error) error { return errors.Mark(err, conf.ErrInvalid) }
--- a/share/fanout/canary.go
+++ b/share/fanout/canary.go
@@ -48,7 +48,7 @@
 // canaryFailed moves the canary to another leaf. A leaf that refused has not
 // run it and proves nothing; but only two may ever have run it.
 func (e *Engine) canaryFailed(now clock.Milli, q *running, o query.Outcome) []Action {
-	if !o.Kind.Ran() || o.Reason == query.ReasonSilent {
+	if !o.Kind.MayHaveRun() || o.Reason == query.ReasonSilent {
 		// A connection that went silent says nothing of the request: a server
 		// that it had brought down would have closed the connection.
 		q.canaries--
--- a/share/fanout/engine.go
+++ b/share/fanout/engine.go
@@ -160,7 +160,7 @@
 	strikes  poison.Table
 	good     poison.ProvenSet
 	lastCall uint64
-	owners   place.Table
+	owners   place.OwnerCache
 	updates  updates
 	now      clock.Milli // time of the event in hand
 }
@@ -212,7 +212,7 @@
 		services[s.Name] = v
 	}
 	leafs := map[string]*leaf{}
-	e.owners.Hosts(hosts)
+	e.owners.SetHosts(hosts)
 	for _, h := range hosts {
 		if e.hosts[h.Name] == nil {
 			e.hosts[h.Name] = &host{}
--- a/share/fanout/pick.go
+++ b/share/fanout/pick.go
@@ -44,7 +44,7 @@
 // a wait for as many of the calls ahead as leave no slot free. Among leafs with
 // free slots the one with more of them comes first.
 func (e *Engine) expect(now clock.Milli, f *leaf) float64 {
-	usual := max(f.usualNow(now, f.service.timing.typical), f.fb.Pace, 1)
+	usual := max(f.usualNow(now, f.service.timing.typical), f.fb.CallTime, 1)
 	limit := float64(max(f.fb.Limit, 1))
 	ahead := float64(max(f.fb.Busy+f.fb.Queued, f.flying))
 	wait := max(0, ahead-limit+1) / limit
@@ -151,7 +151,7 @@
 			}
 		}
 	}
-	i := place.Pick(names, q.key)
+	i := place.BestIndex(names, q.key)
 	if i < 0 {
 		return candidate{}, 0, false
 	}
--- a/share/fanout/update.go
+++ b/share/fanout/update.go
@@ -202,7 +202,7 @@
 			list = append(list, c)
 		}
 	}
-	i := place.Pick(names, r.Key)
+	i := place.BestIndex(names, r.Key)
 	if i < 0 {
 		return candidate{}, false
 	}
@@ -218,7 +218,7 @@
 	}
 	delete(e.updates.running, call)
 	switch {
-	case !res.Kind.Ran():
+	case !res.Kind.MayHaveRun():
 		return e.sendUpdate(now, r, res.Reason)
 	case res.Kind == query.Died:
 		e.died(now, fingerprintOf(r.Update), res.Strikes, res.RetryAfter)
@@ -231,7 +231,7 @@
 // be sent again with the same id.
 func (e *Engine) endUpdate(r *runningUpdate, res UpdateResult) []Action {
 	delete(e.updates.byID, r.ID)
-	if res.Kind.Ran() {
+	if res.Kind.MayHaveRun() {
 		e.updates.book.Finish(r.ID, res)
 	} else {
 		e.updates.book.Release(r.ID)
--- a/share/gate/gate.go
+++ b/share/gate/gate.go
@@ -188,7 +188,7 @@
 	canaries map[uint64]Key
 	leases   leases
 	means    map[string]float64 // usual time by service
-	owners   place.Table
+	owners   place.OwnerCache
 	lastConn ConnID
 	lastTick clock.Milli
 	born     clock.Milli
@@ -247,7 +247,7 @@
 func (e *Engine) Configure(now clock.Milli, cfg *invent.Config, hosts []invent.Host) []Action {
 	e.init(now)
 	var out []Action
-	e.owners.Hosts(hosts)
+	e.owners.SetHosts(hosts)
 	carry := cfg.ServerLimits()
 	next := map[string]*leaf{}
 	for _, s := range cfg.Inventory.Servers {
@@ -380,4 +380,4 @@
 // share is how many of a leaf's connections this host may hold. The shares of
 // all candidates sum to no more than the leaf accepts, so two hosts that both
 // believe themselves primary cannot exceed it together.
-func (f *leaf) share() int { return max(1, f.Connections/place.Candidates) }
+func (f *leaf) share() int { return max(1, f.Connections/place.MaxOwners) }
--- a/share/gate/health.go
+++ b/share/gate/health.go
@@ -344,6 +344,6 @@
 func (e *Engine) feedback(now clock.Milli, f *leaf) query.Feedback {
 	return query.Feedback{
 		Leaf: f.Name, Busy: f.busy, Queued: len(f.queue), Limit: e.limit(now, f),
-		Holds: f.holds, Closed: f.shut() != query.ReasonNone, Pace: f.health.pace.at(now, e.usualOf(f)),
+		Holds: f.holds, Closed: f.shut() != query.ReasonNone, CallTime: f.health.pace.at(now, e.usualOf(f)),
 	}
 }
--- a/share/hop/conn.go
+++ b/share/hop/conn.go
@@ -211,7 +211,7 @@
 		return result{err: ErrForeignReply}
 	}
 	reply := &call.Reply{Status: res.StatusCode, Header: res.Header, Body: body, Stamp: res.Header.Get(c.dialect.Stamp)}
-	if reply.Good() && reply.Stamp == "" && !j.unsigned {
+	if reply.Successful() && reply.Stamp == "" && !j.unsigned {
 		return result{err: ErrUnsigned}
 	}
 	return result{reply: reply, keep: !res.Close, idle: idleTime(res.Header)}
--- a/share/hop/fuzz_test.go
+++ b/share/hop/fuzz_test.go
@@ -33,7 +33,7 @@
 			return
 		}
 		id := r.reply.Header.Get("Request-Id")
-		if r.reply.Good() && (r.reply.Stamp == "" || id != "" && id != "own") {
+		if r.reply.Successful() && (r.reply.Stamp == "" || id != "" && id != "own") {
 			t.Fatalf("took %+v", r.reply)
 		}
 		p := Pool{Dialect: Own}
--- a/share/hop/pool.go
+++ b/share/hop/pool.go
@@ -166,7 +166,7 @@
 	}
 	select {
 	case r := <-j.done:
-		return r.err == nil && r.reply.Good() && r.reply.Header.Get(p.Dialect.LeafID) == a.Leaf
+		return r.err == nil && r.reply.Successful() && r.reply.Header.Get(p.Dialect.LeafID) == a.Leaf
 	case <-ctx.Done():
 		return false
 	}
--- a/share/invent/routes.go
+++ b/share/invent/routes.go
@@ -53,16 +53,16 @@
 		Name: f.Name, Host: f.Host, Prefix: f.Prefix, Idempotent: f.Idempotent,
 		Attempts: orDefault(f.Attempts, defaultAttempts),
 		Timeout:  orDefault(clock.Milli(f.Timeout), defaultTimeout), Target: clock.Milli(f.Target),
-		Rank: f.Rank, Shards: f.Shards, Top: f.Top, Regions: f.Regions,
+		Priority: f.Rank, Shards: f.Shards, Top: f.Top, Regions: f.Regions,
 	}
 	if r.Merged() {
-		r.LeastShare = orDefault(f.LeastShare, float64(defaultLeastShare))
+		r.MinShare = orDefault(f.LeastShare, float64(defaultLeastShare))
 	}
 	if f.Service != "" {
-		r.Services = []route.Weighted{{Service: f.Service, Weight: 1}}
+		r.Services = []route.WeightedService{{Service: f.Service, Weight: 1}}
 	}
 	for _, s := range f.Services {
-		r.Services = append(r.Services, route.Weighted(s))
+		r.Services = append(r.Services, route.WeightedService(s))
 	}
 	return r
 }
@@ -97,7 +97,7 @@
 		key := at.key
 		if name, ok := fieldKeys[f.Field]; ok {
 			key += "." + name
-		} else if f.Field != route.FieldWhole {
+		} else if f.Field != route.FieldRoute {
 			key += "." + string(f.Field)
 		}
 		b.fault(at.src, key, f.Problem, "")
@@ -124,7 +124,7 @@
 		Services: make(map[string]route.Service, len(c.Inventory.Services)),
 	}
 	for _, s := range c.Inventory.Services {
-		t.Services[s.Name] = route.Service{Name: s.Name, HealthPath: s.HealthPath, Warm: s.WarmUp}
+		t.Services[s.Name] = route.Service{Name: s.Name, HealthPath: s.HealthPath, WarmUp: s.WarmUp}
 	}
 	for _, s := range c.Inventory.Servers {
 		service := t.Services[s.Service]
--- a/share/limit/limit.go
+++ b/share/limit/limit.go
@@ -13,8 +13,8 @@
 
 // Limiter bounds the queries under way at one host. The zero value lets all in.
 type Limiter struct {
-	// Open is how many queries are under way.
-	Open int
+	// InFlight is how many queries are under way.
+	InFlight int
 	// limit is how many may be; 0 for no limit.
 	limit float64
 	// late is the smoothed share of queries that were not answered in time.
@@ -73,8 +73,8 @@
 	liftSlack = 4.0
 )
 
-// Came records a query that asks to go under way.
-func (l *Limiter) Came(now clock.Milli) {
+// RecordArrival records a query that asks to go under way.
+func (l *Limiter) RecordArrival(now clock.Milli) {
 	if l.came == 0 {
 		l.came = now
 		return
@@ -89,16 +89,16 @@
 	l.usualPause += (pause - l.usualPause) * max(usualPauseGain, 1/l.arrivals)
 }
 
-// Crowd tells whether far more queries come than usual.
-func (l *Limiter) Crowd() bool { return l.pause*crowd < l.usualPause }
+// Surge tells whether far more queries come than usual.
+func (l *Limiter) Surge() bool { return l.pause*crowd < l.usualPause }
 
-// Admits tells whether one more query goes under way. Of those beyond the limit
+// Admit tells whether one more query goes under way. Of those beyond the limit
 // a part is let in all the same: leafs may be late for another reason than their
 // load, and then to turn callers away helps nobody. Late queries, whose target
 // has passed, are no part of these: they take room from those that can still be
 // in time.
-func (l *Limiter) Admits(late bool) bool {
-	if !l.Active() || float64(l.Open) < l.limit {
+func (l *Limiter) Admit(late bool) bool {
+	if !l.Active() || float64(l.InFlight) < l.limit {
 		l.refused = 0
 		return true
 	}
@@ -118,11 +118,11 @@
 // Limit is how many queries may be under way; 0 for no limit.
 func (l *Limiter) Limit() float64 { return l.limit }
 
-// Late is the share of queries of late that were not answered in time.
-func (l *Limiter) Late() float64 { return l.late }
+// LateRatio is the share of queries of late that were not answered in time.
+func (l *Limiter) LateRatio() float64 { return l.late }
 
-// Missed records a query that was not answered in time.
-func (l *Limiter) Missed(now clock.Milli) {
+// RecordLate records a query that was not answered in time.
+func (l *Limiter) RecordLate(now clock.Milli) {
 	l.late += (1 - l.late) * lateGain
 	l.learn()
 	if now < l.cutAt+cutPause {
@@ -131,12 +131,12 @@
 	floor := least
 	switch {
 	case l.late >= lateMost:
-	case l.late >= lateSome && l.Crowd():
+	case l.late >= lateSome && l.Surge():
 		floor = max(least, l.usual*usualSlack)
 	default:
 		return
 	}
-	under := float64(l.Open)
+	under := float64(l.InFlight)
 	if under <= floor {
 		return
 	}
@@ -147,15 +147,15 @@
 	l.limit = max(floor, under*cut)
 }
 
-// Met records one that was.
-func (l *Limiter) Met() {
+// RecordOnTime records one that was.
+func (l *Limiter) RecordOnTime() {
 	l.late -= l.late * lateGain
 	l.learn()
 	if !l.Active() {
 		return
 	}
 	l.limit += grow
-	if l.limit > float64(l.Open)*liftSlack && l.late < lateSome {
+	if l.limit > float64(l.InFlight)*liftSlack && l.late < lateSome {
 		l.limit = 0
 	}
 }
@@ -169,5 +169,5 @@
 	if l.usual == 0 {
 		gain = 1
 	}
-	l.usual += (float64(l.Open) - l.usual) * gain
+	l.usual += (float64(l.InFlight) - l.usual) * gain
 }
--- a/share/limit/limit_test.go
+++ b/share/limit/limit_test.go
@@ -13,12 +13,12 @@
 func TestNoLimitWhileMostAreInTime(t *testing.T) {
 	var l Limiter
 	for i := range 300 {
-		assert.Assert(t, l.Admits(false), "turned away after %d queries", i)
-		l.Open = 8
+		assert.Assert(t, l.Admit(false), "turned away after %d queries", i)
+		l.InFlight = 8
 		if i%3 == 0 {
-			l.Missed(clock.Milli(i * 50))
+			l.RecordLate(clock.Milli(i * 50))
 		} else {
-			l.Met()
+			l.RecordOnTime()
 		}
 	}
 }
@@ -28,15 +28,15 @@
 // those beyond its limit: the leafs may be late for another reason.
 func TestLimitFallsWhenAllAreLate(t *testing.T) {
 	var l Limiter
-	l.Open = 20
+	l.InFlight = 20
 	for i := range 60 {
-		l.Missed(clock.Milli(i * 20))
+		l.RecordLate(clock.Milli(i * 20))
 	}
 	assert.Assert(t, l.Active())
 	assert.Assert(t, l.limit <= 10, "limit %.1f", l.limit)
 	let := 0
 	for range 100 {
-		if l.Admits(false) {
+		if l.Admit(false) {
 			let++
 		}
 	}
@@ -47,13 +47,13 @@
 // the queries under way are well below the limit.
 func TestLimitIsLiftedAfterTheCrowd(t *testing.T) {
 	var l Limiter
-	l.Open = 20
+	l.InFlight = 20
 	for i := range 60 {
-		l.Missed(clock.Milli(i * 20))
+		l.RecordLate(clock.Milli(i * 20))
 	}
-	l.Open = 3
+	l.InFlight = 3
 	for range 60 {
-		l.Met()
+		l.RecordOnTime()
 	}
 	assert.Assert(t, !l.Active(), "limit %.1f, late %.2f", l.limit, l.late)
 }
@@ -63,9 +63,9 @@
 // towards its usual number, and not below it.
 func TestCrowdIsCutBackToTheUsual(t *testing.T) {
 	l, now := usually(6)
-	assert.Assert(t, !l.Crowd())
+	assert.Assert(t, !l.Surge())
 	twoOfFiveLate(l, now, 14, 60, 20)
-	assert.Assert(t, l.Crowd())
+	assert.Assert(t, l.Surge())
 	assert.Assert(t, l.Active())
 	assert.Assert(t, l.limit >= 6*usualSlack && l.limit < 14, "limit %.1f", l.limit)
 }
@@ -82,27 +82,27 @@
 // twoOfFiveLate has so many queries come with a pause in ms between two, with as
 // many under way as given; two of five are late.
 func twoOfFiveLate(l *Limiter, now clock.Milli, under, queries int, pause clock.Milli) {
-	l.Open = under
+	l.InFlight = under
 	for i := range queries {
 		now += pause
-		l.Came(now)
+		l.RecordArrival(now)
 		if i%5 < 2 {
-			l.Missed(now)
+			l.RecordLate(now)
 			continue
 		}
-		l.Met()
+		l.RecordOnTime()
 	}
 }
 
 // usually is a limiter after a minute with so many queries under way, twenty a
 // second, and the time.
 func usually(under int) (*Limiter, clock.Milli) {
-	l := &Limiter{Open: under}
+	l := &Limiter{InFlight: under}
 	now := clock.Milli(1000)
 	for range 1200 {
 		now += 50
-		l.Came(now)
-		l.Met()
+		l.RecordArrival(now)
+		l.RecordOnTime()
 	}
 	return l, now
 }
@@ -111,12 +111,12 @@
 // limit, but are not let in beyond it: each would make another late that can
 // still be in time.
 func TestReturningQueriesAreBoundToo(t *testing.T) {
-	l := Limiter{limit: 3, Open: 3}
+	l := Limiter{limit: 3, InFlight: 3}
 	for range 3 * mostRefused {
-		assert.Assert(t, !l.Admits(true))
+		assert.Assert(t, !l.Admit(true))
 	}
-	l.Open = 2
-	assert.Assert(t, l.Admits(true))
+	l.InFlight = 2
+	assert.Assert(t, l.Admit(true))
 }
 
 // Two of six hosts are cut off, so that the others get half as many callers
--- a/share/logs/bounded.go
+++ b/share/logs/bounded.go
@@ -21,10 +21,10 @@
 	closeWait = time.Second
 )
 
-// Bounded passes log lines on without ever blocking who writes them. Lines at
+// BoundedWriter passes log lines on without ever blocking who writes them. Lines at
 // warning level and above have a queue of their own, so that a flood of lines
 // about requests that went well leaves no failure unexplained.
-type Bounded struct {
+type BoundedWriter struct {
 	out io.Writer
 
 	mu      sync.Mutex
@@ -49,18 +49,18 @@
 	q.buf.Write(line)
 }
 
-// NewBounded starts passing lines on to a writer.
-func NewBounded(out io.Writer) *Bounded {
-	b := &Bounded{out: out, ready: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
+// NewBoundedWriter starts passing lines on to a writer.
+func NewBoundedWriter(out io.Writer) *BoundedWriter {
+	b := &BoundedWriter{out: out, ready: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	go b.run()
 	return b
 }
 
 // Write takes a line of unknown level.
-func (b *Bounded) Write(line []byte) (int, error) { return b.WriteLevel(zerolog.InfoLevel, line) }
+func (b *BoundedWriter) Write(line []byte) (int, error) { return b.WriteLevel(zerolog.InfoLevel, line) }
 
 // WriteLevel takes a line; zerolog calls it.
-func (b *Bounded) WriteLevel(level zerolog.Level, line []byte) (int, error) {
+func (b *BoundedWriter) WriteLevel(level zerolog.Level, line []byte) (int, error) {
 	b.mu.Lock()
 	if level >= zerolog.WarnLevel {
 		b.failure.add(line)
@@ -75,7 +75,7 @@
 	return len(line), nil
 }
 
-func (b *Bounded) run() {
+func (b *BoundedWriter) run() {
 	defer close(b.done)
 	for {
 		select {
@@ -93,7 +93,7 @@
 }
 
 // flush writes what has gathered, failures first.
-func (b *Bounded) flush() {
+func (b *BoundedWriter) flush() {
 	b.mu.Lock()
 	lines := make([]byte, 0, b.failure.buf.Len()+b.usual.buf.Len())
 	for _, q := range []*queue{&b.failure, &b.usual} {
@@ -113,7 +113,7 @@
 }
 
 // Close writes what is left and waits, but not for ever.
-func (b *Bounded) Close() error {
+func (b *BoundedWriter) Close() error {
 	b.once.Do(func() { close(b.stop) })
 	select {
 	case <-b.done:
--- a/share/logs/bounded_test.go
+++ b/share/logs/bounded_test.go
@@ -38,7 +38,7 @@
 // lines about ordinary requests came, and the number that was left out.
 func TestLogNeverBlocksAndKeepsFailures(t *testing.T) {
 	s := &stuck{free: make(chan struct{})}
-	b := NewBounded(s)
+	b := NewBoundedWriter(s)
 	log := zerolog.New(b)
 	began := time.Now()
 	for range 50000 {
@@ -63,7 +63,7 @@
 // A reader that never reads again does not keep a program from ending.
 func TestCloseDoesNotWaitForEver(t *testing.T) {
 	s := &stuck{free: make(chan struct{})}
-	b := NewBounded(s)
+	b := NewBoundedWriter(s)
 	log := zerolog.New(b)
 	log.Warn().Msg("last")
 	began := time.Now()
--- a/share/member/codec.go
+++ b/share/member/codec.go
@@ -41,7 +41,7 @@
 		g.Crashes = append(g.Crashes, &wire.CrashReport{Fingerprint: c.Fingerprint, Leaf: c.Leaf, AgeMs: uint32(max(0, c.Age))})
 	}
 	for _, n := range p.Leafs {
-		g.Leaves = append(g.Leaves, &wire.LeafReport{Leaf: n.ID, LateMs: uint32(max(0, n.Late)), Failing: uint32(n.Failing * thousand)})
+		g.Leaves = append(g.Leaves, &wire.LeafReport{Leaf: n.ID, LateMs: uint32(max(0, n.ExtraLatency)), Failing: uint32(n.FailureRatio * thousand)})
 	}
 	body, err := proto.Marshal(g)
 	return body, errors.Wrap(err, "encode packet")
@@ -97,7 +97,7 @@
 	}
 	for _, n := range g.GetLeaves() {
 		p.Leafs = append(p.Leafs, news.Leaf{
-			ID: n.GetLeaf(), Late: clock.Milli(n.GetLateMs()), Failing: min(1, float64(n.GetFailing())/thousand),
+			ID: n.GetLeaf(), ExtraLatency: clock.Milli(n.GetLateMs()), FailureRatio: min(1, float64(n.GetFailing())/thousand),
 		})
 	}
 	return p, nil
--- a/share/member/gossip.go
+++ b/share/member/gossip.go
@@ -265,6 +265,6 @@
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], e.Host.Started)
 	binary.LittleEndian.PutUint64(b[8:], e.Host.Incarnation)
-	x := rank.Of(e.Host.Gossip, string(b[:]))
+	x := rank.Hash(e.Host.Gossip, string(b[:]))
 	return uint32(x ^ x>>32)
 }
--- a/share/member/member.go
+++ b/share/member/member.go
@@ -183,7 +183,7 @@
 	l.known = map[string]*entry{}
 	l.probes = map[uint64]*probe{}
 	l.proxied = map[uint64]proxied{}
-	l.self = entry{Update: Update{Host: l.Self}, hash: rank.Of(l.Self.Gossip)}
+	l.self = entry{Update: Update{Host: l.Self}, hash: rank.Hash(l.Self.Gossip)}
 	// Seeded by the address: repeatable, and different between hosts.
 	l.rand = rand.New(rand.NewPCG(l.self.hash, l.Self.Started))
 	// The phase of the probes differs between hosts.
@@ -243,7 +243,7 @@
 // add takes a host that was not known; one that is gone is kept only so that no
 // older update brings it back.
 func (l *List) add(now clock.Milli, u Update) bool {
-	e := &entry{Update: u, hash: rank.Of(u.Host.Gossip)}
+	e := &entry{Update: u, hash: rank.Hash(u.Host.Gossip)}
 	l.known[u.Host.Gossip] = e
 	if !e.up() {
 		e.goneAt = now
--- a/share/member/member_test.go
+++ b/share/member/member_test.go
@@ -277,12 +277,12 @@
 // Guards against reports of leaves that change on their way, and against nonsense
 // in them.
 func TestLeafReportsTravel(t *testing.T) {
-	sent := []news.Leaf{{ID: "i-1", Late: 170, Failing: 0.25}, {ID: "i-2"}, {ID: "i-3", Late: -5, Failing: 3}}
+	sent := []news.Leaf{{ID: "i-1", ExtraLatency: 170, FailureRatio: 0.25}, {ID: "i-2"}, {ID: "i-3", ExtraLatency: -5, FailureRatio: 3}}
 	body, err := Encode(Packet{Sender: Update{Host: Host{Gossip: "10.0.0.1:1"}}, Leafs: sent})
 	assert.NilError(t, err)
 	p, err := Decode(body)
 	assert.NilError(t, err)
-	sent[2].Late, sent[2].Failing = 0, 1
+	sent[2].ExtraLatency, sent[2].FailureRatio = 0, 1
 	assert.DeepEqual(t, p.Leafs, sent)
 }
 
--- a/share/mirror/choose.go
+++ b/share/mirror/choose.go
@@ -96,7 +96,7 @@
 }
 
 // order is a number that all hosts have for an address.
-func order(address string) uint64 { return rank.Of(address, strconv.Itoa(len(address))) }
+func order(address string) uint64 { return rank.Hash(address, strconv.Itoa(len(address))) }
 
 // next is the best source that has not failed of late; when all have, the one
 // that was passed over longest.
--- a/share/news/news.go
+++ b/share/news/news.go
@@ -11,10 +11,10 @@
 // Leaf says how calls to a leaf fare at a host.
 type Leaf struct {
 	ID string
-	// Late is by how much replies take longer than usual.
-	Late clock.Milli
-	// Failing is the share of calls that fail.
-	Failing float64
+	// ExtraLatency is by how much replies take longer than usual.
+	ExtraLatency clock.Milli
+	// FailureRatio is the share of calls that fail.
+	FailureRatio float64
 }
 
 const (
@@ -27,18 +27,18 @@
 	pause clock.Milli = 150
 )
 
-// Told is what a host has said or heard of a leaf last.
-type Told struct {
+// LastReport is what a host has said or heard of a leaf last.
+type LastReport struct {
 	// cost is the leaf's expected cost beyond the usual, in ms.
 	cost float64
 	at   clock.Milli
 }
 
-// Worth tells whether a leaf's changed cost is news.
-func (t *Told) Worth(now clock.Milli, cost float64) bool {
+// ShouldSend tells whether a leaf's changed cost is news.
+func (t *LastReport) ShouldSend(now clock.Milli, cost float64) bool {
 	change := math.Abs(cost - t.cost)
 	return change >= max(leastChange, shareChange*t.cost) && now >= t.at+pause
 }
 
-// Set records what was said or heard.
-func (t *Told) Set(now clock.Milli, cost float64) { t.cost, t.at = cost, now }
+// Record records what was said or heard.
+func (t *LastReport) Record(now clock.Milli, cost float64) { t.cost, t.at = cost, now }
--- a/share/node/shown.go
+++ b/share/node/shown.go
@@ -10,7 +10,7 @@
 const refusedKept = 8
 
 func (n *Node) noteRefused(a spread.Refuse) {
-	n.refused = append(n.refused, show.Refused{Key: a.Key, Version: a.Stamp.Version, Why: a.Err.Error()})
+	n.refused = append(n.refused, show.Refused{Key: a.Key, Version: a.Stamp.Version, Reason: a.Err.Error()})
 	if len(n.refused) > refusedKept {
 		n.refused = n.refused[1:]
 	}
--- a/share/pace/pace.go
+++ b/share/pace/pace.go
@@ -11,8 +11,8 @@
 
 import "dandelionstile/share/clock"
 
-// Pace is one host's part of the requests that a cold leaf gets.
-type Pace struct {
+// Limiter is one host's part of the requests that a cold leaf gets.
+type Limiter struct {
 	tokens float64
 	at     clock.Milli
 	// fullAt is when the saved request was earned.
@@ -37,8 +37,8 @@
 	crowdPart = 0.7
 )
 
-// Has tells whether a request may go now, at a rate per second of all hosts.
-func (p *Pace) Has(now clock.Milli, rate float64, hosts float64) bool {
+// Allowed tells whether a request may go now, at a rate per second of all hosts.
+func (p *Limiter) Allowed(now clock.Milli, rate float64, hosts float64) bool {
 	own := rate / hosts
 	if hosts > crowdHosts {
 		own *= crowdPart
@@ -67,4 +67,4 @@
 }
 
 // Spend takes one request.
-func (p *Pace) Spend() { p.tokens-- }
+func (p *Limiter) Spend() { p.tokens-- }
--- a/share/pace/pace_test.go
+++ b/share/pace/pace_test.go
@@ -15,14 +15,14 @@
 // in any second, and the mean.
 func burstOf(leaf string, hosts int, rate float64, busy int, from clock.Milli) (most int, mean float64) {
 	const span = 20 * clock.Second
-	paces := make([]Pace, hosts)
+	paces := make([]Limiter, hosts)
 	for i := range paces {
 		paces[i].Phase = rank.Fraction(fmt.Sprintf("host-%d", i), leaf)
 	}
 	var sent []clock.Milli
 	for now := from; now < from+span; now += 10 {
 		for i := range paces {
-			if int(now/10)%10 >= busy && i%2 == 0 || !paces[i].Has(now, rate, float64(hosts)) {
+			if int(now/10)%10 >= busy && i%2 == 0 || !paces[i].Allowed(now, rate, float64(hosts)) {
 				continue
 			}
 			paces[i].Spend()
@@ -63,15 +63,15 @@
 // within one second. Requests saved up by each must not come together.
 func TestColdLeafThatNobodyAskedIsNotOverrun(t *testing.T) {
 	const hosts, rate = 85, 10.0
-	paces := make([]Pace, hosts)
+	paces := make([]Limiter, hosts)
 	for i := range paces {
 		paces[i].Phase = rank.Fraction(fmt.Sprintf("host-%d", i), "leaf")
-		paces[i].Has(0, rate, hosts)
+		paces[i].Allowed(0, rate, hosts)
 	}
 	sent := 0
 	for now := clock.Milli(60000); now < 61000; now += 10 {
 		for i := range paces {
-			if paces[i].Has(now, rate, hosts) {
+			if paces[i].Allowed(now, rate, hosts) {
 				paces[i].Spend()
 				sent++
 			}
--- a/share/place/place.go
+++ b/share/place/place.go
@@ -12,9 +12,9 @@
 	"dandelionstile/share/invent"
 )
 
-// Candidates is how many hosts may ever serve one backend server under one host
+// MaxOwners is how many hosts may ever serve one backend server under one host
 // list: the primary and its standby.
-const Candidates = 2
+const MaxOwners = 2
 
 // Owners returns the hosts for a backend server, best first, at most n. Only
 // hosts in the server's own failure domain qualify, so that a domain that has
@@ -64,17 +64,17 @@
 	return r.host.Name < o.host.Name
 }
 
-// Table remembers the owners of servers for as long as the hosts of their
+// OwnerCache remembers the owners of servers for as long as the hosts of their
 // failure domain stay the same. With thousands of servers and hosts, ranking
 // them all anew for each change of configuration would take seconds. The zero
 // value is ready.
-type Table struct {
+type OwnerCache struct {
 	hosts  map[string][]invent.Host
 	owners map[string]map[string][]invent.Host // by domain, then server
 }
 
-// Hosts takes a new host list.
-func (t *Table) Hosts(hosts []invent.Host) {
+// SetHosts takes a new host list.
+func (t *OwnerCache) SetHosts(hosts []invent.Host) {
 	byDomain := map[string][]invent.Host{}
 	for _, h := range hosts {
 		byDomain[h.Domain] = append(byDomain[h.Domain], h)
@@ -91,14 +91,14 @@
 }
 
 // Owners returns the candidates for a server.
-func (t *Table) Owners(domain, server string) []invent.Host {
+func (t *OwnerCache) Owners(domain, server string) []invent.Host {
 	known := t.owners[domain]
 	if known == nil {
 		return nil // no host in the domain
 	}
 	o, ok := known[server]
 	if !ok {
-		o = Owners(t.hosts[domain], domain, server, Candidates)
+		o = Owners(t.hosts[domain], domain, server, MaxOwners)
 		known[server] = o
 	}
 	return o
@@ -125,9 +125,9 @@
 	return x
 }
 
-// Pick returns the index of the best of the names for a key, or -1 when there
+// BestIndex returns the index of the best of the names for a key, or -1 when there
 // are none. All hosts agree on it when they agree on the names.
-func Pick(names []string, key string) int {
+func BestIndex(names []string, key string) int {
 	best := -1
 	var top uint64
 	for i, n := range names {
@@ -143,11 +143,11 @@
 type Network struct {
 	Self   string
 	Domain string
-	// Small is how many hosts all link to all.
-	Small int
-	// Near and Far are how many links a host of a larger fleet keeps within
+	// FullMeshMax is how many hosts all link to all.
+	FullMeshMax int
+	// LocalLinks and Far are how many links a host of a larger fleet keeps within
 	// its failure domain and beyond.
-	Near, Far int
+	LocalLinks, RemoteLinks int
 }
 
 // Neighbours lists the link addresses of the aggregators to keep links to. In a
@@ -155,7 +155,7 @@
 // graph: news crosses it in a few steps, and every host has about as many links.
 func Neighbours(n Network, cfg *invent.Config, hosts []invent.Host) []string {
 	picked := map[string]string{}
-	if len(hosts) <= n.Small {
+	if len(hosts) <= n.FullMeshMax {
 		for _, h := range hosts {
 			picked[h.Name] = h.Aggregator
 		}
@@ -191,15 +191,15 @@
 			picked[list[i].host.Name] = list[i].host.Aggregator
 		}
 	}
-	take(near, n.Near)
-	take(far, n.Far)
+	take(near, n.LocalLinks)
+	take(far, n.RemoteLinks)
 }
 
 // partners adds the other candidates of the servers that this host may serve:
 // the two have leases to exchange.
 func (n Network) partners(picked map[string]string, cfg *invent.Config, hosts []invent.Host) {
-	var t Table
-	t.Hosts(hosts)
+	var t OwnerCache
+	t.SetHosts(hosts)
 	for _, s := range cfg.Inventory.Servers {
 		if s.Domain != n.Domain {
 			continue
--- a/share/query/query.go
+++ b/share/query/query.go
@@ -43,8 +43,8 @@
 	return "invalid"
 }
 
-// Ran tells whether the request may have run.
-func (k Kind) Ran() bool { return k != NotRun && k != Shed }
+// MayHaveRun tells whether the request may have run.
+func (k Kind) MayHaveRun() bool { return k != NotRun && k != Shed }
 
 // Reason says why a call or request has no result. The values appear in
 // answers, logs and metrics, and are listed in docs/operate/refusals.md.
@@ -134,8 +134,8 @@
 	Holds []invent.SnapshotID
 	// Closed: the leaf takes no new work for now.
 	Closed bool
-	// Pace is how long its recent calls took, in ms; 0 when not known.
-	Pace float64
+	// CallTime is how long its recent calls took, in ms; 0 when not known.
+	CallTime float64
 }
 
 // Outcome is the final word on one call to a leaf.
--- a/share/rank/rank.go
+++ b/share/rank/rank.go
@@ -4,10 +4,10 @@
 
 import "hash/fnv"
 
-// Of hashes the parts of a name, in order (FNV-1a). The same parts give the same
+// Hash hashes the parts of a name, in order (FNV-1a). The same parts give the same
 // number on all hosts and in all versions: hosts of two versions must agree on
 // an order while they run side by side.
-func Of(parts ...string) uint64 {
+func Hash(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
 		_, _ = h.Write([]byte(p)) // a hash never fails
@@ -21,7 +21,7 @@
 // 0.6.
 func Fraction(parts ...string) float64 {
 	const bits = 53 // a float64's
-	x := Of(parts...)
+	x := Hash(parts...)
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
--- a/share/rank/rank_test.go
+++ b/share/rank/rank_test.go
@@ -9,8 +9,8 @@
 
 // Hosts of an earlier version order names by the same numbers.
 func TestOfStaysTheSame(t *testing.T) {
-	assert.Equal(t, Of("a", "b"), uint64(0x089c4407b545986a))
-	assert.Equal(t, Of("ab"), Of("a", "b"))
+	assert.Equal(t, Hash("a", "b"), uint64(0x089c4407b545986a))
+	assert.Equal(t, Hash("ab"), Hash("a", "b"))
 }
 
 func TestFractionsAreSpread(t *testing.T) {
--- a/share/route/check.go
+++ b/share/route/check.go
@@ -15,14 +15,14 @@
 
 // The fields of a route that can be faulty, and FieldWhole for the route itself.
 const (
-	FieldWhole      Field = ""
+	FieldRoute      Field = ""
 	FieldHost       Field = "host"
 	FieldPrefix     Field = "prefix"
 	FieldAttempts   Field = "attempts"
 	FieldTimeout    Field = "timeout"
 	FieldServices   Field = "services"
 	FieldShards     Field = "shards"
-	FieldLeastShare Field = "least-share"
+	FieldMinShare   Field = "least-share"
 	FieldTop        Field = "top"
 	FieldIdempotent Field = "idempotent"
 )
@@ -95,7 +95,7 @@
 	}
 	switch {
 	case r.Merged() && len(r.Services) > 0:
-		c.fault(FieldWhole, "it names both a service and shards")
+		c.fault(FieldRoute, "it names both a service and shards")
 	case r.Merged():
 		c.merged(r)
 	default:
@@ -107,8 +107,8 @@
 	if !r.Idempotent {
 		c.fault(FieldIdempotent, "a query over shards must be idempotent")
 	}
-	if r.LeastShare < 0 || r.LeastShare > 1 {
-		c.fault(FieldLeastShare, "least share %g must lie between 0 and 1", r.LeastShare)
+	if r.MinShare < 0 || r.MinShare > 1 {
+		c.fault(FieldMinShare, "least share %g must lie between 0 and 1", r.MinShare)
 	}
 	if r.Top < 0 {
 		c.fault(FieldTop, "top %d must not be negative", r.Top)
--- a/share/route/route.go
+++ b/share/route/route.go
@@ -9,8 +9,8 @@
 	"dandelionstile/share/clock"
 )
 
-// Weighted is one of the services that share a route's requests.
-type Weighted struct {
+// WeightedService is one of the services that share a route's requests.
+type WeightedService struct {
 	Service string
 	// Weight is the service's part of the requests, relative to the sum.
 	Weight float64
@@ -30,16 +30,16 @@
 	Timeout clock.Milli
 	// Target is the time within which an answer has its full worth.
 	Target clock.Milli
-	// Rank orders requests by urgency; 0 is the most urgent.
-	Rank int
+	// Priority orders requests by urgency; 0 is the most urgent.
+	Priority int
 	// Services get the requests one leaf each; empty for a query over shards.
-	Services []Weighted
+	Services []WeightedService
 	// Shards are the services that each answer a part of a query.
 	Shards []string
 	// Top is how many records, the greatest, a merged answer holds.
 	Top int
-	// LeastShare is the share of the shards without which a query failed.
-	LeastShare float64
+	// MinShare is the share of the shards without which a query failed.
+	MinShare float64
 	// Regions are where the requests may be served; empty means everywhere.
 	Regions []string
 }
@@ -60,9 +60,9 @@
 	return false
 }
 
-// Least is how many shards an answer must hold to be one.
-func (r *Route) Least() int {
-	need := r.LeastShare * float64(len(r.Shards))
+// MinShards is how many shards an answer must hold to be one.
+func (r *Route) MinShards() int {
+	need := r.MinShare * float64(len(r.Shards))
 	least := int(need)
 	// A share such as 0.9 of 20 is not exact in binary; 18.000000000000004
 	// must not ask for 19.
@@ -79,8 +79,8 @@
 	HealthPath string
 	// Connections is how many connections a leaf accepts from all hosts.
 	Connections int
-	// Warm is how long a leaf is cold after its start.
-	Warm clock.Milli
+	// WarmUp is how long a leaf is cold after its start.
+	WarmUp clock.Milli
 	// ColdRate is how many requests a second a cold leaf bears, from all hosts
 	// together; 0 sets no bound.
 	ColdRate float64
@@ -88,10 +88,10 @@
 
 // Limits bound what a caller may send.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int
-	HeaderTime  clock.Milli
-	IdleTime    clock.Milli
+	MaxHeaderBytes int
+	MaxBodyBytes   int
+	HeaderTimeout  clock.Milli
+	IdleTimeout    clock.Milli
 }
 
 // Table is one version of the operators' configuration.
--- a/share/route/route_test.go
+++ b/share/route/route_test.go
@@ -32,8 +32,8 @@
 		shards int
 		least  int
 	}{{0.9, 20, 18}, {0.89, 20, 18}, {0.95, 90, 86}, {1, 3, 3}, {0, 3, 1}, {0.34, 3, 2}} {
-		r := Route{LeastShare: c.share, Shards: make([]string, c.shards)}
-		assert.Equal(t, r.Least(), c.least, "%g of %d", c.share, c.shards)
+		r := Route{MinShare: c.share, Shards: make([]string, c.shards)}
+		assert.Equal(t, r.MinShards(), c.least, "%g of %d", c.share, c.shards)
 	}
 }
 
--- a/share/router/aggregators.go
+++ b/share/router/aggregators.go
@@ -24,7 +24,7 @@
 	if p.Capacity != o.Capacity {
 		return cmp.Compare(o.Capacity, p.Capacity)
 	}
-	a, b := rank.Of(p.Address), rank.Of(o.Address)
+	a, b := rank.Hash(p.Address), rank.Hash(o.Address)
 	if a != b {
 		return cmp.Compare(a, b)
 	}
--- a/share/router/arrive.go
+++ b/share/router/arrive.go
@@ -89,16 +89,16 @@
 		return true
 	}
 	l := &e.limiter
-	l.Came(now)
+	l.RecordArrival(now)
 	if q.late && !l.Active() {
 		return true
 	}
-	if !l.Admits(q.late) {
-		e.refuse(now, q, NoRoom, fmt.Sprintf("answers come too late: %d queries are under way, the limit is %.0f", l.Open, l.Limit()))
+	if !l.Admit(q.late) {
+		e.refuse(now, q, NoRoom, fmt.Sprintf("answers come too late: %d queries are under way, the limit is %.0f", l.InFlight, l.Limit()))
 		return false
 	}
 	q.counted = true
-	l.Open++
+	l.InFlight++
 	return true
 }
 
@@ -206,7 +206,7 @@
 	case q.forwarded:
 		need = 0
 	case q.route.Merged():
-		need = q.route.Least()
+		need = q.route.MinShards()
 	}
 	if have >= need {
 		return ""
--- a/share/router/crash.go
+++ b/share/router/crash.go
@@ -28,7 +28,7 @@
 func (e *Engine) heardOfCrashes(now clock.Milli, s Crashes) {
 	var news []crash.Report
 	for _, one := range s.List {
-		if one.Age < crash.Lasts && !e.crashes.Proven(now, one.Fingerprint) && e.crashes.Add(now-one.Age, one.Fingerprint, one.Leaf) {
+		if one.Age < crash.ReportTTL && !e.crashes.Proven(now, one.Fingerprint) && e.crashes.Add(now-one.Age, one.Fingerprint, one.Leaf) {
 			news = append(news, one)
 		}
 	}
@@ -61,7 +61,7 @@
 
 // leafDown is called when nobody listens at a leaf's address any more.
 func (e *Engine) leafDown(now clock.Milli, f *leaf) {
-	list := e.crashes.Down(now, f.ID)
+	list := e.crashes.LeafDown(now, f.ID)
 	if len(list) == 0 {
 		return
 	}
--- a/share/router/crash_test.go
+++ b/share/router/crash_test.go
@@ -44,7 +44,7 @@
 // has only been told of it; other requests are served.
 func TestRequestThatBringsLeafsDownIsRefused(t *testing.T) {
 	r := crashRig(t)
-	for range crash.Leafs {
+	for range crash.BlockThreshold {
 		r.arrive("/one/bad", 4000)
 		r.down(r.last())
 	}
@@ -60,7 +60,7 @@
 	q = other.arrive("/one/bad", 4000)
 	assert.Equal(t, other.answers[q].Refusal, Harmful)
 	assert.Equal(t, len(other.sends), 0)
-	other.pass(crash.Lasts + 1)
+	other.pass(crash.ReportTTL + 1)
 	other.arrive("/one/bad", 4000)
 	assert.Equal(t, len(other.sends), 1, "it is forgotten in the end")
 }
@@ -85,7 +85,7 @@
 // answers are lost.
 func TestLeafThatWentDownIsFoundGoneByAConnCheck(t *testing.T) {
 	r := crashRig(t)
-	for range crash.Leafs {
+	for range crash.BlockThreshold {
 		r.arrive("/one/bad", 4000)
 		s := r.last()
 		r.ends(s, call.Broken)
@@ -129,7 +129,7 @@
 func TestPopularRequestIsNotBlamedForLeafsThatDie(t *testing.T) {
 	t.Run("one after the other", func(t *testing.T) {
 		r := crashRig(t)
-		for range crash.Leafs + 1 {
+		for range crash.BlockThreshold + 1 {
 			r.arrive("/one/popular", 4000)
 			r.good(r.last())
 			r.arrive("/one/popular", 4000)
@@ -144,7 +144,7 @@
 		r.good(r.last())
 		var sends []Send
 		at := map[string]bool{}
-		for len(at) <= crash.Leafs {
+		for len(at) <= crash.BlockThreshold {
 			r.arrive("/one/popular", 4000)
 			sends = append(sends, r.last())
 			at[r.last().Leaf] = true
@@ -179,8 +179,8 @@
 	r := crashRig(t)
 	r.arrive("/one/x", 4000)
 	r.good(r.last())
-	r.pass(2*crash.ProvenFor + 1)
-	for range crash.Leafs {
+	r.pass(2*crash.ProvenTTL + 1)
+	for range crash.BlockThreshold {
 		r.arrive("/one/x", 4000)
 		r.down(r.last())
 	}
--- a/share/router/done.go
+++ b/share/router/done.go
@@ -41,7 +41,7 @@
 	f := a.leaf
 	took := float64(now - a.sent)
 	switch {
-	case d.Kind == call.Answered && d.Reply.Good():
+	case d.Kind == call.Answered && d.Reply.Successful():
 		f.observe(now, took)
 		e.regions[f.region].observe(took)
 		e.answered(now, a.shard.query)
@@ -72,7 +72,7 @@
 		e.leafDown(now, f)
 		e.callFailed(now, f, 1, d.Cause, now-a.sent)
 	default:
-		e.crashes.Broke(now, f.ID, a.shard.query.fingerprint)
+		e.crashes.RecordBroken(now, f.ID, a.shard.query.fingerprint)
 		e.checkConn(now, f)
 		e.callFailed(now, f, brokenAfter, d.Cause, now-a.sent)
 	}
@@ -82,7 +82,7 @@
 func (e *Engine) answered(now clock.Milli, q *query) {
 	if !q.well {
 		q.well = true
-		e.crashes.Answered(now, q.fingerprint)
+		e.crashes.RecordAnswer(now, q.fingerprint)
 	}
 }
 
@@ -157,7 +157,7 @@
 // part of a merged answer; as the reply to a request for one leaf it is handed
 // on when no other leaf may be asked.
 func (e *Engine) takes(now clock.Milli, q *query, r *call.Reply) bool {
-	if r.Good() {
+	if r.Successful() {
 		return true
 	}
 	if q.route.Merged() {
--- a/share/router/engine.go
+++ b/share/router/engine.go
@@ -50,7 +50,7 @@
 	shedders map[string]*shedder
 	callers  callers
 	limiter  limit.Limiter
-	crashes  crash.Memory
+	crashes  crash.Tracker
 	rounds   map[string]*roundRobin
 	queries  map[uint64]*query
 	calls    map[uint64]*attempt
@@ -197,7 +197,7 @@
 
 // fill gives a service's budget this host's part.
 func (e *Engine) fill(s *service) {
-	s.budget.Fill(e.Policy.Ratio, e.Policy.Reserve/e.budgetSharers(s))
+	s.budget.Configure(e.Policy.Ratio, e.Policy.Reserve/e.budgetSharers(s))
 }
 
 // allot gives a leaf this host's part of what all hosts share.
@@ -327,7 +327,7 @@
 			e.remove(f)
 			e.do(Note{Kind: NoteLeafGone, Leaf: f.ID, Service: f.Service, Cause: "another has its name"})
 		}
-		f = &leaf{pace: pace.Pace{Phase: rank.Fraction(e.Self.Host, l.ID)}}
+		f = &leaf{pace: pace.Limiter{Phase: rank.Fraction(e.Self.Host, l.ID)}}
 		e.leafs[l.ID] = f
 		s := e.service(l.Service)
 		s.leafs = append(s.leafs, f)
--- a/share/router/finish.go
+++ b/share/router/finish.go
@@ -46,9 +46,9 @@
 	l := &e.limiter
 	was := l.Active()
 	if inTime {
-		l.Met()
+		l.RecordOnTime()
 	} else {
-		l.Missed(now)
+		l.RecordLate(now)
 	}
 	if l.Active() == was {
 		return
@@ -58,8 +58,8 @@
 		kind = NoteLimitSet
 	}
 	e.do(Note{
-		Kind: kind, Cause: fmt.Sprintf("%.0f of 100 answers came too late of late", 100*l.Late()),
-		Got: l.Open, Of: int(l.Limit()),
+		Kind: kind, Cause: fmt.Sprintf("%.0f of 100 answers came too late of late", 100*l.LateRatio()),
+		Got: l.InFlight, Of: int(l.Limit()),
 	})
 }
 
@@ -111,7 +111,7 @@
 	if q.forwarded {
 		return true
 	}
-	return q.in >= q.route.Least()
+	return q.in >= q.route.MinShards()
 }
 
 // settle ends a query for which nothing is left to wait for.
@@ -127,7 +127,7 @@
 		// While queries are turned away, a late one is not worth the work on its
 		// last shards.
 		e.answer(now, q)
-	case !q.route.Merged() && q.lost == 1, q.route.Merged() && !q.forwarded && q.in+open < q.route.Least():
+	case !q.route.Merged() && q.lost == 1, q.route.Merged() && !q.forwarded && q.in+open < q.route.MinShards():
 		e.refuse(now, q, e.failure(q), "too few shards can still answer")
 	}
 }
@@ -241,7 +241,7 @@
 	case NoRoom:
 		return againRoom + spread
 	case Harmful:
-		return crash.Lasts
+		return crash.ReportTTL
 	}
 	return spread
 }
@@ -251,7 +251,7 @@
 	q.over = true
 	delete(e.queries, q.id)
 	if q.counted {
-		e.limiter.Open--
+		e.limiter.InFlight--
 	}
 	for _, s := range q.shards {
 		e.release(now, s)
--- a/share/router/forward.go
+++ b/share/router/forward.go
@@ -73,7 +73,7 @@
 		s.away = nil
 	}
 	switch {
-	case d.Kind == call.Answered && d.Reply.Good():
+	case d.Kind == call.Answered && d.Reply.Successful():
 		e.merge(now, r, d.Reply)
 	case d.Refusal == NoRoom:
 		// Its leaves are known there better than here.
@@ -124,7 +124,7 @@
 		q.newest = s
 	}
 	open := len(q.shards) - q.in - q.lost - len(lacking)
-	need := q.route.Least() - q.in - open
+	need := q.route.MinShards() - q.in - open
 	for _, s := range lacking {
 		s.cause = "the other host had no reply in time"
 		if need > 0 && e.askAgain(now, s) {
--- a/share/router/forward_test.go
+++ b/share/router/forward_test.go
@@ -136,7 +136,7 @@
 	r := newRig(t)
 	bound := merged(2)
 	bound.Regions = []string{"near"}
-	bound.LeastShare = 0.5
+	bound.MinShare = 0.5
 	r.handle(Facts{Table: table(1, bound), Leafs: []roster.Leaf{
 		leafOf("s0", "a", here), leafOf("s1", "b", there),
 	}})
--- a/share/router/leaf.go
+++ b/share/router/leaf.go
@@ -45,11 +45,11 @@
 	relapses    int
 	recoveredAt clock.Milli
 	coldUntil   clock.Milli
-	pace        pace.Pace
+	pace        pace.Limiter
 	removed     bool
 	// hosts is how many hosts share the leaf, if all were as this one.
 	hosts float64
-	told  news.Told
+	told  news.LastReport
 	// calledAt is when a call from here ended last.
 	calledAt clock.Milli
 }
--- a/share/router/limit_test.go
+++ b/share/router/limit_test.go
@@ -11,9 +11,9 @@
 
 // limited is a limiter after a second in which all of so many queries were late.
 func limited(under int) limit.Limiter {
-	l := limit.Limiter{Open: under}
+	l := limit.Limiter{InFlight: under}
 	for i := range 50 {
-		l.Missed(clock.Milli(i * 20))
+		l.RecordLate(clock.Milli(i * 20))
 	}
 	return l
 }
@@ -33,7 +33,7 @@
 		assert.Assert(t, r.answers[q].Again >= againRoom)
 	}
 	assert.Equal(t, len(r.sends), 0)
-	r.engine.limiter.Open = 0
+	r.engine.limiter.InFlight = 0
 	r.arrive("/all/x", 1200-againRoom)
 	assert.Equal(t, len(r.sends), 4)
 }
--- a/share/router/news.go
+++ b/share/router/news.go
@@ -35,7 +35,7 @@
 )
 
 // extraCost is a leaf's expected cost beyond the usual, in ms.
-func extraCost(n news.Leaf) float64 { return float64(n.Late) + n.Failing*failureCost }
+func extraCost(n news.Leaf) float64 { return float64(n.ExtraLatency) + n.FailureRatio*failureCost }
 
 // tell passes on what a call has shown of a leaf, if it is news.
 func (e *Engine) tell(now clock.Milli, f *leaf) {
@@ -44,12 +44,12 @@
 	}
 	usual := e.usual(f)
 	late := max(0, f.expected(now, usual)-usual)
-	n := news.Leaf{ID: f.ID, Late: clock.Milli(late), Failing: f.failing(now)}
+	n := news.Leaf{ID: f.ID, ExtraLatency: clock.Milli(late), FailureRatio: f.failing(now)}
 	cost := extraCost(n)
-	if !f.told.Worth(now, cost) {
+	if !f.told.ShouldSend(now, cost) {
 		return
 	}
-	f.told.Set(now, cost)
+	f.told.Record(now, cost)
 	e.do(TellOfLeafs{List: []news.Leaf{n}})
 }
 
@@ -61,16 +61,16 @@
 		if f == nil {
 			continue
 		}
-		f.told.Set(now, extraCost(n))
+		f.told.Record(now, extraCost(n))
 		if f.calledAt != 0 && now < f.calledAt+ownFresh {
 			continue
 		}
-		f.lat, f.at = e.usual(f)+float64(n.Late), now
+		f.lat, f.at = e.usual(f)+float64(n.ExtraLatency), now
 		f.dev = max(f.dev, f.lat/4)
-		f.fails, f.judged = n.Failing, now
+		f.fails, f.judged = n.FailureRatio, now
 		e.do(Note{
-			Kind: NoteLeafHeard, Leaf: f.ID, Service: f.Service, Took: n.Late,
-			Cause: fmt.Sprintf("%.0f of 100 calls fail", 100*n.Failing),
+			Kind: NoteLeafHeard, Leaf: f.ID, Service: f.Service, Took: n.ExtraLatency,
+			Cause: fmt.Sprintf("%.0f of 100 calls fail", 100*n.FailureRatio),
 		})
 	}
 }
--- a/share/router/news_test.go
+++ b/share/router/news_test.go
@@ -26,7 +26,7 @@
 // the leaf is well.
 func TestSlowLeafIsAvoidedOnAnotherHostsWord(t *testing.T) {
 	r := newsRig(t)
-	r.handle(HeardOfLeafs{List: []news.Leaf{{ID: "s0-near", Late: 300}}})
+	r.handle(HeardOfLeafs{List: []news.Leaf{{ID: "s0-near", ExtraLatency: 300}}})
 	assert.Assert(t, r.noted(NoteLeafHeard))
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, "s0-far")
@@ -39,7 +39,7 @@
 // Another host's calls to a leaf fail; the same as for slow ones holds.
 func TestFailingLeafIsAvoidedOnAnotherHostsWord(t *testing.T) {
 	r := newsRig(t)
-	r.handle(HeardOfLeafs{List: []news.Leaf{{ID: "s0-near", Failing: 0.6}}})
+	r.handle(HeardOfLeafs{List: []news.Leaf{{ID: "s0-near", FailureRatio: 0.6}}})
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, "s0-far")
 }
@@ -51,7 +51,7 @@
 	r.arrive("/all/x", 1500)
 	r.pass(10)
 	r.good(r.last())
-	r.handle(HeardOfLeafs{List: []news.Leaf{{ID: "s0-near", Late: 300}}})
+	r.handle(HeardOfLeafs{List: []news.Leaf{{ID: "s0-near", ExtraLatency: 300}}})
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, "s0-near")
 }
@@ -76,7 +76,7 @@
 	told := r.call(150)
 	assert.Equal(t, len(told), 1)
 	assert.Equal(t, told[0].ID, "s0-near")
-	assert.Assert(t, told[0].Late >= 15, "%d", told[0].Late)
+	assert.Assert(t, told[0].ExtraLatency >= 15, "%d", told[0].ExtraLatency)
 	again := 0
 	for range 20 {
 		again += len(r.call(150))
@@ -87,7 +87,7 @@
 	for range 40 {
 		again += len(r.call(10))
 	}
-	assert.Assert(t, again >= 1 && r.leafNews[len(r.leafNews)-1].Late < 15, "%v", r.leafNews)
+	assert.Assert(t, again >= 1 && r.leafNews[len(r.leafNews)-1].ExtraLatency < 15, "%v", r.leafNews)
 }
 
 // A host is frozen for two seconds while it waits for a leaf. The reply seems to
--- a/share/router/overload.go
+++ b/share/router/overload.go
@@ -131,7 +131,7 @@
 			slow++
 		}
 	}
-	switch may := len(q.route.Shards) - q.route.Least(); {
+	switch may := len(q.route.Shards) - q.route.MinShards(); {
 	case late > may:
 		return unservable
 	case late+slow > may:
--- a/share/router/overload_test.go
+++ b/share/router/overload_test.go
@@ -19,7 +19,7 @@
 	const begin, end clock.Milli = 5000, 9000
 	for seed := int64(1); seed <= seeds; seed++ {
 		b, p := browse(36), peek(12)
-		b.route.LeastShare, p.route.LeastShare = 0.95, 0.85
+		b.route.MinShare, p.route.MinShare = 0.95, 0.85
 		b.route.Target, p.route.Target = 400, 150
 		b.work, p.work = 20, 6.7
 		w := newFleet(t, seed, hosts, 0, shards, 0, b, p)
@@ -62,7 +62,7 @@
 func (w *world) weaken(times float64) {
 	const every = 6
 	for _, l := range w.list {
-		n := int(rank.Of(l.Service) % every)
+		n := int(rank.Hash(l.Service) % every)
 		f := w.leafs[l.ID]
 		switch {
 		case n == 0:
--- a/share/router/peer.go
+++ b/share/router/peer.go
@@ -51,7 +51,7 @@
 		if one == nil || one.Started != p.Started {
 			// Each host has an order of its own, so that all together use all
 			// others alike.
-			one = &peer{rank: rank.Of(e.Self.Host, " ", p.Address)}
+			one = &peer{rank: rank.Hash(e.Self.Host, " ", p.Address)}
 		}
 		one.Peer = p
 		one.region = e.Regions[p.Domain]
--- a/share/router/place.go
+++ b/share/router/place.go
@@ -122,7 +122,7 @@
 	if q.late != other.late {
 		return other.late
 	}
-	return q.route.Rank < other.route.Rank
+	return q.route.Priority < other.route.Priority
 }
 
 // wake places shards that wait for room.
@@ -168,7 +168,7 @@
 }
 
 // needs tells whether a query makes no answer without its open shards.
-func (q *query) needs() bool { return !q.route.Merged() || !q.forwarded && q.in < q.route.Least() }
+func (q *query) needs() bool { return !q.route.Merged() || !q.forwarded && q.in < q.route.MinShards() }
 
 // abandon gives up on a shard.
 func (e *Engine) abandon(s *shard, cause string) {
--- a/share/router/replay_test.go
+++ b/share/router/replay_test.go
@@ -136,7 +136,7 @@
 			failed, n := 0, 0
 			for seed := int64(1); seed <= seeds; seed++ {
 				b, p := browse(78*c.rate), peek(26*c.rate)
-				b.route.LeastShare, p.route.LeastShare = c.browse, c.peek
+				b.route.MinShare, p.route.MinShare = c.browse, c.peek
 				w := newWorld(t, seed, 0, b, p)
 				for _, l := range w.leafs {
 					l.Slots = c.slots
--- a/share/router/replica.go
+++ b/share/router/replica.go
@@ -95,7 +95,7 @@
 	if rate <= 0 || !f.cold(now) {
 		return true
 	}
-	return f.pace.Has(now, rate, f.hosts)
+	return f.pace.Allowed(now, rate, f.hosts)
 }
 
 // cost is the time in ms in which a leaf is expected to answer one more call,
--- a/share/router/router_test.go
+++ b/share/router/router_test.go
@@ -123,7 +123,7 @@
 func single(idempotent bool) route.Route {
 	return route.Route{
 		Name: "one", Host: "h", Prefix: "/one/", Idempotent: idempotent, Attempts: 2, Timeout: 4000, Target: 800,
-		Services: []route.Weighted{{Service: "s", Weight: 1}},
+		Services: []route.WeightedService{{Service: "s", Weight: 1}},
 	}
 }
 
@@ -131,7 +131,7 @@
 func merged(n int) route.Route {
 	r := route.Route{
 		Name: "all", Host: "h", Prefix: "/all/", Idempotent: true, Attempts: 2, Timeout: 1500, Target: 250,
-		Top: 5, LeastShare: 0.75,
+		Top: 5, MinShare: 0.75,
 	}
 	for i := range n {
 		r.Shards = append(r.Shards, fmt.Sprintf("s%d", i))
--- a/share/router/single_test.go
+++ b/share/router/single_test.go
@@ -109,7 +109,7 @@
 // stay exact.
 func TestWeightsAreKept(t *testing.T) {
 	weighted := single(true)
-	weighted.Services = []route.Weighted{{Service: "s", Weight: 3}, {Service: "t", Weight: 1}}
+	weighted.Services = []route.WeightedService{{Service: "s", Weight: 3}, {Service: "t", Weight: 1}}
 	r := newRig(t)
 	r.handle(Facts{Table: table(1, weighted), Leafs: []roster.Leaf{leafOf("s", "a", here), leafOf("t", "b", here)}})
 	got := map[string]int{}
--- a/share/router/world_test.go
+++ b/share/router/world_test.go
@@ -581,14 +581,14 @@
 // browse and peek are the two kinds of queries that people wait for.
 func browse(perSecond float64) simKind {
 	return simKind{
-		route:     route.Route{Name: "browse", Host: "h", Prefix: "/browse/", Idempotent: true, Attempts: 2, Timeout: 2000, Target: 200, Top: 20, LeastShare: 0.89, Rank: 1},
+		route:     route.Route{Name: "browse", Host: "h", Prefix: "/browse/", Idempotent: true, Attempts: 2, Timeout: 2000, Target: 200, Top: 20, MinShare: 0.89, Priority: 1},
 		perSecond: perSecond, deadline: 2000, work: 28, retries: 1,
 	}
 }
 
 func peek(perSecond float64) simKind {
 	return simKind{
-		route:     route.Route{Name: "peek", Host: "h", Prefix: "/peek/", Idempotent: true, Attempts: 2, Timeout: 1200, Target: 120, Top: 5, LeastShare: 0.75, Rank: 2},
+		route:     route.Route{Name: "peek", Host: "h", Prefix: "/peek/", Idempotent: true, Attempts: 2, Timeout: 1200, Target: 120, Top: 5, MinShare: 0.75, Priority: 2},
 		perSecond: perSecond, deadline: 1200, work: 9.2, retries: 1,
 	}
 }
--- a/share/show/show.go
+++ b/share/show/show.go
@@ -9,11 +9,11 @@
 	"dandelionstile/share/query"
 )
 
-// Program is the body of /v1/status. An aggregator fills Leafs, an entry
+// Status is the body of /v1/status. An aggregator fills Leafs, an entry
 // Services.
-type Program struct {
+type Status struct {
 	Node     Node      `json:"node"`
-	Leafs    []Leaf    `json:"leafs,omitempty"`
+	Leaves   []Leaf    `json:"leafs,omitempty"`
 	Services []Service `json:"services,omitempty"`
 	Strikes  []Strike  `json:"quarantine,omitempty"`
 }
@@ -46,7 +46,7 @@
 type Refused struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
-	Why     string `json:"why"`
+	Reason  string `json:"why"`
 }
 
 // Peer is a link.
--- a/share/tier/callers.go
+++ b/share/tier/callers.go
@@ -64,13 +64,13 @@
 }
 
 // serve takes one caller's request and writes its answer.
-func (t *Tier) serve(w http.ResponseWriter, r *http.Request) {
+func (t *Server) serve(w http.ResponseWriter, r *http.Request) {
 	t.take(w, r, router.Arrive{Wait: t.wait(r), Remote: r.RemoteAddr})
 }
 
 // serveForwarded takes a request that another host has from a caller, or one for
 // what this host knows.
-func (t *Tier) serveForwarded(w http.ResponseWriter, r *http.Request) {
+func (t *Server) serveForwarded(w http.ResponseWriter, r *http.Request) {
 	if t.Mirror != nil && mirror.Asks(r) {
 		t.Mirror.Serve(t.Clock, t.stop, w, r)
 		return
@@ -98,7 +98,7 @@
 }
 
 // take has a request decided on and writes its answer.
-func (t *Tier) take(w http.ResponseWriter, r *http.Request, a router.Arrive) {
+func (t *Server) take(w http.ResponseWriter, r *http.Request, a router.Arrive) {
 	began := t.Clock.Now()
 	t.busy.Add(1)
 	defer t.busy.Add(-1)
@@ -141,7 +141,7 @@
 
 // relayHeaders tell the other host how long the work took, and of a refusal
 // that the request has not run.
-func (t *Tier) relayHeaders(w http.ResponseWriter, a router.Answer, worked clock.Milli) {
+func (t *Server) relayHeaders(w http.ResponseWriter, a router.Answer, worked clock.Milli) {
 	w.Header()[hop.HeaderForwardWorked] = []string{strconv.FormatInt(int64(worked), 10)}
 	if a.Merged != nil && len(a.Merged.Missing) > 0 {
 		w.Header()[hop.HeaderForwardMissing] = []string{strings.Join(a.Merged.Missing, ",")}
@@ -153,7 +153,7 @@
 	}
 }
 
-func (t *Tier) wait(r *http.Request) clock.Milli {
+func (t *Server) wait(r *http.Request) clock.Milli {
 	ms, err := strconv.ParseInt(r.Header.Get(t.Settings.Dialect.Deadline), 10, 64)
 	if err != nil || ms < 0 {
 		return 0 // not told, or in no form that can be read
@@ -162,7 +162,7 @@
 }
 
 // request takes over what leafs are sent of a caller's request.
-func (t *Tier) request(r *http.Request, body []byte) *call.Request {
+func (t *Server) request(r *http.Request, body []byte) *call.Request {
 	target := r.RequestURI
 	// nbhttp fills in the host; some callers send the absolute form.
 	if rest, ok := strings.CutPrefix(target, "http://"); ok {
@@ -202,7 +202,7 @@
 }
 
 // write sends an answer.
-func (t *Tier) write(w http.ResponseWriter, r *http.Request, a router.Answer) {
+func (t *Server) write(w http.ResponseWriter, r *http.Request, a router.Answer) {
 	switch {
 	case a.Reply != nil:
 		t.forward(w, a.Reply)
@@ -213,7 +213,7 @@
 	}
 }
 
-func (t *Tier) head(w http.ResponseWriter, status, length int) {
+func (t *Server) head(w http.ResponseWriter, status, length int) {
 	w.Header().Set("Content-Length", strconv.Itoa(length))
 	if t.leaving.Load() {
 		w.Header().Set("Connection", "close")
@@ -222,7 +222,7 @@
 }
 
 // forward hands a leaf's reply on as it is.
-func (t *Tier) forward(w http.ResponseWriter, reply *call.Reply) {
+func (t *Server) forward(w http.ResponseWriter, reply *call.Reply) {
 	if http.StatusText(reply.Status) == "" {
 		// nbhttp cannot write a status without a name and would make it 200.
 		t.text(w, http.StatusBadGateway, "the leaf answered with an unknown status")
@@ -237,7 +237,7 @@
 	_, _ = w.Write(reply.Body) // a caller that is gone is no fault of ours
 }
 
-func (t *Tier) merged(w http.ResponseWriter, r *http.Request, m *router.Merged) {
+func (t *Server) merged(w http.ResponseWriter, r *http.Request, m *router.Merged) {
 	d := &t.Settings.Dialect
 	stamps := make([]string, len(m.Parts))
 	lists := make([][]byte, len(m.Parts))
@@ -257,7 +257,7 @@
 
 // refused tells the caller why there is no answer. 503 says that the request
 // has not run; the others leave it open.
-func (t *Tier) refused(w http.ResponseWriter, a router.Answer) {
+func (t *Server) refused(w http.ResponseWriter, a router.Answer) {
 	if a.Again > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(float64(a.Again)/float64(clock.Second), 'f', 3, 64))
 	}
@@ -273,7 +273,7 @@
 	}
 }
 
-func (t *Tier) text(w http.ResponseWriter, status int, body string) {
+func (t *Server) text(w http.ResponseWriter, status int, body string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	t.head(w, status, len(body)+1)
 	_, _ = io.WriteString(w, body+"\n") // a caller that is gone is no fault of ours
--- a/share/tier/notes.go
+++ b/share/tier/notes.go
@@ -13,7 +13,7 @@
 const mostNamed = 8
 
 // note writes a decision to the log and counts it.
-func (t *Tier) note(n router.Note) {
+func (t *Server) note(n router.Note) {
 	level := zerolog.InfoLevel
 	if n.Kind.Failure() {
 		level = zerolog.WarnLevel
@@ -78,7 +78,7 @@
 
 // count keeps the counters. Their labels come from fixed lists and from the
 // operators' routes, never from callers.
-func (t *Tier) count(n router.Note) {
+func (t *Server) count(n router.Note) {
 	t.Meter.Count("decisions", 1, meter.Label{Name: "kind", Value: n.Kind.String()})
 	switch n.Kind {
 	case router.NoteAnswered, router.NotePartial:
@@ -91,14 +91,14 @@
 }
 
 // ended counts calls to leafs by where the leaf stands and how they ended.
-func (t *Tier) ended(c router.Ended) {
+func (t *Server) ended(c router.Ended) {
 	domain := meter.Label{Name: "domain", Value: c.Domain}
 	t.Meter.Count("leaf_calls", 1, domain, meter.Label{Name: "end", Value: c.Kind.String()})
 	t.Meter.Latency("leaf_call_time", c.Took.Duration(), domain)
 }
 
 // refusedUnread tells of a request outside the operators' limits.
-func (t *Tier) refusedUnread(remote string, status int) {
+func (t *Server) refusedUnread(remote string, status int) {
 	t.Log.Warn().Str("remote", remote).Int("status", status).Msg("request-outside-limits")
 	t.Meter.Count("outside_limits", 1, meter.Label{Name: "status", Value: strconv.Itoa(status)})
 }
--- a/share/tier/peers.go
+++ b/share/tier/peers.go
@@ -18,7 +18,7 @@
 type peers struct {
 	tell func([]router.Peer)
 
-	tier *Tier
+	tier *Server
 	conn *net.UDPConn
 	done sync.WaitGroup
 	stop chan struct{}
@@ -43,18 +43,18 @@
 // datagram is the largest datagram taken, in bytes.
 const datagram = 8 << 10
 
-func (p *peers) start(t *Tier) error {
-	address, err := netip.ParseAddrPort(t.Settings.Gossip)
+func (p *peers) start(t *Server) error {
+	address, err := netip.ParseAddrPort(t.Settings.GossipAddress)
 	if err != nil {
 		return errors.Wrap(err, "gossip address")
 	}
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
-		return errors.Wrapf(err, "listen on %s", t.Settings.Gossip)
+		return errors.Wrapf(err, "listen on %s", t.Settings.GossipAddress)
 	}
 	p.tier, p.conn, p.stop, p.wake = t, conn, make(chan struct{}), make(chan struct{}, 1)
 	p.list = member.List{Seeds: t.Settings.Seeds, Self: member.Host{
-		Gossip: t.Settings.Gossip, Relay: t.Settings.Relay, Domain: t.Settings.Self.Domain,
+		Gossip: t.Settings.GossipAddress, Relay: t.Settings.ForwardAddress, Domain: t.Settings.Self.Domain,
 		Capacity: t.Settings.Self.Capacity, Started: uint64(clock.Unix()),
 	}}
 	p.done.Go(p.hear)
--- a/share/tier/peers_test.go
+++ b/share/tier/peers_test.go
@@ -56,11 +56,11 @@
 	domains := []string{"d", "d", "e"}
 	leaf := roster.Leaf{ID: "i-1", Service: "s", Address: "127.0.0.1:9", Domain: "d", Slots: 1}
 	logs := make([]lines, len(gossip))
-	tiers := make([]*Tier, len(gossip))
+	tiers := make([]*Server, len(gossip))
 	for i := range tiers {
-		tiers[i] = &Tier{
+		tiers[i] = &Server{
 			Settings: Settings{
-				Callers: "127.0.0.1:0", Relay: strings.Split(gossip[i], ":")[0] + ":0", Gossip: gossip[i], Seeds: gossip, Dialect: hop.Own,
+				CallerAddress: "127.0.0.1:0", ForwardAddress: strings.Split(gossip[i], ":")[0] + ":0", GossipAddress: gossip[i], Seeds: gossip, Dialect: hop.Own,
 				Self: router.Place{Domain: domains[i], Region: "r"}, Regions: map[string]string{"d": "r", "e": "r"},
 			},
 			Log: zerolog.New(&logs[i]), Clock: clock.Wall{},
@@ -80,7 +80,7 @@
 	for i := range tiers {
 		poll.WaitOn(t, reached(i, `"got":2`), poll.WithTimeout(10*time.Second))
 	}
-	tiers[0].peers.tellLeafs([]news.Leaf{{ID: "i-1", Late: 170}})
+	tiers[0].peers.tellLeafs([]news.Leaf{{ID: "i-1", ExtraLatency: 170}})
 	poll.WaitOn(t, reached(1, "leaf-heard"), poll.WithTimeout(5*time.Second))
 	assert.Equal(t, logs[2].with("leaf-heard"), 0)
 }
--- a/share/tier/tier.go
+++ b/share/tier/tier.go
@@ -22,35 +22,35 @@
 
 // Settings of a tier.
 type Settings struct {
-	// Callers is the address that callers connect to.
-	Callers string
-	// Gossip and Relay are where other hosts reach this one, by UDP and TCP;
+	// CallerAddress is the address that callers connect to.
+	CallerAddress string
+	// GossipAddress and Relay are where other hosts reach this one, by UDP and TCP;
 	// empty for a host that works alone.
-	Gossip, Relay string
+	GossipAddress, ForwardAddress string
 	// Seeds are gossip addresses of hosts to start from.
 	Seeds []string
-	// Source is the IP that connections to leafs are opened from.
-	Source string
-	Self   router.Place
+	// SourceIP is the IP that connections to leafs are opened from.
+	SourceIP string
+	Self     router.Place
 	// Regions maps failure domains to regions.
 	Regions map[string]string
 	Policy  router.Policy
 	Dialect hop.Dialect
 }
 
-// Tier is a running host. The exported fields are set before Start.
-type Tier struct {
+// Server is a running host. The exported fields are set before Start.
+type Server struct {
 	Settings Settings
 	Log      zerolog.Logger
 	Meter    *meter.Meter
 	Clock    clock.Clock
 	// Mirror is what other hosts may read here; nil for nothing.
 	Mirror *mirror.Mirror
-	// Around wraps the handling of requests, from callers and from other hosts;
+	// Middleware wraps the handling of requests, from callers and from other hosts;
 	// it may be nil.
-	Around func(http.Handler) http.Handler
-	// Peers is told of the other hosts that are there; it may be nil.
-	Peers func([]router.Peer)
+	Middleware func(http.Handler) http.Handler
+	// OnPeers is told of the other hosts that are there; it may be nil.
+	OnPeers func([]router.Peer)
 
 	engine   router.Engine
 	pool     hop.Pool
@@ -73,26 +73,26 @@
 const queueLength = 4096
 
 // Start serves.
-func (t *Tier) Start() error {
+func (t *Server) Start() error {
 	t.engine.Self = t.Settings.Self
 	t.engine.Regions = t.Settings.Regions
 	t.engine.Policy = t.Settings.Policy
 	t.events = make(chan router.Event, queueLength)
 	t.stop = make(chan struct{})
 	t.stopped = make(chan struct{})
-	t.pool = hop.Pool{Dialect: t.Settings.Dialect, Source: t.Settings.Source, Clock: t.Clock, Report: t.report, Probed: t.probed, Absent: t.absent}
+	t.pool = hop.Pool{Dialect: t.Settings.Dialect, Source: t.Settings.SourceIP, Clock: t.Clock, Report: t.report, Probed: t.probed, Absent: t.absent}
 	t.server = httpd.Server{
-		Address: t.Settings.Callers, Handler: t.around(t.serve),
+		Address: t.Settings.CallerAddress, Handler: t.around(t.serve),
 		Refused: t.refusedUnread,
 	}
 	go t.loop()
 	if err := t.server.Start(); err != nil {
 		return err
 	}
-	if t.Settings.Gossip == "" {
+	if t.Settings.GossipAddress == "" {
 		return nil
 	}
-	t.forwards = httpd.Server{Address: t.Settings.Relay, Handler: t.around(t.serveForwarded)}
+	t.forwards = httpd.Server{Address: t.Settings.ForwardAddress, Handler: t.around(t.serveForwarded)}
 	if err := t.forwards.Start(); err != nil {
 		return errors.CombineErrors(err, t.server.Close())
 	}
@@ -100,48 +100,48 @@
 	return t.peers.start(t)
 }
 
-func (t *Tier) around(h http.HandlerFunc) http.Handler {
-	if t.Around == nil {
+func (t *Server) around(h http.HandlerFunc) http.Handler {
+	if t.Middleware == nil {
 		return h
 	}
-	return t.Around(h)
+	return t.Middleware(h)
 }
 
 // Addr is the address that callers connect to.
-func (t *Tier) Addr() string { return t.server.Addr() }
+func (t *Server) Addr() string { return t.server.Addr() }
 
 // Ready tells whether new callers should come here.
-func (t *Tier) Ready() bool { return t.ready.Load() && !t.leaving.Load() }
+func (t *Server) Ready() bool { return t.ready.Load() && !t.leaving.Load() }
 
 // SetFacts puts new facts in force.
-func (t *Tier) SetFacts(f router.Facts) {
+func (t *Server) SetFacts(f router.Facts) {
 	if f.Table != nil {
 		l := f.Table.Limits
 		t.server.SetLimits(httpd.Limits{
-			HeaderBytes: l.HeaderBytes, BodyBytes: l.BodyBytes,
-			Silence: l.HeaderTime.Duration(), Idle: l.IdleTime.Duration(),
+			HeaderBytes: l.MaxHeaderBytes, BodyBytes: l.MaxBodyBytes,
+			Silence: l.HeaderTimeout.Duration(), Idle: l.IdleTimeout.Duration(),
 		})
 	}
 	t.post(f)
 }
 
-func (t *Tier) tellPeers(list []router.Peer) {
+func (t *Server) tellPeers(list []router.Peer) {
 	t.post(router.Peers{List: list})
-	if t.Peers != nil {
-		t.Peers(list)
+	if t.OnPeers != nil {
+		t.OnPeers(list)
 	}
 }
 
 // SetSeeds replaces the hosts to start from.
-func (t *Tier) SetSeeds(list []string) { t.peers.seeds(list) }
+func (t *Server) SetSeeds(list []string) { t.peers.seeds(list) }
 
-func (t *Tier) report(d router.Done) { t.post(d) }
+func (t *Server) report(d router.Done) { t.post(d) }
 
-func (t *Tier) probed(p router.Probed) { t.post(p) }
+func (t *Server) probed(p router.Probed) { t.post(p) }
 
-func (t *Tier) absent(a router.Absent) { t.post(a) }
+func (t *Server) absent(a router.Absent) { t.post(a) }
 
-func (t *Tier) post(e router.Event) {
+func (t *Server) post(e router.Event) {
 	select {
 	case t.events <- e:
 	case <-t.stop:
@@ -149,7 +149,7 @@
 }
 
 // loop is the one place where decisions are made.
-func (t *Tier) loop() {
+func (t *Server) loop() {
 	defer close(t.stopped)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -168,7 +168,7 @@
 }
 
 // drain handles what has queued up before the timer is set again.
-func (t *Tier) drain() {
+func (t *Server) drain() {
 	for {
 		select {
 		case e := <-t.events:
@@ -179,7 +179,7 @@
 	}
 }
 
-func (t *Tier) setTimer(timer *time.Timer) {
+func (t *Server) setTimer(timer *time.Timer) {
 	next := t.engine.Next()
 	if next == 0 {
 		timer.Reset(time.Hour)
@@ -188,7 +188,7 @@
 	timer.Reset(max(0, (next - t.Clock.Now()).Duration()))
 }
 
-func (t *Tier) handle(e router.Event) {
+func (t *Server) handle(e router.Event) {
 	for _, a := range t.engine.Handle(t.Clock.Now(), e) {
 		switch a := a.(type) {
 		case router.Send:
@@ -232,7 +232,7 @@
 // Leave ends the work in order: no new callers, answers that say the
 // connection closes, idle connections closed once the balancer sends nobody
 // any more, and the end when nothing is under way.
-func (t *Tier) Leave() {
+func (t *Server) Leave() {
 	t.leaving.Store(true)
 	t.peers.leave()
 	t.Log.Info().Int64("under-way", t.busy.Load()).Msg("leaving")
@@ -249,7 +249,7 @@
 
 // Close ends everything and waits. Requests still under way get their last
 // answer.
-func (t *Tier) Close() error {
+func (t *Server) Close() error {
 	t.once.Do(func() { close(t.stop) })
 	<-t.stopped
 	t.callers.abandon()
--- a/share/tier/tier_test.go
+++ b/share/tier/tier_test.go
@@ -28,15 +28,15 @@
 // rig is a tier with leafs on loopback.
 type rig struct {
 	t     *testing.T
-	tier  *Tier
+	tier  *Server
 	leafs []roster.Leaf
 	once  sync.Once
 }
 
 func newRig(t *testing.T) *rig {
 	t.Helper()
-	r := &rig{t: t, tier: &Tier{
-		Settings: Settings{Callers: "127.0.0.1:0", Dialect: hop.Own, Self: router.Place{Domain: "d", Region: "r"}, Regions: map[string]string{"d": "r"}},
+	r := &rig{t: t, tier: &Server{
+		Settings: Settings{CallerAddress: "127.0.0.1:0", Dialect: hop.Own, Self: router.Place{Domain: "d", Region: "r"}, Regions: map[string]string{"d": "r"}},
 		Log:      zerolog.Nop(), Clock: clock.Wall{},
 	}}
 	assert.NilError(t, r.tier.Start())
@@ -64,8 +64,8 @@
 // openWithin does so with the operators' limits.
 func (r *rig) openWithin(l route.Limits) {
 	r.tier.SetFacts(router.Facts{Leafs: r.leafs, Table: &route.Table{Version: 1, Limits: l, Routes: []route.Route{
-		{Name: "one", Host: "h", Prefix: "/one/", Idempotent: true, Attempts: 2, Timeout: 8000, Target: 500, Services: []route.Weighted{{Service: "s0", Weight: 1}}},
-		{Name: "all", Host: "h", Prefix: "/all/", Idempotent: true, Attempts: 2, Timeout: 2000, Target: 500, Shards: []string{"s0", "s1"}, Top: 3, LeastShare: 0.5},
+		{Name: "one", Host: "h", Prefix: "/one/", Idempotent: true, Attempts: 2, Timeout: 8000, Target: 500, Services: []route.WeightedService{{Service: "s0", Weight: 1}}},
+		{Name: "all", Host: "h", Prefix: "/all/", Idempotent: true, Attempts: 2, Timeout: 2000, Target: 500, Shards: []string{"s0", "s1"}, Top: 3, MinShare: 0.5},
 	}}})
 	poll.WaitOn(r.t, func(poll.LogT) poll.Result {
 		if r.tier.Ready() {
@@ -334,7 +334,7 @@
 		w.Header().Set(hop.Own.Stamp, "x")
 		_, _ = fmt.Fprint(w, len(body)) // the test reads the answer
 	})
-	r.openWithin(route.Limits{HeaderBytes: 4 << 10, BodyBytes: 1000, HeaderTime: 300, IdleTime: 5000})
+	r.openWithin(route.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 1000, HeaderTimeout: 300, IdleTimeout: 5000})
 	for _, c := range []struct {
 		text   string
 		status int
--- a/share/wire/map.go
+++ b/share/wire/map.go
@@ -51,7 +51,7 @@
 // FeedbackTo maps feedback to its message.
 func FeedbackTo(fb query.Feedback) *Feedback {
 	w := &Feedback{
-		Leaf: fb.Leaf, Busy: uint32(fb.Busy), Limit: uint32(fb.Limit), Queued: uint32(fb.Queued), Closed: fb.Closed, PaceMs: float32(fb.Pace),
+		Leaf: fb.Leaf, Busy: uint32(fb.Busy), Limit: uint32(fb.Limit), Queued: uint32(fb.Queued), Closed: fb.Closed, PaceMs: float32(fb.CallTime),
 	}
 	for _, p := range fb.Holds {
 		w.Holds = append(w.Holds, &Snapshot{Layout: p.Layout, Version: p.Version})
@@ -62,7 +62,7 @@
 // FeedbackFrom maps a message to feedback.
 func FeedbackFrom(w *Feedback) query.Feedback {
 	fb := query.Feedback{
-		Leaf: w.GetLeaf(), Busy: int(w.GetBusy()), Limit: int(w.GetLimit()), Queued: int(w.GetQueued()), Closed: w.GetClosed(), Pace: float64(w.GetPaceMs()),
+		Leaf: w.GetLeaf(), Busy: int(w.GetBusy()), Limit: int(w.GetLimit()), Queued: int(w.GetQueued()), Closed: w.GetClosed(), CallTime: float64(w.GetPaceMs()),
 	}
 	for _, p := range w.GetHolds() {
 		fb.Holds = append(fb.Holds, invent.SnapshotID{Layout: p.GetLayout(), Version: p.GetVersion()})
--- a/stile/cmds/ask.go
+++ b/stile/cmds/ask.go
@@ -24,7 +24,7 @@
 type program struct {
 	Admin   string `json:"admin"`
 	Problem string `json:"problem,omitempty"`
-	show.Program
+	show.Status
 }
 
 // status asks all programs at once, in order of host and program.
@@ -39,7 +39,7 @@
 	for i, addr := range a.Admin {
 		wait.Go(func() {
 			all[i].Admin = addr
-			if err := a.get(engine, addr, "/v1/status", &all[i].Program); err != nil {
+			if err := a.get(engine, addr, "/v1/status", &all[i].Status); err != nil {
 				all[i].Problem = err.Error()
 			}
 		})
--- a/stile/cmds/diff.go
+++ b/stile/cmds/diff.go
@@ -157,10 +157,10 @@
 	add(a.Idempotent == b.Idempotent, "whether requests may be repeated")
 	add(a.Attempts == b.Attempts, "attempts")
 	add(a.Timeout == b.Timeout && a.Target == b.Target, "times")
-	add(a.Rank == b.Rank, "rank")
+	add(a.Priority == b.Priority, "rank")
 	add(slices.Equal(a.Services, b.Services), "services")
 	add(slices.Equal(a.Shards, b.Shards), "shards")
-	add(a.Top == b.Top && a.LeastShare == b.LeastShare, "what an answer holds")
+	add(a.Top == b.Top && a.MinShare == b.MinShare, "what an answer holds")
 	add(slices.Equal(a.Regions, b.Regions), "regions")
 	return list
 }
--- a/stile/cmds/effect.go
+++ b/stile/cmds/effect.go
@@ -119,8 +119,8 @@
 		if gone > 0 {
 			list = append(list, fmt.Sprintf("route %s: %d of %d shards have no backend server in service where the route may be served", r.Name, gone, len(r.Shards)))
 		}
-		if len(r.Shards)-gone < r.Least() && r.Merged() {
-			list = append(list, fmt.Sprintf("route %s: fewer than %d shards can answer: each request will be refused", r.Name, r.Least()))
+		if len(r.Shards)-gone < r.MinShards() && r.Merged() {
+			list = append(list, fmt.Sprintf("route %s: fewer than %d shards can answer: each request will be refused", r.Name, r.MinShards()))
 		}
 		for _, w := range r.Services {
 			if w.Weight > 0 && in.count(r, w.Service) == 0 {
--- a/stile/cmds/status.go
+++ b/stile/cmds/status.go
@@ -65,9 +65,9 @@
 	}
 	out.line("%-10s %-12s %-10s %s, %s%s", n.Host, n.Domain, n.Program, state, platform, watching(n))
 	for _, r := range n.Refused {
-		out.line("    refused %s %d: %s", r.Key, r.Version, r.Why)
+		out.line("    refused %s %d: %s", r.Key, r.Version, r.Reason)
 	}
-	for _, f := range p.Leafs {
+	for _, f := range p.Leaves {
 		if f.Primary && (c.Leafs || f.Closed != "" || f.RampLeft > 0) {
 			out.line("    leaf %-26s busy %d/%d of %d, queued %d, connections %d, ramp left %d ms %s",
 				f.Leaf, f.Busy, f.Limit, f.Slots, f.Queued, f.Conns, f.RampLeft, f.Closed)
--- a/stile/cmds/watch.go
+++ b/stile/cmds/watch.go
@@ -64,7 +64,7 @@
 	for _, v := range p.Services {
 		into[name+" "+v.Service] = fmt.Sprintf("snapshot %s, %d/%d%s", v.Snapshot, v.Answered, v.Shards, reasons(v.Missing))
 	}
-	for _, f := range p.Leafs {
+	for _, f := range p.Leaves {
 		if f.Primary && (f.Closed != "" || f.Limit < f.Slots) {
 			into[name+" leaf "+f.Leaf] = fmt.Sprintf("limit %d of %d %s", f.Limit, f.Slots, f.Closed)
 		}
