--- a/aggregator/leafs/pool.go
+++ b/aggregator/leafs/pool.go
@@ -55,7 +55,7 @@
 		if p.conns == nil {
 			p.conns = map[gate.ConnID]*fetch.Conn{}
 		}
-		c = &fetch.Conn{Engine: p.HTTP, Address: address, Closed: func() {
+		c = &fetch.Conn{Engine: p.HTTP, Address: address, OnClose: func() {
 			go p.Report(Closed{Leaf: leaf, Conn: id})
 		}}
 		p.conns[id] = c
@@ -196,7 +196,7 @@
 	delete(p.conns, id)
 	p.mu.Unlock()
 	if c != nil {
-		p.wait.Go(c.Shut)
+		p.wait.Go(c.Close)
 	}
 }
 
--- a/bench/cmds/load.go
+++ b/bench/cmds/load.go
@@ -103,7 +103,7 @@
 
 func (c *load) work(engine *fetch.Engine, addr string, due <-chan int, t *tally) {
 	conn := &fetch.Conn{Engine: engine, Address: addr}
-	defer func() { conn.Shut() }()
+	defer func() { conn.Close() }()
 	for n := range due {
 		body := fmt.Sprintf(`{"service":%q,"text":"text %d","limit":10,"budget-ms":%d}`, c.Service, n%max(1, c.Texts), c.BudgetMS)
 		r, err := fetch.Request(http.MethodPost, addr, "/v1/query", []byte(body))
@@ -121,7 +121,7 @@
 		})
 		if <-done != nil {
 			t.fail()
-			go conn.Shut()
+			go conn.Close()
 			conn = &fetch.Conn{Engine: engine, Address: addr}
 		}
 	}
--- a/bench/slope/io.go
+++ b/bench/slope/io.go
@@ -138,7 +138,7 @@
 
 func callMany(engine *fetch.Engine, addr string, body []byte, n int) {
 	c := &fetch.Conn{Engine: engine, Address: addr}
-	defer c.Shut()
+	defer c.Close()
 	for range n {
 		r, err := fetch.Request(http.MethodPost, addr, "/v1/leafs/x/query", body)
 		if err != nil {
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -126,7 +126,7 @@
 func unavailable(w http.ResponseWriter, status int, e wireError, wait clock.Milli) {
 	e.RetryAfter = int64(wait)
 	if wait > 0 {
-		httpd.RetryAfter(w, wait)
+		httpd.SetRetryAfter(w, wait)
 	}
 	httpd.WriteJSON(w, status, e)
 }
--- a/entry/routed/routed.go
+++ b/entry/routed/routed.go
@@ -43,7 +43,7 @@
 	r.tier = tier.Server{
 		Settings: tier.Settings{
 			CallerAddress: s.Listen, GossipAddress: s.Gossip, ForwardAddress: s.Relay, Seeds: s.Seeds,
-			SourceIP: r.Settings.Listen.IP(), Dialect: hop.Own,
+			SourceIP: r.Settings.Listen.IP(), Dialect: hop.DefaultDialect,
 			Self:   router.Place{Host: r.Settings.Host.Name, Domain: r.Settings.Host.Domain, Address: s.Relay},
 			Policy: router.Policy{Ratio: s.SecondCalls.Ratio, Reserve: s.SecondCalls.Reserve},
 		},
@@ -60,7 +60,7 @@
 func (r *Routed) traced(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		span := r.Tracer.Start(q.Header.Get(headerTrace), "routed",
-			attribute.String("request", q.Header.Get(hop.Own.RequestID)), attribute.String("path", q.URL.Path))
+			attribute.String("request", q.Header.Get(hop.DefaultDialect.RequestID)), attribute.String("path", q.URL.Path))
 		defer span.End()
 		if parent := span.Parent(); parent != "" {
 			q.Header.Set(headerTrace, parent)
--- a/entry/routed/routed_test.go
+++ b/entry/routed/routed_test.go
@@ -59,8 +59,8 @@
 	got := make(chan string, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		got <- q.Header.Get(headerTrace)
-		w.Header().Set(hop.Own.RequestID, q.Header.Get(hop.Own.RequestID))
-		w.Header().Set(hop.Own.Stamp, "s")
+		w.Header().Set(hop.DefaultDialect.RequestID, q.Header.Get(hop.DefaultDialect.RequestID))
+		w.Header().Set(hop.DefaultDialect.Stamp, "s")
 	}))
 	defer server.Close()
 	file := filepath.Join(t.TempDir(), "spans.json")
@@ -86,7 +86,7 @@
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+r.Addr()+"/file/x", nil)
 	assert.NilError(t, err)
 	q.Host = "h"
-	q.Header.Set(hop.Own.RequestID, "q1")
+	q.Header.Set(hop.DefaultDialect.RequestID, "q1")
 	q.Header.Set(headerTrace, caller)
 	res, err := http.DefaultClient.Do(q)
 	assert.NilError(t, err)
--- a/share/fetch/fetch.go
+++ b/share/fetch/fetch.go
@@ -25,7 +25,7 @@
 	ErrNotOpened = errors.New("connection was not opened")
 	// ErrLost: the connection broke after it was open. What was sent may have
 	// arrived.
-	ErrLost = errors.New("connection was lost")
+	ErrConnLost = errors.New("connection was lost")
 	// ErrTooLarge: the reply is larger than allowed.
 	ErrTooLarge = errors.New("reply is too large")
 )
@@ -33,8 +33,8 @@
 // dialTimeout bounds the opening of a connection.
 const dialTimeout = time.Second
 
-// MaxReply is the largest reply taken, in bytes.
-const MaxReply = 4 << 20
+// MaxReplyBytes is the largest reply taken, in bytes.
+const MaxReplyBytes = 4 << 20
 
 // Reply is a whole HTTP reply.
 type Reply struct {
@@ -50,7 +50,7 @@
 	Source string
 
 	engine *nbhttp.Engine
-	loops  loops.Loops
+	loops  loops.Prober
 	done   chan struct{}
 }
 
@@ -60,7 +60,7 @@
 // Start makes the engine ready.
 func (e *Engine) Start() error {
 	e.engine = nbhttp.NewEngine(nbhttp.Config{
-		Name: "fetch", NPoller: pollers, MaxHTTPBodySize: MaxReply, SupportServerOnly: false,
+		Name: "fetch", NPoller: pollers, MaxHTTPBodySize: MaxReplyBytes, SupportServerOnly: false,
 	})
 	e.done = make(chan struct{})
 	return errors.Wrap(e.engine.Start(), "start http client")
@@ -73,7 +73,7 @@
 		return nil
 	}
 	close(e.done)
-	if err := e.loops.Await(e.engine.Engine, pollers); err != nil {
+	if err := e.loops.AwaitLoops(e.engine.Engine, pollers); err != nil {
 		return errors.Wrap(err, "stop http client")
 	}
 	e.engine.Stop()
@@ -95,9 +95,9 @@
 	Engine *Engine
 	// Address is the IP and port.
 	Address string
-	// Closed is called once the connection is closed, by either side; it may
+	// OnClose is called once the connection is closed, by either side; it may
 	// be nil. It must not call the Conn.
-	Closed func()
+	OnClose func()
 
 	mu     sync.Mutex
 	client *nbhttp.ClientConn
@@ -130,8 +130,8 @@
 	}
 	if c.client == nil {
 		c.client = &nbhttp.ClientConn{Engine: c.Engine.engine, Dial: c.dial}
-		if c.Closed != nil {
-			c.client.OnClose(c.Closed)
+		if c.OnClose != nil {
+			c.client.OnClose(c.OnClose)
 		}
 	}
 	return c.client, true
@@ -165,26 +165,26 @@
 		if !c.opened {
 			return Reply{}, errors.Mark(errors.Wrap(err, "open connection"), ErrNotOpened)
 		}
-		return Reply{}, errors.Mark(errors.Wrap(err, "call"), ErrLost)
+		return Reply{}, errors.Mark(errors.Wrap(err, "call"), ErrConnLost)
 	}
 	reply := Reply{Status: res.StatusCode, Header: res.Header}
 	if res.Body == nil {
 		return reply, nil
 	}
 	defer func() { _ = res.Body.Close() }() // it is read to the end below
-	reply.Body, err = io.ReadAll(io.LimitReader(res.Body, MaxReply+1))
+	reply.Body, err = io.ReadAll(io.LimitReader(res.Body, MaxReplyBytes+1))
 	if err != nil {
-		return Reply{}, errors.Mark(errors.Wrap(err, "read reply"), ErrLost)
+		return Reply{}, errors.Mark(errors.Wrap(err, "read reply"), ErrConnLost)
 	}
-	if len(reply.Body) > MaxReply {
+	if len(reply.Body) > MaxReplyBytes {
 		return Reply{}, ErrTooLarge
 	}
 	return reply, nil
 }
 
-// Shut closes the connection. A call under way ends with ErrLost. It must not
+// Close closes the connection. A call under way ends with ErrLost. It must not
 // be called from within done.
-func (c *Conn) Shut() {
+func (c *Conn) Close() {
 	c.mu.Lock()
 	client := c.client
 	c.shut = true
@@ -224,6 +224,6 @@
 // CallRequest sends a request over a connection of its own and waits for it.
 func CallRequest(e *Engine, address string, r *http.Request, timeout time.Duration) (Reply, error) {
 	c := &Conn{Engine: e, Address: address}
-	defer c.Shut()
+	defer c.Close()
 	return c.wait(r, timeout)
 }
--- a/share/fetch/fetch_test.go
+++ b/share/fetch/fetch_test.go
@@ -48,9 +48,9 @@
 	}()
 	time.Sleep(20 * time.Millisecond)
 	assert.NilError(t, e.Close())
-	assert.Assert(t, errors.Is(<-got, ErrLost))
+	assert.Assert(t, errors.Is(<-got, ErrConnLost))
 	_, err := Get(e, addr, "/", time.Minute)
-	assert.Assert(t, errors.Is(err, ErrNotOpened) || errors.Is(err, ErrLost))
+	assert.Assert(t, errors.Is(err, ErrNotOpened) || errors.Is(err, ErrConnLost))
 }
 
 func TestRefusedConnectionIsNotOpened(t *testing.T) {
--- a/share/fetch/line.go
+++ b/share/fetch/line.go
@@ -7,9 +7,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Line makes calls to one address, one at a time, over a connection that is
+// Client makes calls to one address, one at a time, over a connection that is
 // kept and replaced after any fault. Engine and Address are set before use.
-type Line struct {
+type Client struct {
 	Engine  *Engine
 	Address string
 
@@ -18,21 +18,21 @@
 
 // Do makes a call and waits for it, no longer than a timeout: a connection may
 // go silent for good while new ones work.
-func (l *Line) Do(r *http.Request, timeout time.Duration) (Reply, error) {
+func (l *Client) Do(r *http.Request, timeout time.Duration) (Reply, error) {
 	if l.conn == nil {
 		l.conn = &Conn{Engine: l.Engine, Address: l.Address}
 	}
 	reply, err := l.conn.wait(r, timeout)
 	if err != nil {
-		l.Drop()
+		l.Disconnect()
 	}
 	return reply, err
 }
 
-// Drop gives up the connection; the next call opens another.
-func (l *Line) Drop() {
+// Disconnect gives up the connection; the next call opens another.
+func (l *Client) Disconnect() {
 	if l.conn != nil {
-		l.conn.Shut()
+		l.conn.Close()
 		l.conn = nil
 	}
 }
@@ -53,8 +53,8 @@
 	case <-c.Engine.done:
 		// A connection that was opened while the engine stopped never gets a
 		// reply, and nobody would tell.
-		return Reply{}, errors.Mark(errors.New("client is closed"), ErrLost)
+		return Reply{}, errors.Mark(errors.New("client is closed"), ErrConnLost)
 	case <-timer.C:
-		return Reply{}, errors.Mark(errors.Newf("no reply within %s", timeout), ErrLost)
+		return Reply{}, errors.Mark(errors.Newf("no reply within %s", timeout), ErrConnLost)
 	}
 }
--- a/share/hop/conn.go
+++ b/share/hop/conn.go
@@ -21,11 +21,11 @@
 // Errors of calls.
 var (
 	// ErrForeignReply: the reply names another request.
-	ErrForeignReply = errors.New("reply belongs to another request")
+	ErrWrongRequestID = errors.New("reply belongs to another request")
 	// ErrUnsigned: a success without the leaf's signature is no reply.
 	ErrUnsigned = errors.New("reply has no signature")
 	// ErrIdle: the connection ended or carried bytes while no call was on it.
-	ErrIdle = errors.New("connection ended while idle")
+	ErrIdleClosed = errors.New("connection ended while idle")
 	// ErrTooLarge: the reply is larger than allowed.
 	ErrTooLarge = errors.New("reply is too large")
 )
@@ -182,11 +182,11 @@
 func (c *conn) reply(br *bufio.Reader, j *job) result {
 	for range maxStrays {
 		r := c.one(br, j)
-		if !errors.Is(r.err, ErrForeignReply) {
+		if !errors.Is(r.err, ErrWrongRequestID) {
 			return r
 		}
 	}
-	return result{err: ErrForeignReply}
+	return result{err: ErrWrongRequestID}
 }
 
 func (c *conn) one(br *bufio.Reader, j *job) result {
@@ -208,7 +208,7 @@
 	}
 	id := res.Header.Get(c.dialect.RequestID)
 	if id != "" && id != q.Header.Get(c.dialect.RequestID) {
-		return result{err: ErrForeignReply}
+		return result{err: ErrWrongRequestID}
 	}
 	reply := &call.Reply{Status: res.StatusCode, Header: res.Header, Body: body, Stamp: res.Header.Get(c.dialect.Stamp)}
 	if reply.Successful() && reply.Stamp == "" && !j.unsigned {
--- a/share/hop/dialect.go
+++ b/share/hop/dialect.go
@@ -22,15 +22,15 @@
 	Stamp string
 	// NotRun stands on a reply that says the leaf did not run the request.
 	NotRun string
-	// Parts and Missing tell of a merged answer which replies are in it and
+	// PartStamps and Missing tell of a merged answer which replies are in it and
 	// how many shards are not.
-	Parts, Missing string
+	PartStamps, MissingShards string
 }
 
-// Own is the project's own dialect.
-var Own = Dialect{
+// DefaultDialect is the project's own dialect.
+var DefaultDialect = Dialect{
 	RequestID: "Request-Id", Deadline: "Deadline-Ms", ExpectLeaf: "Expect-Leaf", LeafID: "Leaf-Id",
-	Stamp: "Leaf-Stamp", NotRun: "Not-Run", Parts: "Part-Stamps", Missing: "Missing-Parts",
+	Stamp: "Leaf-Stamp", NotRun: "Not-Run", PartStamps: "Part-Stamps", MissingShards: "Missing-Parts",
 }
 
 // Headers between hosts of the system.
@@ -47,6 +47,6 @@
 	HeaderForwardLate = "Relay-Late"
 	// HeaderForwardVersion is the configuration that the sender goes by.
 	HeaderForwardVersion = "Relay-Version"
-	// HeaderForwardWorked says how many ms the other host worked on it.
-	HeaderForwardWorked = "Relay-Worked-Ms"
+	// HeaderForwardProcessingTime says how many ms the other host worked on it.
+	HeaderForwardProcessingTime = "Relay-Worked-Ms"
 )
--- a/share/hop/fuzz_test.go
+++ b/share/hop/fuzz_test.go
@@ -17,7 +17,7 @@
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nNot-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, sent []byte) {
 		ours, theirs := net.Pipe()
-		c := newConn(ours, &Own)
+		c := newConn(ours, &DefaultDialect)
 		j := &job{done: make(chan result, 1), request: &http.Request{Method: http.MethodGet, Header: http.Header{"Request-Id": {"own"}}}}
 		if !c.begin(j) {
 			t.Fatal("a new connection takes no call")
@@ -36,7 +36,7 @@
 		if r.reply.Successful() && (r.reply.Stamp == "" || id != "" && id != "own") {
 			t.Fatalf("took %+v", r.reply)
 		}
-		p := Pool{Dialect: Own}
+		p := Pool{Dialect: DefaultDialect}
 		if d := p.classify(r.reply); d.Kind == call.Answered && d.Reply == nil {
 			t.Fatal("answered without a reply")
 		}
--- a/share/hop/hop_test.go
+++ b/share/hop/hop_test.go
@@ -66,7 +66,7 @@
 func newCaller(t *testing.T) *caller {
 	t.Helper()
 	c := &caller{t: t, done: make(chan router.Done, 10)}
-	c.pool = &Pool{Dialect: Own, Clock: clock.Wall{}, Report: func(d router.Done) { c.done <- d }}
+	c.pool = &Pool{Dialect: DefaultDialect, Clock: clock.Wall{}, OnDone: func(d router.Done) { c.done <- d }}
 	t.Cleanup(func() { assert.NilError(t, c.pool.Close()) })
 	return c
 }
@@ -354,7 +354,7 @@
 // listens the leaf is told absent; where somebody does, nothing is told.
 func TestConnCheckTellsOnlyOfAbsentLeafs(t *testing.T) {
 	absent := make(chan router.Absent, 2)
-	p := &Pool{Dialect: Own, Clock: clock.Wall{}, Absent: func(a router.Absent) { absent <- a }}
+	p := &Pool{Dialect: DefaultDialect, Clock: clock.Wall{}, OnConnRefused: func(a router.Absent) { absent <- a }}
 	here := serve(t, func(net.Conn, *bufio.Reader) {})
 	gone, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/share/hop/pool.go
+++ b/share/hop/pool.go
@@ -32,11 +32,11 @@
 	// the system.
 	Source string
 	Clock  clock.Clock
-	// Report takes the end of a call, Probed that of a probe, and Absent the
+	// OnDone takes the end of a call, Probed that of a probe, and Absent the
 	// news that a connection check found nobody, from any goroutine.
-	Report func(router.Done)
-	Probed func(router.Probed)
-	Absent func(router.Absent)
+	OnDone        func(router.Done)
+	OnProbed      func(router.Probed)
+	OnConnRefused func(router.Absent)
 
 	mu   sync.Mutex
 	idle map[string][]*conn // by leaf, or by address of another host
@@ -80,15 +80,15 @@
 		q.Header[HeaderForwardLate] = []string{"1"}
 	}
 	p.start(s, q)
-	p.Warm(r.Address)
+	p.Preconnect(r.Address)
 }
 
 // mostSpare bounds the idle connections that are opened ahead to another host.
 const mostSpare = 2
 
-// Warm opens a connection ahead to another host if few are idle, so that the
+// Preconnect opens a connection ahead to another host if few are idle, so that the
 // next forwarded request does not pay for the way there and back once more.
-func (p *Pool) Warm(address string) {
+func (p *Pool) Preconnect(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || len(p.idle[address])+p.opening[address] >= mostSpare {
@@ -125,7 +125,7 @@
 	p.wait.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		defer cancel()
-		p.Probed(router.Probed{Leaf: a.Leaf, Healthy: p.healthy(ctx, a)})
+		p.OnProbed(router.Probed{Leaf: a.Leaf, Healthy: p.healthy(ctx, a)})
 	})
 }
 
@@ -145,7 +145,7 @@
 			return
 		}
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			p.Absent(router.Absent{Leaf: k.Leaf})
+			p.OnConnRefused(router.Absent{Leaf: k.Leaf})
 		}
 	})
 }
@@ -226,7 +226,7 @@
 		f.cancel()
 	}
 	if !closed {
-		p.Report(done)
+		p.OnDone(done)
 	}
 }
 
@@ -245,7 +245,7 @@
 			return router.Done{Kind: call.Full, Cause: "the leaf ended a new connection"}
 		}
 		if !c.begin(j) {
-			return router.Done{Kind: call.NotSent, Cause: ErrIdle.Error()}
+			return router.Done{Kind: call.NotSent, Cause: ErrIdleClosed.Error()}
 		}
 	}
 	return p.exchange(ctx, c, j, s)
@@ -328,13 +328,13 @@
 
 // merged reads what another host tells of its merged answer.
 func (p *Pool) merged(d *router.Done) {
-	ms, err := strconv.ParseInt(d.Reply.Header.Get(HeaderForwardWorked), 10, 64)
+	ms, err := strconv.ParseInt(d.Reply.Header.Get(HeaderForwardProcessingTime), 10, 64)
 	if err == nil {
 		d.Worked = clock.Milli(ms)
 	}
 	// A time that cannot be read is as one not told: the way is not learnt.
 	r := d.Reply
-	r.Stamp = r.Header.Get(p.Dialect.Parts)
+	r.Stamp = r.Header.Get(p.Dialect.PartStamps)
 	if list := r.Header.Get(HeaderForwardMissing); list != "" {
 		r.Missing = strings.Split(list, ",")
 	}
--- a/share/httpd/httpd.go
+++ b/share/httpd/httpd.go
@@ -33,8 +33,8 @@
 
 // Defaults of Server.
 const (
-	// DefaultMaxBody is the largest request body, in bytes.
-	DefaultMaxBody = 1 << 20
+	// DefaultMaxBodyBytes is the largest request body, in bytes.
+	DefaultMaxBodyBytes = 1 << 20
 	// hardBody is where the connection is cut instead of answered.
 	hardBody     = 8 << 20
 	defaultConns = 10000
@@ -60,14 +60,14 @@
 	MaxConns int
 	// Limits are in force until SetLimits replaces them.
 	Limits Limits
-	// Refused is told of each request outside the limits, which its handler does
+	// OnRejected is told of each request outside the limits, which its handler does
 	// not see; it may be nil.
-	Refused func(remote string, status int)
+	OnRejected func(remote string, status int)
 
 	engine  *nbhttp.Engine
 	addr    net.Addr
 	accept  *loops.Listener
-	loops   loops.Loops
+	loops   loops.Prober
 	active  sync.WaitGroup
 	conns   conns
 	limits  atomic.Pointer[Limits]
@@ -92,7 +92,7 @@
 		return errors.Wrapf(err, "listen on %s", s.Address)
 	}
 	s.addr = ln.Addr()
-	s.accept = loops.Listen(ln)
+	s.accept = loops.NewListener(ln)
 	s.engine = nbhttp.NewEngine(nbhttp.Config{
 		Name: "httpd", Network: "tcp", Addrs: []string{s.addr.String()},
 		MaxLoad: conns, MaxHTTPBodySize: readLimit, ReadLimit: readLimit,
@@ -121,7 +121,7 @@
 }
 
 // BodyLimit is the largest body in force, in bytes.
-func (s *Server) BodyLimit() int { return s.limits.Load().BodyBytes }
+func (s *Server) BodyLimit() int { return s.limits.Load().MaxBodyBytes }
 
 func (s *Server) sweep() {
 	defer close(s.swept)
@@ -148,7 +148,7 @@
 // end is seen here. A host that stood still finds requests and the ends of their
 // connections together; nothing is done for those.
 func (s *Server) readable(c *nbio.Conn) {
-	if s.loops.Handled(c) {
+	if s.loops.HandleProbe(c) {
 		return
 	}
 	buf := s.buffer()
@@ -211,8 +211,8 @@
 }
 
 func (s *Server) tell(remote string, status int) {
-	if s.Refused != nil {
-		s.Refused(remote, status)
+	if s.OnRejected != nil {
+		s.OnRejected(remote, status)
 	}
 }
 
@@ -254,8 +254,8 @@
 		<-s.swept
 	}
 	s.active.Wait()
-	<-s.accept.Begun()
-	if err := s.loops.Await(s.engine.Engine, cmp.Or(s.pollers, defaultPollers)); err != nil {
+	<-s.accept.Accepting()
+	if err := s.loops.AwaitLoops(s.engine.Engine, cmp.Or(s.pollers, defaultPollers)); err != nil {
 		return errors.Wrapf(err, "stop serving on %s", s.Address)
 	}
 	s.engine.Stop()
@@ -300,9 +300,9 @@
 	_, _ = w.Write(body) // a caller that is gone is no fault of ours
 }
 
-// RetryAfter sets the header that says when to come back, in whole seconds as
+// SetRetryAfter sets the header that says when to come back, in whole seconds as
 // HTTP has it, and at least one.
-func RetryAfter(w http.ResponseWriter, wait clock.Milli) {
+func SetRetryAfter(w http.ResponseWriter, wait clock.Milli) {
 	seconds := max(1, (wait+clock.Second-1)/clock.Second)
 	w.Header().Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
 }
--- a/share/httpd/limits.go
+++ b/share/httpd/limits.go
@@ -10,12 +10,12 @@
 // Limits bound what a caller may send and how long it may take. A field that
 // is not above zero takes its default.
 type Limits struct {
-	// HeaderBytes and BodyBytes are the largest header and body of a request.
-	HeaderBytes, BodyBytes int
-	// Silence is how long a caller may pause within a request that it has begun.
-	Silence time.Duration
-	// Idle is how long a connection may wait for its next request.
-	Idle time.Duration
+	// MaxHeaderBytes and BodyBytes are the largest header and body of a request.
+	MaxHeaderBytes, MaxBodyBytes int
+	// StallTimeout is how long a caller may pause within a request that it has begun.
+	StallTimeout time.Duration
+	// IdleTimeout is how long a connection may wait for its next request.
+	IdleTimeout time.Duration
 }
 
 // Defaults of Limits.
@@ -26,17 +26,17 @@
 )
 
 func (l Limits) filled() Limits {
-	if l.HeaderBytes <= 0 {
-		l.HeaderBytes = defaultHeaderBytes
+	if l.MaxHeaderBytes <= 0 {
+		l.MaxHeaderBytes = defaultHeaderBytes
 	}
-	if l.BodyBytes <= 0 {
-		l.BodyBytes = hardBody
+	if l.MaxBodyBytes <= 0 {
+		l.MaxBodyBytes = hardBody
 	}
-	if l.Silence <= 0 {
-		l.Silence = defaultSilence
+	if l.StallTimeout <= 0 {
+		l.StallTimeout = defaultSilence
 	}
-	if l.Idle <= 0 {
-		l.Idle = defaultIdle
+	if l.IdleTimeout <= 0 {
+		l.IdleTimeout = defaultIdle
 	}
 	return l
 }
@@ -58,7 +58,7 @@
 // tooMuch tells why the bytes of a request that is not whole yet are more than
 // any within the limits has; 0 if they are not.
 func (l Limits) tooMuch(bytes int) int {
-	if bytes > l.HeaderBytes+l.BodyBytes+l.BodyBytes/4+framing {
+	if bytes > l.MaxHeaderBytes+l.MaxBodyBytes+l.MaxBodyBytes/4+framing {
 		return http.StatusRequestEntityTooLarge
 	}
 	return 0
@@ -74,9 +74,9 @@
 		}
 	}
 	switch {
-	case size > l.HeaderBytes:
+	case size > l.MaxHeaderBytes:
 		return http.StatusRequestHeaderFieldsTooLarge
-	case r.ContentLength > int64(l.BodyBytes):
+	case r.ContentLength > int64(l.MaxBodyBytes):
 		return http.StatusRequestEntityTooLarge
 	}
 	return 0
@@ -105,10 +105,10 @@
 			return closeNow
 		}
 	case !o.begunAt.IsZero():
-		if now.Sub(o.heardAt) > l.Silence && !o.unread() || now.Sub(o.begunAt) > slowest*l.Silence {
+		if now.Sub(o.heardAt) > l.StallTimeout && !o.unread() || now.Sub(o.begunAt) > slowest*l.StallTimeout {
 			return timeOut
 		}
-	case now.Sub(o.freed) > l.Idle && !o.unread():
+	case now.Sub(o.freed) > l.IdleTimeout && !o.unread():
 		return closeNow
 	}
 	return keep
--- a/share/httpd/limits_test.go
+++ b/share/httpd/limits_test.go
@@ -54,7 +54,7 @@
 
 // Guards against half-sent requests that hold their connections for good.
 func TestHalfSentRequestIsTimedOut(t *testing.T) {
-	_, c := limited(t, Limits{Silence: 300 * time.Millisecond})
+	_, c := limited(t, Limits{StallTimeout: 300 * time.Millisecond})
 	_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nContent-Le")
 	assert.NilError(t, err)
 	assert.Equal(t, status(t, c), http.StatusRequestTimeout)
@@ -64,7 +64,7 @@
 
 // Guards against requests that come a byte at a time, with no pause over the limit.
 func TestDrippingRequestIsTimedOut(t *testing.T) {
-	_, c := limited(t, Limits{Silence: 100 * time.Millisecond})
+	_, c := limited(t, Limits{StallTimeout: 100 * time.Millisecond})
 	go func() {
 		_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nX: ")
 		for err == nil {
@@ -79,7 +79,7 @@
 
 // Guards against slow callers being cut off although their pauses are within the limit.
 func TestSlowRequestIsServed(t *testing.T) {
-	_, c := limited(t, Limits{Silence: 400 * time.Millisecond})
+	_, c := limited(t, Limits{StallTimeout: 400 * time.Millisecond})
 	for _, part := range []string{"POST / HTTP/1.1\r\nHost: h\r\n", "Content-Length: 4\r\n\r\n", "ab", "cd"} {
 		_, err := io.WriteString(c, part)
 		assert.NilError(t, err)
@@ -90,7 +90,7 @@
 
 // Guards against callers of bodies over the limit that are reset while they send, without an answer.
 func TestLargeBodyIsRefusedWithAnAnswer(t *testing.T) {
-	_, c := limited(t, Limits{BodyBytes: 100 << 10})
+	_, c := limited(t, Limits{MaxBodyBytes: 100 << 10})
 	go func() {
 		_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3000000\r\n\r\n")
 		if err == nil {
@@ -102,7 +102,7 @@
 
 // Guards against the same for bodies in chunks, whose size nobody has named.
 func TestLargeChunkedBodyIsRefusedWithAnAnswer(t *testing.T) {
-	_, c := limited(t, Limits{BodyBytes: 100 << 10})
+	_, c := limited(t, Limits{MaxBodyBytes: 100 << 10})
 	go func() {
 		_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for i := 0; i < 3000 && err == nil; i++ {
@@ -114,7 +114,7 @@
 
 // Guards against bodies within the limit that are cut off since they come in many pieces.
 func TestBodyWithinTheLimitIsTaken(t *testing.T) {
-	_, c := limited(t, Limits{BodyBytes: 256 << 10})
+	_, c := limited(t, Limits{MaxBodyBytes: 256 << 10})
 	body := bytes.Repeat([]byte("0123456789abcdef"), 16<<10)
 	go func() {
 		_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 262144\r\n\r\n")
@@ -134,7 +134,7 @@
 
 // Guards against headers over the limit that are taken.
 func TestLargeHeaderIsRefused(t *testing.T) {
-	_, c := limited(t, Limits{HeaderBytes: 4 << 10})
+	_, c := limited(t, Limits{MaxHeaderBytes: 4 << 10})
 	_, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\nX-Long: "+strings.Repeat("x", 8<<10)+"\r\n\r\n")
 	assert.NilError(t, err)
 	assert.Equal(t, status(t, c), http.StatusRequestHeaderFieldsTooLarge)
@@ -142,7 +142,7 @@
 
 // Guards against idle connections that stay open, or are closed before callers use them in time.
 func TestIdleConnectionIsClosedAfterItsTime(t *testing.T) {
-	_, c := limited(t, Limits{Idle: time.Second})
+	_, c := limited(t, Limits{IdleTimeout: time.Second})
 	for range 2 {
 		time.Sleep(800 * time.Millisecond)
 		_, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -158,7 +158,7 @@
 	s, c := limited(t, Limits{})
 	_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\n")
 	assert.NilError(t, err)
-	s.SetLimits(Limits{Silence: 200 * time.Millisecond})
+	s.SetLimits(Limits{StallTimeout: 200 * time.Millisecond})
 	assert.Equal(t, status(t, c), http.StatusRequestTimeout)
 }
 
@@ -253,8 +253,8 @@
 		limits      Limits
 		first, rest string
 	}{
-		{"on an idle connection", Limits{Idle: limit}, "", plainRequest},
-		{"within a request", Limits{Silence: limit}, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\na", "b"},
+		{"on an idle connection", Limits{IdleTimeout: limit}, "", plainRequest},
+		{"within a request", Limits{StallTimeout: limit}, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\na", "b"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, conn := limitedLoops(t, c.limits, 1)
--- a/share/loops/loops.go
+++ b/share/loops/loops.go
@@ -13,14 +13,14 @@
 	"github.com/lesismal/nbio"
 )
 
-// ErrUnreached says that no connection could be given to some loop.
-var ErrUnreached = errors.New("an event loop could not be reached")
+// ErrUnreachable says that no connection could be given to some loop.
+var ErrUnreachable = errors.New("an event loop could not be reached")
 
 // triesPerLoop bounds the connections made until each loop has one.
 const triesPerLoop = 16
 
-// Loops tells the connections of Await from others. The zero value is ready.
-type Loops struct {
+// Prober tells the connections of Await from others. The zero value is ready.
+type Prober struct {
 	mu    sync.Mutex
 	marks map[*nbio.Conn]*mark
 }
@@ -31,9 +31,9 @@
 	done chan struct{}
 }
 
-// Handled is to be called first by an engine's OnRead handler, if it has one; true
+// HandleProbe is to be called first by an engine's OnRead handler, if it has one; true
 // says that the connection is none of its own.
-func (l *Loops) Handled(c *nbio.Conn) bool {
+func (l *Prober) HandleProbe(c *nbio.Conn) bool {
 	l.mu.Lock()
 	m := l.marks[c]
 	l.mu.Unlock()
@@ -47,9 +47,9 @@
 	return true
 }
 
-// Await waits until each of an engine's loops has handled an event. The engine
+// AwaitLoops waits until each of an engine's loops has handled an event. The engine
 // gives connections to loops by their descriptors.
-func (l *Loops) Await(g *nbio.Engine, loops int) error {
+func (l *Prober) AwaitLoops(g *nbio.Engine, loops int) error {
 	reached := map[int]bool{}
 	// All stay open until the end, with more descriptors between them in each round:
 	// the next would otherwise fall to the same loop.
@@ -65,7 +65,7 @@
 	}()
 	for try := 0; len(reached) < loops; try++ {
 		if try == loops*triesPerLoop {
-			return ErrUnreached
+			return ErrUnreachable
 		}
 		pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC, 0)
 		if err != nil {
@@ -88,7 +88,7 @@
 }
 
 // reach waits until the loop of one connection has handled an event on it.
-func (l *Loops) reach(g *nbio.Engine, fd, peer int) (*nbio.Conn, error) {
+func (l *Prober) reach(g *nbio.Engine, fd, peer int) (*nbio.Conn, error) {
 	file := os.NewFile(uintptr(fd), "loop")
 	conn, err := net.FileConn(file)
 	err = errors.CombineErrors(err, file.Close())
@@ -106,7 +106,7 @@
 	}
 	l.marks[c] = m
 	l.mu.Unlock()
-	c.OnData(func(c *nbio.Conn, _ []byte) { l.Handled(c) })
+	c.OnData(func(c *nbio.Conn, _ []byte) { l.HandleProbe(c) })
 	if _, err := g.AddConn(c); err != nil {
 		return nil, errors.Wrap(err, "connection to a loop")
 	}
@@ -124,8 +124,8 @@
 	begun chan struct{}
 }
 
-// Listen wraps a listener.
-func Listen(l net.Listener) *Listener { return &Listener{Listener: l, begun: make(chan struct{})} }
+// NewListener wraps a listener.
+func NewListener(l net.Listener) *Listener { return &Listener{Listener: l, begun: make(chan struct{})} }
 
 // Accept waits for a connection.
 func (l *Listener) Accept() (net.Conn, error) {
@@ -133,5 +133,5 @@
 	return l.Listener.Accept()
 }
 
-// Begun is closed once a loop accepts connections.
-func (l *Listener) Begun() <-chan struct{} { return l.begun }
+// Accepting is closed once a loop accepts connections.
+func (l *Listener) Accepting() <-chan struct{} { return l.begun }
--- a/share/loops/loops_test.go
+++ b/share/loops/loops_test.go
@@ -21,10 +21,10 @@
 					defer func() { assert.NilError(t, f.Close()) }()
 				}
 				g := nbio.NewEngine(nbio.Config{NPoller: loops})
-				var l Loops
-				g.OnData(func(c *nbio.Conn, _ []byte) { l.Handled(c) })
+				var l Prober
+				g.OnData(func(c *nbio.Conn, _ []byte) { l.HandleProbe(c) })
 				assert.NilError(t, g.Start())
-				assert.NilError(t, l.Await(g, loops))
+				assert.NilError(t, l.AwaitLoops(g, loops))
 				g.Stop()
 			})
 		}
--- a/share/member/codec.go
+++ b/share/member/codec.go
@@ -14,8 +14,8 @@
 	"dandelionstile/share/wire"
 )
 
-// ErrPacket says that a datagram is not one of this system.
-var ErrPacket = errors.New("no packet of hosts")
+// ErrInvalidPacket says that a datagram is not one of this system.
+var ErrInvalidPacket = errors.New("no packet of hosts")
 
 // thousand is the scale of shares on the wire.
 const thousand = 1000
@@ -25,11 +25,11 @@
 func Encode(p Packet) ([]byte, error) {
 	e := encoder{domains: map[string]uint32{}}
 	g := &wire.MemberPacket{
-		Kind: uint32(p.Kind), Sequence: p.Sequence, Sender: e.member(p.Sender), Target: address(p.Target), Digest: p.Digest, Sum: p.Sum,
+		Kind: uint32(p.Kind), Sequence: p.Sequence, Sender: e.member(p.Sender), Target: address(p.Target), Digest: p.Digest, Sum: p.Checksum,
 		Updates: make([]*wire.Member, 0, len(p.Updates)),
 	}
 	if g.Sender == nil {
-		return nil, errors.Wrapf(ErrPacket, "sender %q", p.Sender.Host.Gossip)
+		return nil, errors.Wrapf(ErrInvalidPacket, "sender %q", p.Sender.Host.GossipAddress)
 	}
 	for _, u := range p.Updates {
 		if m := e.member(u); m != nil {
@@ -40,7 +40,7 @@
 	for _, c := range p.Crashes {
 		g.Crashes = append(g.Crashes, &wire.CrashReport{Fingerprint: c.Fingerprint, Leaf: c.Leaf, AgeMs: uint32(max(0, c.Age))})
 	}
-	for _, n := range p.Leafs {
+	for _, n := range p.Leaves {
 		g.Leaves = append(g.Leaves, &wire.LeafReport{Leaf: n.ID, LateMs: uint32(max(0, n.ExtraLatency)), Failing: uint32(n.FailureRatio * thousand)})
 	}
 	body, err := proto.Marshal(g)
@@ -54,7 +54,7 @@
 }
 
 func (e *encoder) member(u Update) *wire.Member {
-	at := address(u.Host.Gossip)
+	at := address(u.Host.GossipAddress)
 	if at == nil {
 		return nil
 	}
@@ -65,7 +65,7 @@
 		e.names = append(e.names, u.Host.Domain)
 	}
 	return &wire.Member{
-		Address: at, ForwardPort: port(u.Host.Relay), Domain: index,
+		Address: at, ForwardPort: port(u.Host.ForwardAddress), Domain: index,
 		Started: u.Host.Started, Incarnation: u.Host.Incarnation, State: uint32(u.State),
 		Capacity: u.Host.Capacity,
 	}
@@ -79,12 +79,12 @@
 	}
 	sender, ok := update(&g, g.GetSender())
 	if !ok || g.GetKind() > uint32(Diff) {
-		return Packet{}, ErrPacket
+		return Packet{}, ErrInvalidPacket
 	}
-	p := Packet{Kind: Kind(g.GetKind()), Sequence: g.GetSequence(), Sender: sender, Digest: g.GetDigest(), Sum: g.GetSum()}
-	if p.Kind == PingFor {
+	p := Packet{Kind: Kind(g.GetKind()), Sequence: g.GetSequence(), Sender: sender, Digest: g.GetDigest(), Checksum: g.GetSum()}
+	if p.Kind == PingReq {
 		if p.Target, ok = readAddress(g.GetTarget()); !ok {
-			return Packet{}, ErrPacket
+			return Packet{}, ErrInvalidPacket
 		}
 	}
 	for _, m := range g.GetUpdates() {
@@ -96,7 +96,7 @@
 		p.Crashes = append(p.Crashes, crash.Report{Fingerprint: c.GetFingerprint(), Leaf: c.GetLeaf(), Age: clock.Milli(c.GetAgeMs())})
 	}
 	for _, n := range g.GetLeaves() {
-		p.Leafs = append(p.Leafs, news.Leaf{
+		p.Leaves = append(p.Leaves, news.Leaf{
 			ID: n.GetLeaf(), ExtraLatency: clock.Milli(n.GetLateMs()), FailureRatio: min(1, float64(n.GetFailing())/thousand),
 		})
 	}
@@ -114,7 +114,7 @@
 		return Update{}, false
 	}
 	return Update{State: State(m.GetState()), Host: Host{
-		Gossip: at, Relay: net.JoinHostPort(ip, strconv.Itoa(int(m.GetForwardPort()))), Domain: g.GetDomains()[m.GetDomain()],
+		GossipAddress: at, ForwardAddress: net.JoinHostPort(ip, strconv.Itoa(int(m.GetForwardPort()))), Domain: g.GetDomains()[m.GetDomain()],
 		Started: m.GetStarted(), Incarnation: m.GetIncarnation(), Capacity: m.GetCapacity(),
 	}}, true
 }
--- a/share/member/diff_test.go
+++ b/share/member/diff_test.go
@@ -12,13 +12,13 @@
 // neighbours on the ring.
 func answersUntilEqual(t *testing.T, seed uint64, hosts, lacking int) int {
 	t.Helper()
-	short, long := &List{Self: Host{Gossip: "10.9.0.1:1"}}, &List{Self: Host{Gossip: "10.9.0.2:1", Started: seed}}
+	short, long := &List{Self: Host{GossipAddress: "10.9.0.1:1"}}, &List{Self: Host{GossipAddress: "10.9.0.2:1", Started: seed}}
 	short.start(1000)
 	long.start(1000)
 	long.apply(1000, short.self.Update)
 	short.apply(1000, long.self.Update)
 	for i := range hosts {
-		long.apply(1000, Update{Host: Host{Gossip: name(i)}})
+		long.apply(1000, Update{Host: Host{GossipAddress: name(i)}})
 	}
 	for i, e := range long.ring {
 		if i >= lacking {
@@ -28,7 +28,7 @@
 	answers := 0
 	for ; short.sum() != long.sum(); answers++ {
 		whole := short.whole()
-		for _, p := range long.differing(1000, short.Self.Gossip, fold(whole[:], short.digestSize())) {
+		for _, p := range long.differing(1000, short.Self.GossipAddress, fold(whole[:], short.digestSize())) {
 			short.Receive(1000, p)
 		}
 		assert.Assert(t, answers < hosts, "the lists still differ: %d and %d hosts", len(short.ring), len(long.ring))
@@ -55,7 +55,7 @@
 // Guards against a comparison that is lost, among many that bring hosts, and made again
 // only after the pause of calm times.
 func TestLostComparisonIsMadeAgainSoon(t *testing.T) {
-	l := &List{Self: Host{Gossip: "10.9.0.1:1"}, syncs: firstSyncs}
+	l := &List{Self: Host{GossipAddress: "10.9.0.1:1"}, syncs: firstSyncs}
 	l.start(1000)
 	for _, one := range []struct {
 		learned int
@@ -70,19 +70,19 @@
 // Guards against hosts that have just started and are all told of the same few others.
 func TestFreshHostsAreToldOfDifferentOnes(t *testing.T) {
 	const hosts, answers = 4000, 10
-	l := &List{Self: Host{Gossip: "10.9.0.1:1"}}
+	l := &List{Self: Host{GossipAddress: "10.9.0.1:1"}}
 	l.start(1000)
 	for i := range hosts {
-		l.apply(1000, Update{Host: Host{Gossip: name(i)}})
+		l.apply(1000, Update{Host: Host{GossipAddress: name(i)}})
 	}
-	fresh := &List{Self: Host{Gossip: "10.9.0.2:1"}}
+	fresh := &List{Self: Host{GossipAddress: "10.9.0.2:1"}}
 	fresh.start(1000)
 	whole := fresh.whole()
 	told := map[string]bool{}
 	for range answers {
-		for _, p := range l.differing(1000, fresh.Self.Gossip, fold(whole[:], fresh.digestSize())) {
+		for _, p := range l.differing(1000, fresh.Self.GossipAddress, fold(whole[:], fresh.digestSize())) {
 			for _, u := range p.Updates {
-				told[u.Host.Gossip] = true
+				told[u.Host.GossipAddress] = true
 			}
 		}
 	}
--- a/share/member/fleet_test.go
+++ b/share/member/fleet_test.go
@@ -53,7 +53,7 @@
 // start runs a host from now on, in place of one at the same address.
 func (w *fleet) start(t *testing.T, host string, seeds []string, started uint64) *simHost {
 	r := &simHost{list: &List{Seeds: seeds, Self: Host{
-		Gossip: host, Relay: host, Domain: fmt.Sprintf("d%d", len(w.hosts)%domains), Started: started,
+		GossipAddress: host, ForwardAddress: host, Domain: fmt.Sprintf("d%d", len(w.hosts)%domains), Started: started,
 	}}}
 	if former := w.byName[host]; former != nil {
 		former.dead = true
@@ -95,7 +95,7 @@
 			const headers = 28 // of IP and UDP
 			w.bytes += (len(body) + headers) * w.sized
 		}
-		if w.rand.Float64() < w.loss || w.cut != nil && w.cut(p.Sender.Host.Gossip, p.To) {
+		if w.rand.Float64() < w.loss || w.cut != nil && w.cut(p.Sender.Host.GossipAddress, p.To) {
 			continue
 		}
 		w.now.After(1+clock.Milli(w.rand.IntN(24)), func() { w.deliver(t, p) })
--- a/share/member/fuzz_test.go
+++ b/share/member/fuzz_test.go
@@ -5,7 +5,7 @@
 // Guards against datagrams, which come from anywhere, that make a host count on
 // another without an address or hold what cannot be passed on.
 func FuzzDecode(f *testing.F) {
-	body, err := Encode(Packet{Kind: Sync, Sender: Update{Host: Host{Gossip: "10.0.0.1:1", Relay: "10.0.0.1:2", Domain: "d"}}, Digest: make([]uint32, buckets)})
+	body, err := Encode(Packet{Kind: Sync, Sender: Update{Host: Host{GossipAddress: "10.0.0.1:1", ForwardAddress: "10.0.0.1:2", Domain: "d"}}, Digest: make([]uint32, buckets)})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -15,10 +15,10 @@
 		if err != nil {
 			return
 		}
-		l := List{Self: Host{Gossip: "10.0.0.9:1"}}
+		l := List{Self: Host{GossipAddress: "10.0.0.9:1"}}
 		packets := l.Receive(1000, p)
 		for _, h := range l.Alive() {
-			if h.Gossip == "" {
+			if h.GossipAddress == "" {
 				t.Fatal("a host without an address")
 			}
 		}
--- a/share/member/gossip.go
+++ b/share/member/gossip.go
@@ -96,7 +96,7 @@
 	l.start(now)
 	var packets []Packet
 	for _, e := range append(l.sample(l.near, gossipNear, nil), l.sample(l.ring, gossipAny, nil)...) {
-		packets = append(packets, l.packet(e.Host.Gossip, Packet{Kind: Publish}))
+		packets = append(packets, l.packet(e.Host.GossipAddress, Packet{Kind: Publish}))
 	}
 	return packets
 }
@@ -135,7 +135,7 @@
 	digest := fold(whole[:], l.digestSize())
 	var packets []Packet
 	send := func(to string) {
-		if to != l.Self.Gossip {
+		if to != l.Self.GossipAddress {
 			packets = append(packets, l.packet(to, Packet{Kind: Sync, Digest: digest}))
 		}
 	}
@@ -148,7 +148,7 @@
 		return packets
 	}
 	for _, e := range l.sample(l.ring, 1, nil) {
-		send(e.Host.Gossip)
+		send(e.Host.GossipAddress)
 	}
 	return packets
 }
@@ -265,6 +265,6 @@
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], e.Host.Started)
 	binary.LittleEndian.PutUint64(b[8:], e.Host.Incarnation)
-	x := rank.Hash(e.Host.Gossip, string(b[:]))
+	x := rank.Hash(e.Host.GossipAddress, string(b[:]))
 	return uint32(x ^ x>>32)
 }
--- a/share/member/member.go
+++ b/share/member/member.go
@@ -26,10 +26,10 @@
 
 // Host is one process of the system.
 type Host struct {
-	// Gossip takes packets, by UDP, and identifies the host. Relay takes
+	// GossipAddress takes packets, by UDP, and identifies the host. Relay takes
 	// forwarded requests, by TCP.
-	Gossip, Relay string
-	Domain        string
+	GossipAddress, ForwardAddress string
+	Domain                        string
 	// Capacity is the processor that it may use, in thousandths of a core; 0 if
 	// it is not known.
 	Capacity uint32
@@ -80,8 +80,8 @@
 	// Ping asks for an Ack with the same sequence.
 	Ping
 	Ack
-	// PingFor asks the receiver to probe Target and to pass its Ack on.
-	PingFor
+	// PingReq asks the receiver to probe Target and to pass its Ack on.
+	PingReq
 	// Sync carries a digest; the receiver answers with Diff, the hosts of buckets
 	// that differ.
 	Sync
@@ -99,11 +99,11 @@
 	Updates []Update
 	// Digest is a hash for each bucket of the sender's list, of Sync.
 	Digest []uint32
-	// Sum is a hash of the sender's whole list, of Ack.
-	Sum uint32
+	// Checksum is a hash of the sender's whole list, of Ack.
+	Checksum uint32
 	// Crashes and Leafs pass through: they are the caller's.
 	Crashes []crash.Report
-	Leafs   []news.Leaf
+	Leaves  []news.Leaf
 }
 
 // Change is a host that has come or gone, for the log.
@@ -183,7 +183,7 @@
 	l.known = map[string]*entry{}
 	l.probes = map[uint64]*probe{}
 	l.proxied = map[uint64]proxied{}
-	l.self = entry{Update: Update{Host: l.Self}, hash: rank.Hash(l.Self.Gossip)}
+	l.self = entry{Update: Update{Host: l.Self}, hash: rank.Hash(l.Self.GossipAddress)}
 	// Seeded by the address: repeatable, and different between hosts.
 	l.rand = rand.New(rand.NewPCG(l.self.hash, l.Self.Started))
 	// The phase of the probes differs between hosts.
@@ -199,7 +199,7 @@
 	for i, e := range l.ring {
 		list[i] = e.Host
 	}
-	slices.SortFunc(list, func(a, b Host) int { return strings.Compare(a.Gossip, b.Gossip) })
+	slices.SortFunc(list, func(a, b Host) int { return strings.Compare(a.GossipAddress, b.GossipAddress) })
 	return list
 }
 
@@ -222,14 +222,14 @@
 
 // apply takes an update from another host and says whether it was news.
 func (l *List) apply(now clock.Milli, u Update) bool {
-	switch u.Host.Gossip {
+	switch u.Host.GossipAddress {
 	case "":
 		return false
-	case l.Self.Gossip:
+	case l.Self.GossipAddress:
 		l.refute(u)
 		return false
 	}
-	e := l.known[u.Host.Gossip]
+	e := l.known[u.Host.GossipAddress]
 	if e == nil {
 		return l.add(now, u)
 	}
@@ -243,8 +243,8 @@
 // add takes a host that was not known; one that is gone is kept only so that no
 // older update brings it back.
 func (l *List) add(now clock.Milli, u Update) bool {
-	e := &entry{Update: u, hash: rank.Hash(u.Host.Gossip)}
-	l.known[u.Host.Gossip] = e
+	e := &entry{Update: u, hash: rank.Hash(u.Host.GossipAddress)}
+	l.known[u.Host.GossipAddress] = e
 	if !e.up() {
 		e.goneAt = now
 		l.gone = append(l.gone, e)
@@ -259,7 +259,7 @@
 // spread takes an update and publishes it if it was news.
 func (l *List) spread(now clock.Milli, u Update) {
 	if l.apply(now, u) {
-		l.publish(l.known[u.Host.Gossip])
+		l.publish(l.known[u.Host.GossipAddress])
 	}
 }
 
@@ -279,7 +279,7 @@
 		e.goneAt = now
 		l.gone = append(l.gone, e)
 	}
-	if former.up() != e.up() || former.Host.Started != e.Host.Started || former.Host.Relay != e.Host.Relay {
+	if former.up() != e.up() || former.Host.Started != e.Host.Started || former.Host.ForwardAddress != e.Host.ForwardAddress {
 		l.changed(e)
 	} else if former.State != e.State {
 		l.version++
@@ -322,14 +322,14 @@
 		case a.hash != b.hash:
 			return 1
 		}
-		return strings.Compare(a.Host.Gossip, b.Host.Gossip)
+		return strings.Compare(a.Host.GossipAddress, b.Host.GossipAddress)
 	})
 }
 
 // forget drops hosts that have been gone for long.
 func (l *List) forget(now clock.Milli) {
 	for len(l.gone) > 0 && now-l.gone[0].goneAt > forgetAfter {
-		delete(l.known, l.gone[0].Host.Gossip)
+		delete(l.known, l.gone[0].Host.GossipAddress)
 		l.gone = l.gone[1:]
 	}
 }
--- a/share/member/member_test.go
+++ b/share/member/member_test.go
@@ -117,7 +117,7 @@
 				continue
 			}
 			for _, o := range w.running() {
-				if e := r.list.known[o.list.Self.Gossip]; o != r && !without[o] && (e == nil || !e.up()) {
+				if e := r.list.known[o.list.Self.GossipAddress]; o != r && !without[o] && (e == nil || !e.up()) {
 					dropped++
 				}
 			}
@@ -151,7 +151,7 @@
 	w.run(200)
 	for _, o := range w.running() {
 		for _, h := range o.list.Alive() {
-			assert.Assert(t, h.Gossip != name(3), "%s still counts on it", o.list.Self.Gossip)
+			assert.Assert(t, h.GossipAddress != name(3), "%s still counts on it", o.list.Self.GossipAddress)
 		}
 	}
 }
@@ -164,7 +164,7 @@
 	w.send(t, r.list.Leave(w.now.Now()))
 	w.run(1500)
 	for _, o := range w.running() {
-		assert.Assert(t, o == r || !o.list.known[name(3)].up(), "%s still counts on it", o.list.Self.Gossip)
+		assert.Assert(t, o == r || !o.list.known[name(3)].up(), "%s still counts on it", o.list.Self.GossipAddress)
 	}
 }
 
@@ -189,8 +189,8 @@
 // Guards against a dead host that comes back to life by an old update, and
 // against one at its address that is taken for it.
 func TestOldUpdatesDoNotReviveTheDead(t *testing.T) {
-	l := List{Self: Host{Gossip: "10.0.0.1:1", Domain: "d0", Started: 1}}
-	other := Host{Gossip: "10.0.0.2:1", Domain: "d1", Started: 5, Incarnation: 3}
+	l := List{Self: Host{GossipAddress: "10.0.0.1:1", Domain: "d0", Started: 1}}
+	other := Host{GossipAddress: "10.0.0.2:1", Domain: "d1", Started: 5, Incarnation: 3}
 	hear := func(h Host, s State) { l.apply(1000, Update{Host: h, State: s}) }
 	l.start(1000)
 	hear(other, Alive)
@@ -243,15 +243,15 @@
 // Guards against hosts of the own failure domain that are left out for good where
 // there are more than may be told at once.
 func TestNearHostsAreTold(t *testing.T) {
-	l := List{Self: Host{Gossip: "10.0.0.1:1", Domain: "d0"}}
+	l := List{Self: Host{GossipAddress: "10.0.0.1:1", Domain: "d0"}}
 	l.start(1000)
 	for i := range 40 {
-		l.apply(1000, Update{Host: Host{Gossip: fmt.Sprintf("10.0.1.%d:1", i), Domain: fmt.Sprintf("d%d", i%2)}})
+		l.apply(1000, Update{Host: Host{GossipAddress: fmt.Sprintf("10.0.1.%d:1", i), Domain: fmt.Sprintf("d%d", i%2)}})
 	}
-	assert.Equal(t, len(l.Near(1000, 100)), 20)
+	assert.Equal(t, len(l.DomainPackets(1000, 100)), 20)
 	told := map[string]bool{}
 	for range 40 {
-		packets := l.Near(1000, 5)
+		packets := l.DomainPackets(1000, 5)
 		assert.Equal(t, len(packets), 5)
 		for _, p := range packets {
 			told[p.To] = true
@@ -262,10 +262,10 @@
 
 // Guards against a log that grows with the number of hosts that change at once.
 func TestChangesAreBounded(t *testing.T) {
-	l := List{Self: Host{Gossip: "10.0.0.1:1", Domain: "d0"}}
+	l := List{Self: Host{GossipAddress: "10.0.0.1:1", Domain: "d0"}}
 	l.start(1000)
 	for i := range 2 * mostChanges {
-		l.apply(1000, Update{Host: Host{Gossip: name(i)}})
+		l.apply(1000, Update{Host: Host{GossipAddress: name(i)}})
 	}
 	list, more := l.Changes()
 	assert.Equal(t, len(list), mostChanges)
@@ -278,21 +278,21 @@
 // in them.
 func TestLeafReportsTravel(t *testing.T) {
 	sent := []news.Leaf{{ID: "i-1", ExtraLatency: 170, FailureRatio: 0.25}, {ID: "i-2"}, {ID: "i-3", ExtraLatency: -5, FailureRatio: 3}}
-	body, err := Encode(Packet{Sender: Update{Host: Host{Gossip: "10.0.0.1:1"}}, Leafs: sent})
+	body, err := Encode(Packet{Sender: Update{Host: Host{GossipAddress: "10.0.0.1:1"}}, Leaves: sent})
 	assert.NilError(t, err)
 	p, err := Decode(body)
 	assert.NilError(t, err)
 	sent[2].ExtraLatency, sent[2].FailureRatio = 0, 1
-	assert.DeepEqual(t, p.Leafs, sent)
+	assert.DeepEqual(t, p.Leaves, sent)
 }
 
 // Guards against packets that lose what they carry.
 func TestPacketsTravel(t *testing.T) {
-	sender := Update{Host: Host{Gossip: "10.0.0.1:1", Relay: "10.0.0.1:2", Domain: "d0", Capacity: 800, Started: 7, Incarnation: 2}}
-	other := Update{Host: Host{Gossip: "10.0.0.2:1", Relay: "10.0.0.2:2", Domain: "d1", Started: 8}, State: Suspect}
+	sender := Update{Host: Host{GossipAddress: "10.0.0.1:1", ForwardAddress: "10.0.0.1:2", Domain: "d0", Capacity: 800, Started: 7, Incarnation: 2}}
+	other := Update{Host: Host{GossipAddress: "10.0.0.2:1", ForwardAddress: "10.0.0.2:2", Domain: "d1", Started: 8}, State: Suspect}
 	for _, p := range []Packet{
 		{Kind: Publish, Sender: sender, Updates: []Update{other, sender}},
-		{Kind: PingFor, Sequence: 9, Sum: 5, Sender: sender, Target: "10.0.0.3:1"},
+		{Kind: PingReq, Sequence: 9, Checksum: 5, Sender: sender, Target: "10.0.0.3:1"},
 		{Kind: Sync, Sender: sender, Digest: []uint32{1, 2, 3}},
 	} {
 		body, err := Encode(p)
--- a/share/member/probe.go
+++ b/share/member/probe.go
@@ -97,10 +97,10 @@
 		case !p.target.up():
 			delete(l.probes, sequence)
 		case p.tries < directTries:
-			packets = append(packets, l.packet(p.target.Host.Gossip, Packet{Kind: Ping, Sequence: sequence}))
+			packets = append(packets, l.packet(p.target.Host.GossipAddress, Packet{Kind: Ping, Sequence: sequence}))
 		case p.tries < directTries+proxyTries:
 			for _, e := range l.sample(l.ring, proxies, p.target) {
-				packets = append(packets, l.packet(e.Host.Gossip, Packet{Kind: PingFor, Sequence: sequence, Target: p.target.Host.Gossip}))
+				packets = append(packets, l.packet(e.Host.GossipAddress, Packet{Kind: PingReq, Sequence: sequence, Target: p.target.Host.GossipAddress}))
 			}
 		default:
 			delete(l.probes, sequence)
@@ -135,7 +135,7 @@
 	u.State = Suspect
 	l.set(now, e, u)
 	l.publish(e)
-	return []Packet{l.packet(e.Host.Gossip, Packet{Kind: Publish, Updates: []Update{u}})}
+	return []Packet{l.packet(e.Host.GossipAddress, Packet{Kind: Publish, Updates: []Update{u}})}
 }
 
 // suspectFrom starts the time in which a suspected host may refute.
--- a/share/member/run.go
+++ b/share/member/run.go
@@ -48,7 +48,7 @@
 // Receive takes a packet and returns the answers to it.
 func (l *List) Receive(now clock.Milli, p Packet) []Packet {
 	l.start(now)
-	if p.Sender.Host.Gossip == "" || p.Sender.Host.Gossip == l.Self.Gossip {
+	if p.Sender.Host.GossipAddress == "" || p.Sender.Host.GossipAddress == l.Self.GossipAddress {
 		return nil
 	}
 	l.spread(now, p.Sender)
@@ -66,7 +66,7 @@
 }
 
 func (l *List) answer(now clock.Milli, p Packet) []Packet {
-	from := p.Sender.Host.Gossip
+	from := p.Sender.Host.GossipAddress
 	// A host that others believe to be gone learns so from any host that it
 	// speaks to, and refutes it.
 	var beliefs []Update
@@ -75,10 +75,10 @@
 	}
 	switch p.Kind {
 	case Ping:
-		return []Packet{l.packet(from, Packet{Kind: Ack, Sequence: p.Sequence, Sum: l.sum(), Updates: beliefs})}
+		return []Packet{l.packet(from, Packet{Kind: Ack, Sequence: p.Sequence, Checksum: l.sum(), Updates: beliefs})}
 	case Ack:
 		return l.acked(now, p)
-	case PingFor:
+	case PingReq:
 		l.sequence++
 		l.proxied[l.sequence] = proxied{from: from, sequence: p.Sequence, at: now}
 		return []Packet{l.packet(p.Target, Packet{Kind: Ping, Sequence: l.sequence})}
@@ -98,9 +98,9 @@
 // acked ends a probe, or passes the answer on to the host that it was made for.
 func (l *List) acked(now clock.Milli, p Packet) []Packet {
 	delete(l.probes, p.Sequence)
-	if p.Sum != l.sum() && len(l.queue) == 0 {
+	if p.Checksum != l.sum() && len(l.queue) == 0 {
 		// What is being published would have mended it.
-		l.syncWith = p.Sender.Host.Gossip
+		l.syncWith = p.Sender.Host.GossipAddress
 		l.syncAt = min(l.syncAt, max(now, l.syncedAt+syncAgain))
 	}
 	one, ok := l.proxied[p.Sequence]
@@ -108,7 +108,7 @@
 		return nil
 	}
 	delete(l.proxied, p.Sequence)
-	return []Packet{l.packet(one.from, Packet{Kind: Ack, Sequence: one.sequence, Sum: p.Sum})}
+	return []Packet{l.packet(one.from, Packet{Kind: Ack, Sequence: one.sequence, Checksum: p.Checksum})}
 }
 
 // reconnect speaks to a host that is gone, now and then, so that parts of the
@@ -122,7 +122,7 @@
 		return nil
 	}
 	l.sequence++
-	return []Packet{l.packet(e.Host.Gossip, Packet{Kind: Ping, Sequence: l.sequence, Updates: []Update{e.Update}})}
+	return []Packet{l.packet(e.Host.GossipAddress, Packet{Kind: Ping, Sequence: l.sequence, Updates: []Update{e.Update}})}
 }
 
 // Leave says that this host takes no more forwarded requests. The hosts told
@@ -135,20 +135,20 @@
 	l.publishSelf()
 	var packets []Packet
 	for _, e := range l.sample(l.ring, leaveTold, nil) {
-		packets = append(packets, Packet{To: e.Host.Gossip, Kind: Publish, Sender: l.self.Update})
+		packets = append(packets, Packet{To: e.Host.GossipAddress, Kind: Publish, Sender: l.self.Update})
 	}
 	return packets
 }
 
-// Near is a packet for each host of the own failure domain; if there are more
+// DomainPackets is a packet for each host of the own failure domain; if there are more
 // than a number of them, for others each time.
-func (l *List) Near(now clock.Milli, most int) []Packet {
+func (l *List) DomainPackets(now clock.Milli, limit int) []Packet {
 	l.start(now)
 	l.rand.Shuffle(len(l.near), func(i, j int) { l.near[i], l.near[j] = l.near[j], l.near[i] })
-	list := l.near[:min(len(l.near), most)]
+	list := l.near[:min(len(l.near), limit)]
 	packets := make([]Packet, len(list))
 	for i, e := range list {
-		packets[i] = Packet{To: e.Host.Gossip, Kind: Publish, Sender: l.self.Update}
+		packets[i] = Packet{To: e.Host.GossipAddress, Kind: Publish, Sender: l.self.Update}
 	}
 	return packets
 }
--- a/share/mirror/follow.go
+++ b/share/mirror/follow.go
@@ -11,9 +11,9 @@
 	"dandelionstile/share/fetch"
 )
 
-// ErrHistory means that the changes since a revision are no longer known; a whole page
+// ErrCompacted means that the changes since a revision are no longer known; a whole page
 // is due.
-var ErrHistory = errors.New("history is no longer available")
+var ErrCompacted = errors.New("history is no longer available")
 
 // errStale: a host was asked that has itself not heard from the store of late.
 var errStale = errors.New("what the host has is too old")
@@ -21,20 +21,20 @@
 // Source is where pages come from. After 0 asks for a whole page.
 type Source interface {
 	Read(after int64, wait clock.Milli) (Page, error)
-	// Drop gives up its connection.
-	Drop()
+	// Disconnect gives up its connection.
+	Disconnect()
 }
 
 // Sink takes what was read, from one goroutine.
 type Sink interface {
-	// Take gets each page that was read.
-	Take(now clock.Milli, p Page)
-	// Lost and Regained tell that no source, or one again, has fresh news.
-	Lost(now clock.Milli)
-	Regained(now clock.Milli)
-	// Expecting asks for turns while a read goes on, and Turn is one.
-	Expecting() bool
-	Turn(now clock.Milli)
+	// Apply gets each page that was read.
+	Apply(now clock.Milli, p Page)
+	// StoreLost and Regained tell that no source, or one again, has fresh news.
+	StoreLost(now clock.Milli)
+	StoreRecovered(now clock.Milli)
+	// Pending asks for turns while a read goes on, and Turn is one.
+	Pending() bool
+	Tick(now clock.Milli)
 }
 
 // Timing of a follower, in ms.
@@ -58,17 +58,17 @@
 type Follower struct {
 	Self  Peer
 	Store Source
-	// Wait is how long a read of the store waits for a change. Twice as much
+	// PollTimeout is how long a read of the store waits for a change. Twice as much
 	// may pass until a host notices that the one it follows is cut off.
-	Wait clock.Milli
-	// PeerWait is how long the first read waits at most for other hosts to be known,
+	PollTimeout clock.Milli
+	// DiscoveryTimeout is how long the first read waits at most for other hosts to be known,
 	// and PeerSettle how long it waits for more of them. Hosts that start together
 	// would otherwise all read the store.
-	PeerWait, PeerSettle clock.Milli
-	Engine               *fetch.Engine
-	Clock                clock.Clock
-	Log                  zerolog.Logger
-	Sink                 Sink
+	DiscoveryTimeout, DiscoverySettle clock.Milli
+	Engine                            *fetch.Engine
+	Clock                             clock.Clock
+	Log                               zerolog.Logger
+	Sink                              Sink
 
 	mirror     Mirror
 	mu         sync.Mutex
@@ -126,13 +126,13 @@
 	select {
 	case <-f.stop:
 		return
-	case <-time.After(f.PeerWait.Duration()):
+	case <-time.After(f.DiscoveryTimeout.Duration()):
 		return
 	case <-f.peersKnown:
 	}
 	select {
 	case <-f.stop:
-	case <-time.After(min(f.PeerSettle, f.PeerWait).Duration()):
+	case <-time.After(min(f.DiscoverySettle, f.DiscoveryTimeout).Duration()):
 	}
 }
 
@@ -140,9 +140,9 @@
 func (f *Follower) Close() error {
 	close(f.stop)
 	f.done.Wait()
-	f.Store.Drop()
+	f.Store.Disconnect()
 	if f.reading != nil {
-		f.reading.Drop()
+		f.reading.Disconnect()
 	}
 	return nil
 }
@@ -167,11 +167,11 @@
 	f.pick()
 	page, err := f.read()
 	now := f.Clock.Now()
-	if err == nil && page.Age > f.Wait+slack {
+	if err == nil && page.Age > f.PollTimeout+slack {
 		f.takeOld(now, page)
 		err = errors.Wrapf(errStale, "%d ms", page.Age)
 	}
-	if errors.Is(err, ErrHistory) {
+	if errors.Is(err, ErrCompacted) {
 		f.Log.Info().Str("source", f.name()).Int64("revision", f.after).Msg("history-gone")
 		f.after = 0
 		return nil
@@ -189,7 +189,7 @@
 // gone was kept for another second by a source that had just fallen silent.
 func (f *Follower) read() (Page, error) {
 	wait := f.wait()
-	if !f.Sink.Expecting() {
+	if !f.Sink.Pending() {
 		return f.reading.Read(f.after, wait)
 	}
 	type result struct {
@@ -208,7 +208,7 @@
 		case r := <-done:
 			return r.page, r.err
 		case <-turns.C:
-			f.Sink.Turn(f.Clock.Now())
+			f.Sink.Tick(f.Clock.Now())
 		}
 	}
 }
@@ -216,10 +216,10 @@
 // wait is how long the next read waits for a change. The first read of the store
 // after its news have become old does not: others wait for the answer.
 func (f *Follower) wait() clock.Milli {
-	if f.source == theStore && f.Clock.Now()-f.freshAt > f.Wait {
+	if f.source == theStore && f.Clock.Now()-f.freshAt > f.PollTimeout {
 		return briefWait
 	}
-	return f.Wait
+	return f.PollTimeout
 }
 
 // takeOld takes what is new here from a host that has itself not heard from the
@@ -234,8 +234,8 @@
 	f.Log.Warn().Str("source", f.name()).Int64("revision", page.Revision).Int64("former", f.after).
 		Int64("age-ms", int64(page.Age)).Msg("old-news-taken")
 	f.after = page.Revision
-	f.mirror.Put(now, page)
-	f.Sink.Take(now, page)
+	f.mirror.Apply(now, page)
+	f.Sink.Apply(now, page)
 }
 
 // pick takes the best source; a change of source is logged.
@@ -247,13 +247,13 @@
 		return
 	}
 	if f.reading != nil {
-		f.reading.Drop()
+		f.reading.Disconnect()
 	}
 	f.Log.Info().Str("source", sourceName(best)).Str("former", sourceName(f.source)).Msg("source-chosen")
 	f.source = best
 	f.reading = f.Store
 	if best != theStore {
-		f.reading = &peerSource{line: fetch.Line{Engine: f.Engine, Address: best}}
+		f.reading = &peerSource{line: fetch.Client{Engine: f.Engine, Address: best}}
 	}
 }
 
@@ -274,7 +274,7 @@
 		Int64("age-ms", int64(now-f.freshAt)).Msg("source-failed")
 	if !f.lost && now-f.freshAt > lostAfter {
 		f.lost = true
-		f.Sink.Lost(now)
+		f.Sink.StoreLost(now)
 	}
 }
 
@@ -282,10 +282,10 @@
 	f.mu.Lock()
 	f.choose.worked(f.source)
 	f.mu.Unlock()
-	if f.lost || now-f.freshAt > lostAfter+f.Wait {
+	if f.lost || now-f.freshAt > lostAfter+f.PollTimeout {
 		f.Log.Info().Str("source", f.name()).Int64("away-ms", int64(now-f.freshAt)).Msg("store-regained")
-		f.Sink.Lost(now)
-		f.Sink.Regained(now)
+		f.Sink.StoreLost(now)
+		f.Sink.StoreRecovered(now)
 		f.lost = false
 	}
 	f.freshAt = max(f.freshAt, now-page.Age)
@@ -296,6 +296,6 @@
 		return // an older listing than what is known
 	}
 	f.after = max(f.after, page.Revision)
-	f.mirror.Put(now, page)
-	f.Sink.Take(now, page)
+	f.mirror.Apply(now, page)
+	f.Sink.Apply(now, page)
 }
--- a/share/mirror/mirror.go
+++ b/share/mirror/mirror.go
@@ -54,8 +54,8 @@
 	item     Item
 }
 
-// Put takes a page that was read at a time.
-func (m *Mirror) Put(now clock.Milli, p Page) {
+// Apply takes a page that was read at a time.
+func (m *Mirror) Apply(now clock.Milli, p Page) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.asOf = max(m.asOf, now-p.Age)
--- a/share/mirror/mirror_test.go
+++ b/share/mirror/mirror_test.go
@@ -25,8 +25,8 @@
 	var m Mirror
 	_, _, ok := m.Since(0, 0)
 	assert.Assert(t, !ok, "nothing is known yet")
-	m.Put(1000, Page{Whole: true, Revision: 10, Items: []Item{{Key: "a", Value: []byte("1")}}})
-	m.Put(2000, Page{Revision: 12, Items: []Item{{Key: "b", Value: []byte("2")}, {Key: "a", Deleted: true}}, Age: 300})
+	m.Apply(1000, Page{Whole: true, Revision: 10, Items: []Item{{Key: "a", Value: []byte("1")}}})
+	m.Apply(2000, Page{Revision: 12, Items: []Item{{Key: "b", Value: []byte("2")}, {Key: "a", Deleted: true}}, Age: 300})
 	p, changed, ok := m.Since(2500, 10)
 	assert.Assert(t, ok && !p.Whole && p.Revision == 12 && len(p.Items) == 2)
 	assert.Equal(t, p.Age, clock.Milli(800))
@@ -34,14 +34,14 @@
 	assert.Equal(t, len(p.Items), 0)
 	p, _, _ = m.Since(2500, 3)
 	assert.Assert(t, p.Whole && len(p.Items) == 1)
-	m.Put(3000, Page{Revision: 13, Items: []Item{{Key: "c"}}})
+	m.Apply(3000, Page{Revision: 13, Items: []Item{{Key: "c"}}})
 	select {
 	case <-changed:
 	default:
 		t.Fatal("who waits was not told")
 	}
 	for i := range int64(history + 10) {
-		m.Put(3000, Page{Revision: 20 + i, Items: []Item{{Key: "k"}}})
+		m.Apply(3000, Page{Revision: 20 + i, Items: []Item{{Key: "k"}}})
 	}
 	p, _, _ = m.Since(3000, 15)
 	assert.Assert(t, p.Whole, "the history has been cut")
@@ -94,7 +94,7 @@
 	return s.listed
 }
 
-func (s *scripted) Drop() {}
+func (s *scripted) Disconnect() {}
 
 func (s *scripted) Read(after int64, wait clock.Milli) (Page, error) {
 	end := time.Now().Add(wait.Duration())
@@ -136,27 +136,27 @@
 	turns    atomic.Int64
 }
 
-func (k *kept) Take(_ clock.Milli, p Page) {
+func (k *kept) Apply(_ clock.Milli, p Page) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.revision = max(k.revision, p.Revision)
 }
 
-func (k *kept) Lost(clock.Milli) {
+func (k *kept) StoreLost(clock.Milli) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lost++
 }
 
-func (k *kept) Regained(clock.Milli) {
+func (k *kept) StoreRecovered(clock.Milli) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.regained++
 }
 
-func (k *kept) Expecting() bool { return k.expects.Load() }
+func (k *kept) Pending() bool { return k.expects.Load() }
 
-func (k *kept) Turn(clock.Milli) { k.turns.Add(1) }
+func (k *kept) Tick(clock.Milli) { k.turns.Add(1) }
 
 func (k *kept) has(revision int64) func(poll.LogT) poll.Result {
 	return func(poll.LogT) poll.Result {
@@ -223,7 +223,7 @@
 		hosts[i] = h
 	}
 	for i, h := range hosts {
-		h.follower.Self, h.follower.Store, h.follower.Wait = peers[i], store, testWait
+		h.follower.Self, h.follower.Store, h.follower.PollTimeout = peers[i], store, testWait
 		h.follower.Engine, h.follower.Clock, h.follower.Log, h.follower.Sink = engine, clock.Wall{}, zerolog.Nop(), &h.sink
 		others := append(append([]Peer{}, peers[:i]...), peers[i+1:]...)
 		if tune == nil {
@@ -316,7 +316,7 @@
 func TestLargePagesArePacked(t *testing.T) {
 	value := bytes.Repeat([]byte(`{"name":"r-0001","host":"h.example","prefix":"/p/","route_type":"safe"}`), 4000)
 	m := Mirror{}
-	m.Put(0, Page{Whole: true, Revision: 3, Items: []Item{{Key: "k", Value: value}}})
+	m.Apply(0, Page{Whole: true, Revision: 3, Items: []Item{{Key: "k", Value: value}}})
 	page, _, _ := m.Since(0, 0)
 	body, err := m.packed(0, page)
 	assert.NilError(t, err)
@@ -334,7 +334,7 @@
 // hanging is a source that has fallen silent: its reads end with the test.
 type hanging struct{ end chan struct{} }
 
-func (h hanging) Drop() {}
+func (h hanging) Disconnect() {}
 
 func (h hanging) Read(int64, clock.Milli) (Page, error) {
 	<-h.end
@@ -350,7 +350,7 @@
 	source := hanging{make(chan struct{})}
 	var sink kept
 	sink.expects.Store(true)
-	f := Follower{Store: source, Wait: testWait, Clock: clock.Wall{}, Log: zerolog.Nop(), Sink: &sink}
+	f := Follower{Store: source, PollTimeout: testWait, Clock: clock.Wall{}, Log: zerolog.Nop(), Sink: &sink}
 	f.Start()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if sink.turns.Load() >= 3 {
@@ -365,7 +365,7 @@
 // Guards against hosts that start together and all read the store.
 func TestHostsThatStartTogetherReadOnce(t *testing.T) {
 	store := &scripted{revision: 1}
-	hosts := startTogether(t, store, 8, func(f *Follower) { f.PeerWait, f.PeerSettle = 2*clock.Second, 300 })
+	hosts := startTogether(t, store, 8, func(f *Follower) { f.DiscoveryTimeout, f.DiscoverySettle = 2*clock.Second, 300 })
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.has(1), poll.WithTimeout(5*time.Second))
 	}
@@ -375,7 +375,7 @@
 // Guards against a host that knows no other and never reads.
 func TestLoneHostReads(t *testing.T) {
 	store := &scripted{revision: 1}
-	h := startTogether(t, store, 1, func(f *Follower) { f.PeerWait, f.PeerSettle = 100, 50 })[0]
+	h := startTogether(t, store, 1, func(f *Follower) { f.DiscoveryTimeout, f.DiscoverySettle = 100, 50 })[0]
 	poll.WaitOn(t, h.sink.has(1), poll.WithTimeout(5*time.Second))
 }
 
@@ -402,7 +402,7 @@
 	hosts := startTogether(t, store, 12, func(f *Follower) {
 		way := &refusing{scripted: store}
 		ways = append(ways, way)
-		f.Store, f.PeerWait, f.PeerSettle = way, 2*clock.Second, 300
+		f.Store, f.DiscoveryTimeout, f.DiscoverySettle = way, 2*clock.Second, 300
 	})
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.has(1), poll.WithTimeout(5*time.Second))
--- a/share/mirror/peer.go
+++ b/share/mirror/peer.go
@@ -34,10 +34,10 @@
 const peerWait clock.Milli = 600
 
 // peerSource reads from another host.
-type peerSource struct{ line fetch.Line }
+type peerSource struct{ line fetch.Client }
 
-// Drop gives up the connection.
-func (s *peerSource) Drop() { s.line.Drop() }
+// Disconnect gives up the connection.
+func (s *peerSource) Disconnect() { s.line.Disconnect() }
 
 // Read asks for what is new after a revision.
 func (s *peerSource) Read(after int64, wait clock.Milli) (Page, error) {
--- a/share/mirror/serve.go
+++ b/share/mirror/serve.go
@@ -8,8 +8,8 @@
 	"dandelionstile/share/clock"
 )
 
-// Asks tells whether a request is a read of the mirror.
-func Asks(r *http.Request) bool { return r.Header.Get(headerAfter) != "" }
+// IsRead tells whether a request is a read of the mirror.
+func IsRead(r *http.Request) bool { return r.Header.Get(headerAfter) != "" }
 
 // Serve answers another host: at once if there is something new, else when
 // there is or its wait is over.
--- a/share/roster/roster.go
+++ b/share/roster/roster.go
@@ -21,22 +21,22 @@
 	Slots int
 	// Draining leafs get no new work.
 	Draining bool
-	// Born is when the leaf started, in Unix milliseconds by its own clock; it
+	// Started is when the leaf started, in Unix milliseconds by its own clock; it
 	// tells two incarnations with one ID apart. 0 is not told.
-	Born int64
-	// Cold is how much longer the leaf bears only a part of its load.
-	Cold clock.Milli
+	Started int64
+	// WarmupLeft is how much longer the leaf bears only a part of its load.
+	WarmupLeft clock.Milli
 }
 
-// Reprieve is how long an entry that disappeared while the directory was out
+// RemovalGrace is how long an entry that disappeared while the directory was out
 // of reach is still believed after the directory is back. Leafs that live
 // write their entries again within about two seconds of its return; without
 // the reprieve, a directory that lost all entries in an outage would leave
 // every route without a leaf at once.
-const Reprieve clock.Milli = 2300
+const RemovalGrace clock.Milli = 2300
 
-// Book is the directory as this host knows it. The zero value is empty.
-type Book struct {
+// Directory is the directory as this host knows it. The zero value is empty.
+type Directory struct {
 	leafs map[string]Leaf
 	// leaving holds entries that disappeared during or just after an outage,
 	// and when each is taken as gone.
@@ -47,13 +47,13 @@
 
 // Put records an entry and tells whether it changed anything. An entry of an
 // earlier incarnation than the known one arrived late and is ignored.
-func (b *Book) Put(l Leaf) bool {
+func (b *Directory) Put(l Leaf) bool {
 	if b.leafs == nil {
 		b.leafs = map[string]Leaf{}
 		b.leaving = map[string]clock.Milli{}
 	}
 	old, known := b.leafs[l.ID]
-	if known && l.Born != 0 && l.Born < old.Born {
+	if known && l.Started != 0 && l.Started < old.Started {
 		return false
 	}
 	delete(b.leaving, l.ID)
@@ -63,13 +63,13 @@
 
 // Remove records that an entry disappeared and tells whether the leaf is taken
 // as gone now.
-func (b *Book) Remove(now clock.Milli, id string) bool {
+func (b *Directory) Remove(now clock.Milli, id string) bool {
 	if _, ok := b.leafs[id]; !ok {
 		return false
 	}
 	if b.lost || now < b.until {
 		if _, ok := b.leaving[id]; !ok {
-			b.leaving[id] = max(b.until, now+Reprieve)
+			b.leaving[id] = max(b.until, now+RemovalGrace)
 		}
 		return false
 	}
@@ -79,7 +79,7 @@
 
 // Retain takes entries that a whole listing does not hold as disappeared, and
 // tells whether any leaf is taken as gone now.
-func (b *Book) Retain(now clock.Milli, listed func(id string) bool) bool {
+func (b *Directory) Retain(now clock.Milli, listed func(id string) bool) bool {
 	gone := false
 	for id := range b.leafs {
 		if !listed(id) {
@@ -89,16 +89,16 @@
 	return gone
 }
 
-// Lost says that the directory is out of reach.
-func (b *Book) Lost() { b.lost = true }
+// StoreLost says that the directory is out of reach.
+func (b *Directory) StoreLost() { b.lost = true }
 
-// Regained says that the directory answers again.
-func (b *Book) Regained(now clock.Milli) {
+// StoreRecovered says that the directory answers again.
+func (b *Directory) StoreRecovered(now clock.Milli) {
 	if !b.lost {
 		return
 	}
 	b.lost = false
-	b.until = now + Reprieve
+	b.until = now + RemovalGrace
 	for id := range b.leaving {
 		b.leaving[id] = b.until
 	}
@@ -106,7 +106,7 @@
 
 // Expire takes entries as gone whose reprieve is over and returns their ids in
 // order.
-func (b *Book) Expire(now clock.Milli) []string {
+func (b *Directory) Expire(now clock.Milli) []string {
 	if b.lost {
 		return nil
 	}
@@ -122,8 +122,8 @@
 	return gone
 }
 
-// Leafs lists the known leafs, ordered by id.
-func (b *Book) Leafs() []Leaf {
+// Leaves lists the known leafs, ordered by id.
+func (b *Directory) Leaves() []Leaf {
 	list := make([]Leaf, 0, len(b.leafs))
 	for _, l := range b.leafs {
 		list = append(list, l)
@@ -132,5 +132,5 @@
 	return list
 }
 
-// Expecting tells whether entries are about to be taken as gone.
-func (b *Book) Expecting() bool { return len(b.leaving) > 0 }
+// Pending tells whether entries are about to be taken as gone.
+func (b *Directory) Pending() bool { return len(b.leaving) > 0 }
--- a/share/router/engine.go
+++ b/share/router/engine.go
@@ -321,7 +321,7 @@
 	if f != nil && f.Leaf == l {
 		return false
 	}
-	same := f != nil && f.Born == l.Born && f.Address == l.Address && f.Service == l.Service
+	same := f != nil && f.Started == l.Started && f.Address == l.Address && f.Service == l.Service
 	if !same {
 		if f != nil {
 			e.remove(f)
@@ -337,8 +337,8 @@
 	}
 	f.Leaf = l
 	e.locate(f)
-	if l.Cold > 0 {
-		f.coldUntil = now + l.Cold
+	if l.WarmupLeft > 0 {
+		f.coldUntil = now + l.WarmupLeft
 	}
 	return !same
 }
--- a/share/router/single_test.go
+++ b/share/router/single_test.go
@@ -159,7 +159,7 @@
 // six hosts, this one sends its sixth and not more, whatever comes in.
 func TestColdLeafGetsItsPace(t *testing.T) {
 	cold := leafOf("s", "a", here)
-	cold.Cold = 3000
+	cold.WarmupLeft = 3000
 	config := table(1, single(true))
 	config.Services["s"] = route.Service{Name: "s", ColdRate: 10, Connections: 100}
 	r := newRig(t)
--- a/share/tier/callers.go
+++ b/share/tier/callers.go
@@ -71,7 +71,7 @@
 // serveForwarded takes a request that another host has from a caller, or one for
 // what this host knows.
 func (t *Server) serveForwarded(w http.ResponseWriter, r *http.Request) {
-	if t.Mirror != nil && mirror.Asks(r) {
+	if t.Mirror != nil && mirror.IsRead(r) {
 		t.Mirror.Serve(t.Clock, t.stop, w, r)
 		return
 	}
@@ -142,7 +142,7 @@
 // relayHeaders tell the other host how long the work took, and of a refusal
 // that the request has not run.
 func (t *Server) relayHeaders(w http.ResponseWriter, a router.Answer, worked clock.Milli) {
-	w.Header()[hop.HeaderForwardWorked] = []string{strconv.FormatInt(int64(worked), 10)}
+	w.Header()[hop.HeaderForwardProcessingTime] = []string{strconv.FormatInt(int64(worked), 10)}
 	if a.Merged != nil && len(a.Merged.Missing) > 0 {
 		w.Header()[hop.HeaderForwardMissing] = []string{strings.Join(a.Merged.Missing, ",")}
 	}
@@ -248,8 +248,8 @@
 	body := topk.Merge(m.Top, lists)
 	h := w.Header()
 	h[d.RequestID] = []string{r.Header.Get(d.RequestID)}
-	h[d.Parts] = []string{strings.Join(stamps, ", ")}
-	h[d.Missing] = []string{strconv.Itoa(len(m.Missing))}
+	h[d.PartStamps] = []string{strings.Join(stamps, ", ")}
+	h[d.MissingShards] = []string{strconv.Itoa(len(m.Missing))}
 	h["Content-Type"] = []string{"application/octet-stream"}
 	t.head(w, http.StatusOK, len(body))
 	_, _ = w.Write(body) // a caller that is gone is no fault of ours
--- a/share/tier/news_test.go
+++ b/share/tier/news_test.go
@@ -22,8 +22,8 @@
 	assert.NilError(t, err)
 	defer func() { assert.NilError(t, conn.Close()) }()
 	p := &peers{tier: &Server{Log: zerolog.Nop(), Clock: clock.Wall{}}, conn: conn}
-	p.list.Self = member.Host{Gossip: "127.81.0.4:9", Domain: "d"}
-	p.list.Receive(p.tier.Clock.Now(), member.Packet{Sender: member.Update{Host: member.Host{Gossip: "127.81.0.5:9", Domain: "d"}}})
+	p.list.Self = member.Host{GossipAddress: "127.81.0.4:9", Domain: "d"}
+	p.list.Receive(p.tier.Clock.Now(), member.Packet{Sender: member.Update{Host: member.Host{GossipAddress: "127.81.0.5:9", Domain: "d"}}})
 	p.tellCrashes([]crash.Report{{Fingerprint: 1, Leaf: "i-1"}})
 	for range 2 * crashTimes {
 		p.leafs = map[string]news.Leaf{"i-2": {ID: "i-2", ExtraLatency: 100}}
--- a/share/tier/peers.go
+++ b/share/tier/peers.go
@@ -54,7 +54,7 @@
 	}
 	p.tier, p.conn, p.stop, p.wake = t, conn, make(chan struct{}), make(chan struct{}, 1)
 	p.list = member.List{Seeds: t.Settings.Seeds, Self: member.Host{
-		Gossip: t.Settings.GossipAddress, Relay: t.Settings.ForwardAddress, Domain: t.Settings.Self.Domain,
+		GossipAddress: t.Settings.GossipAddress, ForwardAddress: t.Settings.ForwardAddress, Domain: t.Settings.Self.Domain,
 		Capacity: t.Settings.Self.Capacity, Started: uint64(clock.Unix()),
 	}}
 	p.done.Go(p.hear)
@@ -128,8 +128,8 @@
 	if len(packet.Crashes) > 0 {
 		p.tier.post(router.Crashes{List: packet.Crashes})
 	}
-	if len(packet.Leafs) > 0 {
-		p.tier.post(router.HeardOfLeafs{List: packet.Leafs})
+	if len(packet.Leaves) > 0 {
+		p.tier.post(router.HeardOfLeafs{List: packet.Leaves})
 	}
 	if sooner {
 		p.wakeUp()
@@ -239,7 +239,7 @@
 	list := make([]router.Peer, len(hosts))
 	for i, h := range hosts {
 		list[i] = router.Peer{
-			Address: h.Relay, Domain: h.Domain, Capacity: h.Capacity, Started: h.Started, Suspected: p.list.Suspected(h.Gossip),
+			Address: h.ForwardAddress, Domain: h.Domain, Capacity: h.Capacity, Started: h.Started, Suspected: p.list.Suspected(h.GossipAddress),
 		}
 	}
 	changes, more := p.list.Changes()
@@ -255,7 +255,7 @@
 	names := map[member.State][]string{}
 	named := changes[:min(len(changes), mostNamedHosts)]
 	for _, c := range named {
-		names[c.State] = append(names[c.State], c.Host.Gossip)
+		names[c.State] = append(names[c.State], c.Host.GossipAddress)
 	}
 	line := p.tier.Log.Info()
 	for state, key := range map[member.State]string{member.Alive: "up", member.Suspect: "up-unsure", member.Dead: "dead", member.Left: "left"} {
--- a/share/tier/peers_test.go
+++ b/share/tier/peers_test.go
@@ -60,7 +60,7 @@
 	for i := range tiers {
 		tiers[i] = &Server{
 			Settings: Settings{
-				CallerAddress: "127.0.0.1:0", ForwardAddress: strings.Split(gossip[i], ":")[0] + ":0", GossipAddress: gossip[i], Seeds: gossip, Dialect: hop.Own,
+				CallerAddress: "127.0.0.1:0", ForwardAddress: strings.Split(gossip[i], ":")[0] + ":0", GossipAddress: gossip[i], Seeds: gossip, Dialect: hop.DefaultDialect,
 				Self: router.Place{Domain: domains[i], Region: "r"}, Regions: map[string]string{"d": "r", "e": "r"},
 			},
 			Log: zerolog.New(&logs[i]), Clock: clock.Wall{},
--- a/share/tier/reports.go
+++ b/share/tier/reports.go
@@ -78,10 +78,10 @@
 	p.mu.Lock()
 	list := slices.Collect(maps.Values(p.leafs))
 	p.leafs, p.flush = nil, nil
-	packets := p.list.Near(p.tier.Clock.Now(), newsHosts)
+	packets := p.list.DomainPackets(p.tier.Clock.Now(), newsHosts)
 	p.mu.Unlock()
 	for i := range packets {
-		packets[i].Leafs = list
+		packets[i].Leaves = list
 	}
 	p.send(packets)
 }
--- a/share/tier/tier.go
+++ b/share/tier/tier.go
@@ -80,10 +80,10 @@
 	t.events = make(chan router.Event, queueLength)
 	t.stop = make(chan struct{})
 	t.stopped = make(chan struct{})
-	t.pool = hop.Pool{Dialect: t.Settings.Dialect, Source: t.Settings.SourceIP, Clock: t.Clock, Report: t.report, Probed: t.probed, Absent: t.absent}
+	t.pool = hop.Pool{Dialect: t.Settings.Dialect, Source: t.Settings.SourceIP, Clock: t.Clock, OnDone: t.report, OnProbed: t.probed, OnConnRefused: t.absent}
 	t.server = httpd.Server{
 		Address: t.Settings.CallerAddress, Handler: t.around(t.serve),
-		Refused: t.refusedUnread,
+		OnRejected: t.refusedUnread,
 	}
 	go t.loop()
 	if err := t.server.Start(); err != nil {
@@ -118,8 +118,8 @@
 	if f.Table != nil {
 		l := f.Table.Limits
 		t.server.SetLimits(httpd.Limits{
-			HeaderBytes: l.MaxHeaderBytes, BodyBytes: l.MaxBodyBytes,
-			Silence: l.HeaderTimeout.Duration(), Idle: l.IdleTimeout.Duration(),
+			MaxHeaderBytes: l.MaxHeaderBytes, MaxBodyBytes: l.MaxBodyBytes,
+			StallTimeout: l.HeaderTimeout.Duration(), IdleTimeout: l.IdleTimeout.Duration(),
 		})
 	}
 	t.post(f)
@@ -198,7 +198,7 @@
 		case router.Forward:
 			t.pool.Forward(a)
 		case router.Warm:
-			t.pool.Warm(a.Address)
+			t.pool.Preconnect(a.Address)
 		case router.Probe:
 			t.pool.Probe(a)
 		case router.CheckConn:
--- a/share/tier/tier_test.go
+++ b/share/tier/tier_test.go
@@ -36,7 +36,7 @@
 func newRig(t *testing.T) *rig {
 	t.Helper()
 	r := &rig{t: t, tier: &Server{
-		Settings: Settings{CallerAddress: "127.0.0.1:0", Dialect: hop.Own, Self: router.Place{Domain: "d", Region: "r"}, Regions: map[string]string{"d": "r"}},
+		Settings: Settings{CallerAddress: "127.0.0.1:0", Dialect: hop.DefaultDialect, Self: router.Place{Domain: "d", Region: "r"}, Regions: map[string]string{"d": "r"}},
 		Log:      zerolog.Nop(), Clock: clock.Wall{},
 	}}
 	assert.NilError(t, r.tier.Start())
@@ -331,7 +331,7 @@
 		asked.Add(1)
 		body, err := io.ReadAll(q.Body)
 		assert.Check(t, err)
-		w.Header().Set(hop.Own.Stamp, "x")
+		w.Header().Set(hop.DefaultDialect.Stamp, "x")
 		_, _ = fmt.Fprint(w, len(body)) // the test reads the answer
 	})
 	r.openWithin(route.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 1000, HeaderTimeout: 300, IdleTimeout: 5000})
