--- a/aggregator/core/codec.go
+++ b/aggregator/core/codec.go
@@ -50,7 +50,7 @@
 
 func grantTo(a gate.Grant) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_Grant{Grant: &wire.Grant{
-		Claim: a.ID, Servers: agesTo(a.Servers), SpanMs: uint32(a.Span),
+		Claim: a.ID, Servers: agesTo(a.Servers), SpanMs: uint32(a.Duration),
 	}}}
 }
 
--- a/aggregator/core/core.go
+++ b/aggregator/core/core.go
@@ -106,15 +106,15 @@
 	case node.Message:
 		c.node.Handle(now, m)
 	case leafs.Finished:
-		if m.Result.ConnLost || m.Result.NotOpened {
+		if m.Result.ConnLost || m.Result.DialFailed {
 			c.pool.Shut(m.Result.Conn)
 		}
-		c.act(now, c.gate.Done(now, m.Result))
+		c.act(now, c.gate.CallDone(now, m.Result))
 	case leafs.Probed:
-		c.act(now, c.gate.Probed(now, m.Leaf, m.Conn, m.Sign, m.Err))
+		c.act(now, c.gate.ProbeDone(now, m.Leaf, m.Conn, m.Status, m.Err))
 	case leafs.Closed:
 		c.pool.Shut(m.Conn)
-		c.act(now, c.gate.Closed(now, m.Leaf, m.Conn))
+		c.act(now, c.gate.ConnClosed(now, m.Leaf, m.Conn))
 	case begin:
 		m.done <- c.node.Start()
 	case tick:
@@ -150,7 +150,7 @@
 			c.pool.Probe(c.addrs[a.Leaf], a)
 		case gate.Abort:
 			c.pool.Abort(c.addrs[a.Leaf], a)
-		case gate.Shut:
+		case gate.CloseConn:
 			c.pool.Shut(a.Conn)
 		case gate.Reply:
 			c.reply(a, replies)
@@ -162,11 +162,11 @@
 			c.sendTo(a.Host, grantTo(a))
 		case gate.Release:
 			c.sendTo(a.Host, releaseTo(a))
-		case gate.Struck:
+		case gate.ShareStrike:
 			c.Log.Warn().Uint64("fingerprint", a.Strike.Fingerprint).Int("count", a.Strike.Count).
 				Msg("request crashed a backend server")
 			c.node.ShareStrike(now, a.Strike, nil)
-		case gate.Note:
+		case gate.LeafEvent:
 			c.Log.Info().Str("leaf", a.Leaf).Str("cause", a.Cause).Msg(a.Event)
 			c.Meter.Count("leaf_events", 1, meter.Label{Name: "event", Value: a.Event}, meter.Label{Name: "cause", Value: a.Cause})
 		}
@@ -236,7 +236,7 @@
 		s.Leaves = append(s.Leaves, show.Leaf{
 			Leaf: l.Leaf, Server: l.Server, Service: l.Service, Primary: l.Primary, Exclusive: l.Exclusive,
 			Busy: l.Busy, Queued: l.Queued, Limit: l.Limit, Slots: l.Slots, Conns: l.Conns,
-			RampLeft: int64(l.RampLeft), Closed: string(l.Closed),
+			RampLeft: int64(l.RampLeft), Closed: string(l.ClosedReason),
 		})
 	}
 	return s
@@ -326,14 +326,14 @@
 	delete(c.links, l.ID)
 	if c.peers[l.Peer.GetHost()] == l {
 		delete(c.peers, l.Peer.GetHost())
-		c.gate.HostGone(now, l.Peer.GetHost())
+		c.gate.HostDown(now, l.Peer.GetHost())
 		for _, other := range c.links {
 			if other.Peer.GetProgram() == node.Aggregator && other.Peer.GetHost() == l.Peer.GetHost() {
 				c.peers[l.Peer.GetHost()] = other
 			}
 		}
 	}
-	c.act(now, c.gate.LinkGone(now, l.ID))
+	c.act(now, c.gate.LinkClosed(now, l.ID))
 }
 
 func (o owner) RTT(clock.Milli, *mesh.Link, time.Duration) {}
@@ -341,12 +341,12 @@
 func (o owner) PeerLeaving(clock.Milli, *mesh.Link, bool) {}
 
 func (o owner) MergeStrike(now clock.Milli, s poison.Strike) bool {
-	news, out := o.c.gate.Strike(now, s)
+	news, out := o.c.gate.MergeStrike(now, s)
 	o.c.act(now, out)
 	return news
 }
 
-func (o owner) VersionsConfirmed(clock.Milli) { o.c.gate.Unfence() }
+func (o owner) VersionsConfirmed(clock.Milli) { o.c.gate.ResumeAdmission() }
 
 // Bounds of Dials.
 const (
@@ -380,14 +380,14 @@
 		}
 	case *wire.Envelope_Claim:
 		if b.Claim.GetRelease() {
-			c.gate.Released(now, l.Peer.GetHost(), agesFrom(b.Claim.GetServers()))
+			c.gate.ReleaseReceived(now, l.Peer.GetHost(), agesFrom(b.Claim.GetServers()))
 			return
 		}
 		id, servers := claimFrom(b.Claim)
-		c.act(now, c.gate.Claimed(now, l.Peer.GetHost(), id, servers))
+		c.act(now, c.gate.ClaimReceived(now, l.Peer.GetHost(), id, servers))
 	case *wire.Envelope_Grant:
 		id, servers, span := grantFrom(b.Grant)
-		c.act(now, c.gate.Granted(now, l.Peer.GetHost(), id, servers, span))
+		c.act(now, c.gate.GrantReceived(now, l.Peer.GetHost(), id, servers, span))
 	default:
 		c.Meter.Count("bad_frames", 1)
 		c.Log.Warn().Str("peer", l.Peer.GetHost()).Msg("unexpected message from peer")
@@ -404,9 +404,9 @@
 			Pin:   invent.SnapshotID{Layout: b.GetLayout(), Version: b.GetSnapshot()},
 			Shard: int(w.GetShard()), Text: b.GetText(), Limit: int(b.GetLimit()), Parent: span.Parent(),
 		}
-		c.act(now, c.gate.Arrive(now, gate.Call{
+		c.act(now, c.gate.Submit(now, gate.Call{
 			Key: key, Leaf: w.GetLeaf(), Caller: b.GetCaller(), Deadline: now + clock.Milli(b.GetBudgetMs()),
-			Fingerprint: b.GetFingerprint(), Canary: w.GetCanary(), Again: w.GetAgain(), Pin: job.Pin, Request: job,
+			Fingerprint: b.GetFingerprint(), Canary: w.GetCanary(), SecondCanary: w.GetAgain(), Pin: job.Pin, Request: job,
 		}))
 	}
 }
@@ -418,7 +418,7 @@
 		Attempt: c.attempt(key), Service: u.GetService(), Parent: u.GetTrace(),
 		Update: &leafs.UpdateJob{ID: u.GetTicket(), Operation: u.GetOperation(), Key: u.GetKey(), Body: u.GetBody()},
 	}
-	c.act(now, c.gate.Arrive(now, gate.Call{
+	c.act(now, c.gate.Submit(now, gate.Call{
 		Key: key, Leaf: u.GetLeaf(), Deadline: now + clock.Milli(u.GetBudgetMs()),
 		Fingerprint: u.GetFingerprint(), Canary: true, Update: true, Request: job,
 	}))
--- a/aggregator/leafs/codec.go
+++ b/aggregator/leafs/codec.go
@@ -155,8 +155,8 @@
 }
 
 // sign reads what the headers tell of the leaf.
-func sign(h http.Header) gate.Sign {
-	s := gate.Sign{Draining: h.Get(headerState) == stateDraining}
+func sign(h http.Header) gate.LeafStatus {
+	s := gate.LeafStatus{Draining: h.Get(headerState) == stateDraining}
 	s.Incarnation, _ = strconv.ParseUint(h.Get(headerIncarnation), 10, 64) // 0 is "not told"
 	if text := h.Get(headerSnapshots); text != "" {
 		for _, one := range strings.Split(text, ",") {
--- a/aggregator/leafs/pool.go
+++ b/aggregator/leafs/pool.go
@@ -20,10 +20,10 @@
 
 // Probed reports a probe's result to the control loop.
 type Probed struct {
-	Leaf string
-	Conn gate.ConnID
-	Sign gate.Sign
-	Err  error
+	Leaf   string
+	Conn   gate.ConnID
+	Status gate.LeafStatus
+	Err    error
 }
 
 // Closed reports to the control loop that a connection was closed.
@@ -104,7 +104,7 @@
 	if err != nil {
 		return r
 	}
-	r.Sign = sign(reply.Header)
+	r.Status = sign(reply.Header)
 	r.Outcome.Kind = query.Unknown
 	return r
 }
@@ -140,7 +140,7 @@
 func (j *Job) complete(r gate.Result, reply fetch.Reply, err error) gate.Result {
 	switch {
 	case errors.Is(err, fetch.ErrNotOpened):
-		r.NotOpened = true
+		r.DialFailed = true
 		r.Outcome = query.Outcome{Kind: query.NotRun, Reason: query.ReasonUnreachable}
 		return r
 	case err != nil:
@@ -148,7 +148,7 @@
 		r.Outcome = query.Outcome{Kind: query.Died, Reason: query.ReasonReset}
 		return r
 	}
-	r.Sign = sign(reply.Header)
+	r.Status = sign(reply.Header)
 	o, err := j.outcome(reply)
 	if err != nil {
 		// The connection delivers what was not asked for: it goes.
@@ -185,7 +185,7 @@
 		if err == nil && reply.Status >= http.StatusInternalServerError {
 			err = ErrStatus
 		}
-		p.Report(Probed{Leaf: leaf, Conn: id, Sign: sign(reply.Header), Err: err})
+		p.Report(Probed{Leaf: leaf, Conn: id, Status: sign(reply.Header), Err: err})
 	})
 }
 
--- a/bench/scene/scene.go
+++ b/bench/scene/scene.go
@@ -59,7 +59,7 @@
 // Variants are other settings of single choices, to weigh them.
 func Variants() []Policy {
 	return []Policy{
-		{Name: "least-loaded", Policies: virt.Policies{Fanout: fanout.Policy{Choose: fanout.ChooseLeast}}},
+		{Name: "least-loaded", Policies: virt.Policies{Fanout: fanout.Policy{Choose: fanout.ChooseLeastLoaded}}},
 		{Name: "random", Policies: virt.Policies{Fanout: fanout.Policy{Choose: fanout.ChooseRandom}}},
 		{Name: "no-canary", Policies: virt.Policies{Fanout: fanout.Policy{NoCanary: true}}},
 		{Name: "no-hedge", Policies: virt.Policies{Fanout: fanout.Policy{NoHedge: true}}},
--- a/bench/slope/measure.go
+++ b/bench/slope/measure.go
@@ -44,7 +44,7 @@
 		l.Points = append(l.Points, Point{float64(shards), microseconds(func() {
 			id++
 			now++
-			answerAll(e, now, e.Start(now, fanout.Request{
+			answerAll(e, now, e.StartQuery(now, fanout.Request{
 				ID: id, Service: "v000", Text: "x", Caller: "c", Limit: 10, Deadline: now + 1000,
 			}))
 			e.Tick(now)
@@ -62,7 +62,7 @@
 			continue
 		}
 		for _, c := range b.Calls {
-			e.Outcome(now, query.Outcome{Call: c.ID, Kind: query.OK, Rows: rows})
+			e.CallDone(now, query.Outcome{Call: c.ID, Kind: query.OK, Rows: rows})
 		}
 	}
 }
@@ -76,12 +76,12 @@
 		l.Points = append(l.Points, Point{float64(leafs), microseconds(func() {
 			id++
 			*now++
-			for _, a := range e.Arrive(*now, gate.Call{
+			for _, a := range e.Submit(*now, gate.Call{
 				Key: gate.Key{Link: 1, ID: id}, Leaf: names[id%uint64(len(names))], Caller: "c",
 				Deadline: *now + 1000, Fingerprint: id,
 			}) {
 				if s, ok := a.(gate.Send); ok {
-					e.Done(*now, gate.Result{Leaf: s.Leaf, Conn: s.Conn, Key: s.Call.Key, Outcome: query.Outcome{Kind: query.OK}})
+					e.CallDone(*now, gate.Result{Leaf: s.Leaf, Conn: s.Conn, Key: s.Call.Key, Outcome: query.Outcome{Kind: query.OK}})
 				}
 			}
 		})})
@@ -132,7 +132,7 @@
 func probeAll(e *gate.Engine, now clock.Milli, actions []gate.Action) {
 	for _, a := range actions {
 		if p, ok := a.(gate.Probe); ok {
-			e.Probed(now, p.Leaf, p.Conn, gate.Sign{Incarnation: 1, Holds: []invent.SnapshotID{{Layout: 1, Version: 1}}}, nil)
+			e.ProbeDone(now, p.Leaf, p.Conn, gate.LeafStatus{Incarnation: 1, Holds: []invent.SnapshotID{{Layout: 1, Version: 1}}}, nil)
 		}
 	}
 }
--- a/bench/slope/world.go
+++ b/bench/slope/world.go
@@ -69,12 +69,12 @@
 	e.Configure(cfg, hosts)
 	for _, h := range hosts {
 		e.HostUp(h.Name)
-		e.HostRTT(h.Name, 1)
+		e.RecordRTT(h.Name, 1)
 	}
 	pin := invent.SnapshotID{Layout: 1, Version: 1}
 	for _, s := range cfg.Inventory.Servers {
 		for _, l := range s.Leaves {
-			e.Feedback(query.Feedback{Leaf: l.Name, Limit: 2, Holds: []invent.SnapshotID{pin}, CallTime: 10})
+			e.SetFeedback(query.Feedback{Leaf: l.Name, Limit: 2, Holds: []invent.SnapshotID{pin}, CallTime: 10})
 		}
 	}
 	return e
--- a/bench/virt/host.go
+++ b/bench/virt/host.go
@@ -40,7 +40,7 @@
 		Self: h.Name, Domain: h.Domain, Policy: w.Policies.Fanout,
 		Random: rand.New(rand.NewPCG(w.Seed, uint64(h.Index)<<8|h.incarnation)),
 	}
-	h.Fan.Incarnate(h.incarnation)
+	h.Fan.SetIncarnation(h.incarnation)
 	h.Gate = &gate.Engine{Self: h.Name, Domain: h.Domain, Policy: w.Policies.Gate}
 	h.configure(w.Config)
 	w.Clock.After(1, h.relinkAll)
@@ -143,15 +143,15 @@
 		h.linked[other.Name] = up
 		if !up {
 			h.actFan(h.Fan.HostDown(now, other.Name))
-			h.actGate(h.Gate.LinkGone(now, uint64(other.Index)))
-			h.Gate.HostGone(now, other.Name)
+			h.actGate(h.Gate.LinkClosed(now, uint64(other.Index)))
+			h.Gate.HostDown(now, other.Name)
 			continue
 		}
 		h.Fan.HostUp(other.Name)
 		h.Gate.PeerUp()
-		h.Fan.HostRTT(other.Name, float64(2*h.World.delay(h.Domain, other.Domain)))
+		h.Fan.RecordRTT(other.Name, float64(2*h.World.delay(h.Domain, other.Domain)))
 		for _, fb := range other.Gate.Feedback(now) {
-			h.Fan.Feedback(fb)
+			h.Fan.SetFeedback(fb)
 		}
 	}
 }
@@ -163,7 +163,7 @@
 func (h *Host) tickGate() {
 	out, paused := h.Gate.Tick(h.World.Now())
 	if paused {
-		h.World.Clock.After(50, func() { h.do(func() { h.configure(h.World.Config); h.Gate.Unfence() }) })
+		h.World.Clock.After(50, func() { h.do(func() { h.configure(h.World.Config); h.Gate.ResumeAdmission() }) })
 	}
 	h.actGate(out)
 }
@@ -202,7 +202,7 @@
 				break
 			}
 			w.Clock.After(2*w.Deployment.Region, func() {
-				h.do(func() { h.actFan(h.Fan.Shared(w.Now(), a.Query)) })
+				h.do(func() { h.actFan(h.Fan.StrikeShared(w.Now(), a.Query)) })
 			})
 		case fanout.SendUpdate:
 			to := w.host(a.Host)
@@ -225,8 +225,8 @@
 
 func (h *Host) strike(s poison.Strike) {
 	now := h.World.Now()
-	h.Fan.Strike(now, s)
-	_, out := h.Gate.Strike(now, s)
+	h.Fan.MergeStrike(now, s)
+	_, out := h.Gate.MergeStrike(now, s)
 	h.actGate(out)
 }
 
@@ -243,9 +243,9 @@
 func (h *Host) batch(from *Host, a fanout.SendBatch, budget clock.Milli) {
 	now := h.World.Now()
 	for _, c := range a.Calls {
-		h.actGate(h.Gate.Arrive(now, gate.Call{
+		h.actGate(h.Gate.Submit(now, gate.Call{
 			Key: gate.Key{Link: uint64(from.Index), ID: c.ID}, Leaf: c.Leaf, Caller: a.Caller,
-			Deadline: now + budget, Fingerprint: a.Fingerprint, Canary: c.Canary, Again: c.Again, Pin: a.Pin,
+			Deadline: now + budget, Fingerprint: a.Fingerprint, Canary: c.Canary, SecondCanary: c.SecondCanary, Pin: a.Pin,
 			Request: job{entry: from, query: a.Query, pin: a.Pin, shard: c.Shard, text: a.Text},
 		}))
 	}
@@ -253,7 +253,7 @@
 
 func (h *Host) update(from *Host, a fanout.SendUpdate, budget clock.Milli) {
 	now := h.World.Now()
-	h.actGate(h.Gate.Arrive(now, gate.Call{
+	h.actGate(h.Gate.Submit(now, gate.Call{
 		Key: gate.Key{Link: uint64(from.Index), ID: a.Call}, Leaf: a.Leaf,
 		Deadline: now + budget, Fingerprint: a.Fingerprint, Canary: true, Update: true,
 		Request: job{entry: from, update: &a, text: a.Update.Body},
@@ -265,15 +265,15 @@
 	w := h.World
 	owner := w.host(a.Host)
 	if owner == nil || owner.down || w.cut(h.Domain, owner.Domain) {
-		h.actFan(h.Fan.ForwardFailed(a.Update.Number))
+		h.actFan(h.Fan.ForwardFailed(a.Update.RequestID))
 		return
 	}
 	w.deliver(h.Domain, owner, func() {
 		u := a.Update
 		w.nextID++
-		u.Number = w.nextID
-		w.Stats.remote[u.Number] = func(r fanout.UpdateResult) {
-			w.deliver(owner.Domain, h, func() { h.actFan(h.Fan.ForwardOutcome(a.Update.Number, r)) })
+		u.RequestID = w.nextID
+		w.Stats.remote[u.RequestID] = func(r fanout.UpdateResult) {
+			w.deliver(owner.Domain, h, func() { h.actFan(h.Fan.ForwardDone(a.Update.RequestID, r)) })
 		}
 		owner.actFan(owner.Fan.StartUpdate(w.Now(), u))
 	})
@@ -287,36 +287,36 @@
 		case gate.Send:
 			w.Leafs[a.Leaf].send(h, a)
 		case gate.Probe:
-			w.Leafs[a.Leaf].probe(h, a.Conn, a.Fresh)
+			w.Leafs[a.Leaf].probe(h, a.Conn, a.NewConn)
 		case gate.Abort:
 			w.Leafs[a.Leaf].abort(h, a)
-		case gate.Shut:
+		case gate.CloseConn:
 			w.Leafs[a.Leaf].shut(connKey{h.Index, h.incarnation, a.Conn})
 		case gate.Reply:
 			h.reply(a)
 		case gate.Publish:
 			for _, e := range w.Hosts {
-				w.deliver(h.Domain, e, func() { e.Fan.Feedback(a.Feedback) })
+				w.deliver(h.Domain, e, func() { e.Fan.SetFeedback(a.Feedback) })
 			}
 		case gate.Claim:
 			if to := w.host(a.Host); to != nil {
 				w.deliver(h.Domain, to, func() {
-					to.actGate(to.Gate.Claimed(w.Now(), h.Name, a.ID, a.Servers))
+					to.actGate(to.Gate.ClaimReceived(w.Now(), h.Name, a.ID, a.Servers))
 				})
 			}
 		case gate.Grant:
 			if to := w.host(a.Host); to != nil {
 				w.deliver(h.Domain, to, func() {
-					to.actGate(to.Gate.Granted(w.Now(), h.Name, a.ID, a.Servers, a.Span))
+					to.actGate(to.Gate.GrantReceived(w.Now(), h.Name, a.ID, a.Servers, a.Duration))
 				})
 			}
 		case gate.Release:
 			if to := w.host(a.Host); to != nil {
-				w.deliver(h.Domain, to, func() { to.Gate.Released(w.Now(), h.Name, a.Servers) })
+				w.deliver(h.Domain, to, func() { to.Gate.ReleaseReceived(w.Now(), h.Name, a.Servers) })
 			}
-		case gate.Struck:
+		case gate.ShareStrike:
 			h.share(a.Strike)
-		case gate.Note:
+		case gate.LeafEvent:
 			w.Stats.Notes[a.Event+": "+a.Cause]++
 		}
 	}
@@ -331,8 +331,8 @@
 			return
 		}
 		// Query and update calls share one sequence; the engine knows which.
-		entry.actFan(entry.Fan.Outcome(w.Now(), a.Outcome))
-		entry.actFan(entry.Fan.UpdateOutcome(w.Now(), a.Key.ID, fanout.UpdateResult{
+		entry.actFan(entry.Fan.CallDone(w.Now(), a.Outcome))
+		entry.actFan(entry.Fan.UpdateDone(w.Now(), a.Key.ID, fanout.UpdateResult{
 			Kind: a.Outcome.Kind, Reason: a.Outcome.Reason, RetryAfter: a.Outcome.RetryAfter,
 			Body: a.Outcome.Body, Strikes: a.Outcome.Strikes,
 		}))
--- a/bench/virt/leaf.go
+++ b/bench/virt/leaf.go
@@ -111,8 +111,8 @@
 	return f.straggle * (1 + (f.w.Model.ColdFactor-1)*max(0, 1-share))
 }
 
-func (f *Leaf) sign() gate.Sign {
-	return gate.Sign{Incarnation: f.incarnation, Draining: f.draining, Holds: f.holds}
+func (f *Leaf) sign() gate.LeafStatus {
+	return gate.LeafStatus{Incarnation: f.incarnation, Draining: f.draining, Holds: f.holds}
 }
 
 // reach opens the connection if it is fresh, and passes the way there. It tells
@@ -185,7 +185,7 @@
 			stop()
 		}
 	})
-	f.probe(h, a.Conn, a.Fresh)
+	f.probe(h, a.Conn, a.NewConn)
 }
 
 func (f *Leaf) probe(h *Host, id gate.ConnID, fresh bool) {
@@ -194,14 +194,14 @@
 		if !opened {
 			h.do(func() {
 				if h.incarnation == born {
-					h.actGate(h.Gate.Probed(f.w.Now(), f.spec.Name, id, gate.Sign{}, errRefused))
+					h.actGate(h.Gate.ProbeDone(f.w.Now(), f.spec.Name, id, gate.LeafStatus{}, errRefused))
 				}
 			})
 			return
 		}
 		f.back(h, id, func() {
 			f.unseen = false
-			h.actGate(h.Gate.Probed(f.w.Now(), f.spec.Name, id, f.sign(), nil))
+			h.actGate(h.Gate.ProbeDone(f.w.Now(), f.spec.Name, id, f.sign(), nil))
 		})
 	})
 }
@@ -210,13 +210,13 @@
 func (f *Leaf) send(h *Host, s gate.Send) {
 	born := h.incarnation
 	result := gate.Result{Leaf: f.spec.Name, Conn: s.Conn, Key: s.Call.Key}
-	f.reach(h, s.Conn, s.Fresh, func(opened bool) {
+	f.reach(h, s.Conn, s.NewConn, func(opened bool) {
 		if !opened {
 			h.do(func() {
 				if h.incarnation == born {
-					result.NotOpened, result.ConnLost = s.Fresh, true
+					result.DialFailed, result.ConnLost = s.NewConn, true
 					result.Outcome = query.Outcome{Kind: query.NotRun, Reason: query.ReasonUnreachable}
-					h.actGate(h.Gate.Done(f.w.Now(), result))
+					h.actGate(h.Gate.CallDone(f.w.Now(), result))
 				}
 			})
 			return
@@ -227,8 +227,8 @@
 
 func (f *Leaf) finish(h *Host, s gate.Send, r gate.Result, o query.Outcome) {
 	f.back(h, s.Conn, func() {
-		r.Outcome, r.Sign = o, f.sign()
-		h.actGate(h.Gate.Done(f.w.Now(), r))
+		r.Outcome, r.Status = o, f.sign()
+		h.actGate(h.Gate.CallDone(f.w.Now(), r))
 	})
 }
 
@@ -402,14 +402,14 @@
 // idle one is just closed.
 func (h *Host) connLost(f *Leaf, id gate.ConnID) {
 	now := h.World.Now()
-	if key, busy := h.Gate.OnConn(f.spec.Name, id); busy {
-		h.actGate(h.Gate.Done(now, gate.Result{
+	if key, busy := h.Gate.CallOnConn(f.spec.Name, id); busy {
+		h.actGate(h.Gate.CallDone(now, gate.Result{
 			Leaf: f.spec.Name, Conn: id, Key: key, ConnLost: true,
 			Outcome: query.Outcome{Kind: query.Died, Reason: query.ReasonReset},
 		}))
 		return
 	}
-	h.actGate(h.Gate.Closed(now, f.spec.Name, id))
+	h.actGate(h.Gate.ConnClosed(now, f.spec.Name, id))
 }
 
 // Silence makes a share of all open connections silent for good.
--- a/bench/virt/stats.go
+++ b/bench/virt/stats.go
@@ -155,7 +155,7 @@
 	}
 	w.Clock.After(w.Deployment.Caller, func() {
 		h.do(func() {
-			h.actFan(h.Fan.Start(w.Now(), fanout.Request{
+			h.actFan(h.Fan.StartQuery(w.Now(), fanout.Request{
 				ID: id, Service: service, Text: text, Caller: caller, Limit: 1000, Deadline: w.Now() + budget,
 			}))
 		})
--- a/bench/virt/update.go
+++ b/bench/virt/update.go
@@ -27,7 +27,7 @@
 	w.Clock.After(w.Deployment.Caller, func() {
 		h.do(func() {
 			h.actFan(h.Fan.StartUpdate(w.Now(), fanout.Update{
-				Number: number, ID: id, Service: service, Operation: "status-update", Key: "key-" + id.String(),
+				RequestID: number, ID: id, Service: service, Operation: "status-update", Key: "key-" + id.String(),
 				Body: body, Deadline: w.Now() + budget,
 			}))
 		})
@@ -36,14 +36,14 @@
 
 func (w *World) updated(_ *Host, a fanout.UpdateAnswered) {
 	s := &w.Stats
-	if pass, ok := s.remote[a.Number]; ok {
-		delete(s.remote, a.Number)
+	if pass, ok := s.remote[a.RequestID]; ok {
+		delete(s.remote, a.RequestID)
 		pass(a.Result)
 		return
 	}
 	s.Updates[a.Result.Kind]++
-	if done := s.onUpdate[a.Number]; done != nil {
-		delete(s.onUpdate, a.Number)
+	if done := s.onUpdate[a.RequestID]; done != nil {
+		delete(s.onUpdate, a.RequestID)
 		w.Clock.After(w.Deployment.Caller, func() { done(a.Result) })
 	}
 }
--- a/bench/virt/world.go
+++ b/bench/virt/world.go
@@ -27,7 +27,7 @@
 		Fanout: fanout.Policy{
 			Choose: fanout.ChooseRandom, FixedRetries: 3, NoHedge: true, NoCanary: true, NoBackpressure: true,
 		},
-		Gate: gate.Policy{NoRamp: true, NoFair: true, Order: gate.OrderOldest, QueuePerSlot: 64},
+		Gate: gate.Policy{NoRamp: true, NoFairness: true, Order: gate.OrderOldest, QueuePerSlot: 64},
 	}
 }
 
--- a/entry/core/admin.go
+++ b/entry/core/admin.go
@@ -19,7 +19,7 @@
 }
 
 func (c *Core) shownService(name string) show.Service {
-	reach := c.fan.Reach(name)
+	reach := c.fan.Coverage(name)
 	v := show.Service{
 		Service: name, Shards: reach.Shards, Answered: reach.Answered, Missing: show.MissingFrom(reach.Missing),
 	}
--- a/entry/core/codec.go
+++ b/entry/core/codec.go
@@ -13,7 +13,7 @@
 		BudgetMs: uint32(budget), Fingerprint: a.Fingerprint, Trace: trace, Caller: a.Caller,
 	}
 	for _, c := range a.Calls {
-		b.Calls = append(b.Calls, &wire.Call{Id: c.ID, Leaf: c.Leaf, Shard: uint32(c.Shard), Canary: c.Canary, Again: c.Again})
+		b.Calls = append(b.Calls, &wire.Call{Id: c.ID, Leaf: c.Leaf, Shard: uint32(c.Shard), Canary: c.Canary, Again: c.SecondCanary})
 	}
 	return &wire.Envelope{Body: &wire.Envelope_Batch{Batch: b}}
 }
@@ -28,7 +28,7 @@
 
 func forwardTo(u fanout.Update, budget clock.Milli) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_Update{Update: &wire.Update{
-		Id: u.Number, Ticket: u.ID.String(), Service: u.Service, Operation: u.Operation,
+		Id: u.RequestID, Ticket: u.ID.String(), Service: u.Service, Operation: u.Operation,
 		Key: u.Key, Body: u.Body, BudgetMs: uint32(budget),
 	}}}
 }
--- a/entry/core/core.go
+++ b/entry/core/core.go
@@ -110,7 +110,7 @@
 		Self: c.Settings.Host.Name, Domain: c.Settings.Host.Domain,
 		Random: rand.New(rand.NewPCG(incarnation, uint64(time.Now().UnixNano()))),
 	}
-	c.fan.Incarnate(incarnation)
+	c.fan.SetIncarnation(incarnation)
 	c.node = node.Node{
 		Settings: c.Settings, Program: node.Entry, Incarnation: incarnation, Log: c.Log, Meter: c.Meter,
 		Delegate: owner{c}, HTTP: &c.http, Post: func(m node.Message) bool { return c.loop.Post(m) },
@@ -158,14 +158,14 @@
 	span := c.Tracer.Start(m.trace, "query",
 		attribute.String("service", m.req.Service), attribute.Int64("budget-ms", int64(m.budget)))
 	c.queries[c.last] = &openQuery{reply: m.reply, span: span, start: now, req: m.req}
-	c.act(now, c.fan.Start(now, m.req))
+	c.act(now, c.fan.StartQuery(now, m.req))
 }
 
 // left ends the query whose caller waited for a reply.
 func (c *Core) left(now clock.Milli, reply chan Answered) {
 	for id, q := range c.queries {
 		if q.reply == reply {
-			c.act(now, c.fan.Leave(now, id))
+			c.act(now, c.fan.CancelQuery(now, id))
 			return
 		}
 	}
@@ -196,7 +196,7 @@
 		case fanout.ShareStrike:
 			c.node.ShareStrike(now, a.Strike, func(now clock.Milli) {
 				if a.Query != 0 {
-					c.act(now, c.fan.Shared(now, a.Query))
+					c.act(now, c.fan.StrikeShared(now, a.Query))
 				}
 			})
 		case fanout.SendUpdate:
@@ -220,7 +220,7 @@
 	}
 	// Nothing left this host, so the calls have not run.
 	for _, call := range a.Calls {
-		c.act(now, c.fan.Outcome(now, query.Outcome{Call: call.ID, Kind: query.NotRun, Reason: query.ReasonBusy}))
+		c.act(now, c.fan.CallDone(now, query.Outcome{Call: call.ID, Kind: query.NotRun, Reason: query.ReasonBusy}))
 	}
 }
 
@@ -231,9 +231,9 @@
 	}
 	delete(c.queries, a.Query)
 	id := fmt.Sprintf("%s.%x.%x", c.Settings.Host.Name, c.node.Incarnation, a.Query)
-	c.recent.add(Explained{ID: id, Service: q.req.Service, Arrived: q.start, Answered: now, Answer: a.Answer, Trail: a.Trail})
+	c.recent.add(Explained{ID: id, Service: q.req.Service, Arrived: q.start, Answered: now, Answer: a.Answer, Trail: a.Steps})
 	c.count(now, q, a.Answer)
-	for _, s := range a.Trail {
+	for _, s := range a.Steps {
 		q.span.Event(string(s.Event), attribute.Int("shard", s.Shard), attribute.String("leaf", s.Leaf),
 			attribute.String("host", s.Host), attribute.String("cause", string(s.Cause)))
 	}
--- a/entry/core/links.go
+++ b/entry/core/links.go
@@ -71,7 +71,7 @@
 
 func (o owner) RTT(_ clock.Milli, l *mesh.Link, trip time.Duration) {
 	if l.Peer.GetProgram() == node.Aggregator {
-		o.c.fan.HostRTT(l.Peer.GetHost(), float64(trip.Microseconds())/1000)
+		o.c.fan.RecordRTT(l.Peer.GetHost(), float64(trip.Microseconds())/1000)
 	}
 }
 
@@ -81,7 +81,7 @@
 	}
 }
 
-func (o owner) MergeStrike(now clock.Milli, s poison.Strike) bool { return o.c.fan.Strike(now, s) }
+func (o owner) MergeStrike(now clock.Milli, s poison.Strike) bool { return o.c.fan.MergeStrike(now, s) }
 
 func (o owner) VersionsConfirmed(clock.Milli) {}
 
@@ -106,18 +106,18 @@
 	switch b := m.Body.(type) {
 	case *wire.Envelope_Outcomes:
 		for _, fb := range b.Outcomes.GetFeedback() {
-			c.fan.Feedback(wire.FeedbackFrom(fb))
+			c.fan.SetFeedback(wire.FeedbackFrom(fb))
 		}
 		for _, w := range b.Outcomes.GetOutcomes() {
-			c.act(now, c.fan.Outcome(now, wire.OutcomeFrom(w)))
+			c.act(now, c.fan.CallDone(now, wire.OutcomeFrom(w)))
 		}
 	case *wire.Envelope_UpdateReply:
 		res := updateResultFrom(b.UpdateReply)
 		if l.Peer.GetProgram() == node.Entry {
-			c.act(now, c.fan.ForwardOutcome(b.UpdateReply.GetId(), res))
+			c.act(now, c.fan.ForwardDone(b.UpdateReply.GetId(), res))
 			return
 		}
-		c.act(now, c.fan.UpdateOutcome(now, b.UpdateReply.GetId(), res))
+		c.act(now, c.fan.UpdateDone(now, b.UpdateReply.GetId(), res))
 	case *wire.Envelope_Update:
 		c.forwarded(now, l, b.Update)
 	default:
--- a/entry/core/updates.go
+++ b/entry/core/updates.go
@@ -33,7 +33,7 @@
 
 func (c *Core) update(now clock.Milli, m update) {
 	c.last++
-	m.req.Number = c.last
+	m.req.RequestID = c.last
 	if m.budget == 0 {
 		m.budget = c.deadline(m.req.Service)
 	}
@@ -54,14 +54,14 @@
 
 func (c *Core) sendUpdate(now clock.Milli, a fanout.SendUpdate) {
 	trace := ""
-	if u := c.updates[a.Update.Number]; u != nil {
+	if u := c.updates[a.Update.RequestID]; u != nil {
 		trace = u.span.Parent()
 	}
 	l := c.aggs[a.Host]
 	if l != nil && c.node.Send(l, updateTo(a, max(0, a.Update.Deadline-now), trace)) {
 		return
 	}
-	c.act(now, c.fan.UpdateOutcome(now, a.Call, fanout.UpdateResult{Kind: query.NotRun, Reason: query.ReasonBusy}))
+	c.act(now, c.fan.UpdateDone(now, a.Call, fanout.UpdateResult{Kind: query.NotRun, Reason: query.ReasonBusy}))
 }
 
 // forward hands an update to the entry that minted its id, dialing it first if
@@ -69,7 +69,7 @@
 func (c *Core) forward(now clock.Milli, a fanout.Forward) {
 	if l := c.entries[a.Host]; l != nil {
 		if !c.node.Send(l, forwardTo(a.Update, max(0, a.Update.Deadline-now))) {
-			c.act(now, c.fan.ForwardFailed(a.Update.Number))
+			c.act(now, c.fan.ForwardFailed(a.Update.RequestID))
 		}
 		return
 	}
@@ -80,7 +80,7 @@
 			return
 		}
 	}
-	c.act(now, c.fan.ForwardOutcome(a.Update.Number, fanout.UpdateResult{
+	c.act(now, c.fan.ForwardDone(a.Update.RequestID, fanout.UpdateResult{
 		Kind: query.Unknown, Reason: query.ReasonOwnerGone,
 	}))
 }
@@ -88,16 +88,16 @@
 func (c *Core) updated(a fanout.UpdateAnswered) {
 	c.Meter.Count("updates", 1, meter.Label{Name: "result", Value: a.Result.Kind.String()},
 		meter.Label{Name: "reason", Value: string(a.Result.Reason)})
-	if r, ok := c.remote[a.Number]; ok {
-		delete(c.remote, a.Number)
+	if r, ok := c.remote[a.RequestID]; ok {
+		delete(c.remote, a.RequestID)
 		c.node.Send(r.link, updateReplyTo(r.id, a.Result))
 		return
 	}
-	u := c.updates[a.Number]
+	u := c.updates[a.RequestID]
 	if u == nil {
 		return
 	}
-	delete(c.updates, a.Number)
+	delete(c.updates, a.RequestID)
 	u.span.Set(attribute.String("result", a.Result.Kind.String()), attribute.String("reason", string(a.Result.Reason)))
 	u.span.End()
 	u.reply <- a.Result
@@ -132,7 +132,7 @@
 	c.last++
 	c.remote[c.last] = remote{link: l, id: w.GetId()}
 	c.act(now, c.fan.StartUpdate(now, fanout.Update{
-		Number: c.last, ID: id, Service: w.GetService(), Operation: w.GetOperation(),
+		RequestID: c.last, ID: id, Service: w.GetService(), Operation: w.GetOperation(),
 		Key: w.GetKey(), Body: w.GetBody(), Deadline: now + clock.Milli(w.GetBudgetMs()),
 	}))
 }
--- a/share/fanout/answer.go
+++ b/share/fanout/answer.go
@@ -43,7 +43,7 @@
 	}
 	e.forget(now, q, c)
 	calls, extra := q.load()
-	return append(out, Answered{Query: q.ID, Trail: q.trail, Answer: query.Answer{
+	return append(out, Answered{Query: q.ID, Steps: q.trail, Answer: query.Answer{
 		Pin: q.pin, Rows: query.Merge(q.rows, q.Limit), Coverage: c, Calls: calls, Extra: extra,
 	}})
 }
@@ -53,14 +53,14 @@
 	q.note(now, Step{Event: EventRefused, Cause: why})
 	e.forget(now, q, query.Coverage{})
 	calls, extra := q.load()
-	return append(out, Answered{Query: q.ID, Trail: q.trail, Answer: query.Answer{
+	return append(out, Answered{Query: q.ID, Steps: q.trail, Answer: query.Answer{
 		Refused: why, RetryAfter: wait, Calls: calls, Extra: extra,
 	}})
 }
 
-// Leave ends a query whose caller has gone: nobody reads its answer, and its calls
+// CancelQuery ends a query whose caller has gone: nobody reads its answer, and its calls
 // are slots that other callers wait for.
-func (e *Engine) Leave(now clock.Milli, id uint64) []Action {
+func (e *Engine) CancelQuery(now clock.Milli, id uint64) []Action {
 	e.init()
 	e.now = now
 	q := e.queries[id]
--- a/share/fanout/canary.go
+++ b/share/fanout/canary.go
@@ -92,8 +92,8 @@
 	e.good.Drop(fingerprint)
 }
 
-// Shared says that the peers know of a query's strike.
-func (e *Engine) Shared(now clock.Milli, id uint64) []Action {
+// StrikeShared says that the peers know of a query's strike.
+func (e *Engine) StrikeShared(now clock.Milli, id uint64) []Action {
 	q := e.queries[id]
 	if q == nil || !q.struck {
 		return nil
--- a/share/fanout/engine.go
+++ b/share/fanout/engine.go
@@ -27,7 +27,7 @@
 	Shard  int
 	Canary bool
 	// Again: a server died under the query's first canary; this is the second.
-	Again bool
+	SecondCanary bool
 }
 
 // SendBatch sends a query's calls to one aggregator.
@@ -54,7 +54,7 @@
 type Answered struct {
 	Query  uint64
 	Answer query.Answer
-	Trail  []Step
+	Steps  []Step
 }
 
 // ShareStrike tells all peers of a strike; with a query, the program calls
@@ -84,16 +84,16 @@
 
 // The events.
 const (
-	EventPinned   Event = "pinned"
-	EventRepinned Event = "repinned"
-	EventCanary   Event = "canary"
-	EventSent     Event = "sent"
-	EventRetried  Event = "retried"
-	EventHedged   Event = "hedged"
-	EventFailed   Event = "failed"
-	EventMissing  Event = "missing"
-	EventHeld     Event = "held-by-budget"
-	EventRefused  Event = "refused"
+	EventPinned       Event = "pinned"
+	EventRepinned     Event = "repinned"
+	EventCanary       Event = "canary"
+	EventSent         Event = "sent"
+	EventRetried      Event = "retried"
+	EventHedged       Event = "hedged"
+	EventFailed       Event = "failed"
+	EventMissing      Event = "missing"
+	EventHeldByBudget Event = "held-by-budget"
+	EventRefused      Event = "refused"
 )
 
 // Choice is how a replica is chosen.
@@ -102,7 +102,7 @@
 // The choices.
 const (
 	ChoosePowerOfTwo Choice = iota
-	ChooseLeast
+	ChooseLeastLoaded
 	ChooseRandom
 )
 
@@ -243,7 +243,7 @@
 	e.early = map[string]query.Feedback{}
 	for _, fb := range early {
 		if e.leafs[fb.Leaf] != nil {
-			e.Feedback(fb)
+			e.SetFeedback(fb)
 		}
 	}
 }
@@ -278,8 +278,8 @@
 // Config returns the configuration in force, or nil.
 func (e *Engine) Config() *invent.Config { return e.cfg }
 
-// Feedback takes what an aggregator knows of a leaf.
-func (e *Engine) Feedback(fb query.Feedback) {
+// SetFeedback takes what an aggregator knows of a leaf.
+func (e *Engine) SetFeedback(fb query.Feedback) {
 	e.init()
 	f := e.leafs[fb.Leaf]
 	if f == nil {
@@ -297,8 +297,8 @@
 	f.fb, f.known = fb, true
 }
 
-// Strike takes a strike from another host and tells whether it was news.
-func (e *Engine) Strike(now clock.Milli, s poison.Strike) bool { return e.strikes.Merge(now, s) }
+// MergeStrike takes a strike from another host and tells whether it was news.
+func (e *Engine) MergeStrike(now clock.Milli, s poison.Strike) bool { return e.strikes.Merge(now, s) }
 
 // Strikes lists the requests refused now.
 func (e *Engine) Strikes(now clock.Milli) []poison.Strike { return e.strikes.Active(now) }
--- a/share/fanout/engine_test.go
+++ b/share/fanout/engine_test.go
@@ -39,11 +39,11 @@
 	e.Configure(cfg, hosts)
 	for _, h := range hosts {
 		e.HostUp(h.Name)
-		e.HostRTT(h.Name, 1)
+		e.RecordRTT(h.Name, 1)
 	}
-	e.HostRTT("host-b", 1)
+	e.RecordRTT("host-b", 1)
 	for _, name := range []string{"a0", "a1", "b0", "b1"} {
-		e.Feedback(query.Feedback{Leaf: name, Limit: 2, Holds: []invent.SnapshotID{pin}})
+		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Holds: []invent.SnapshotID{pin}})
 	}
 	return e
 }
@@ -69,7 +69,7 @@
 }
 
 func ask(e *Engine, now clock.Milli, id uint64) []Action {
-	return e.Start(now, Request{ID: id, Service: "search", Text: "red", Caller: "c", Limit: 10, Deadline: now + 500})
+	return e.StartQuery(now, Request{ID: id, Service: "search", Text: "red", Caller: "c", Limit: 10, Deadline: now + 500})
 }
 
 func ok(call uint64, key string) query.Outcome {
@@ -84,7 +84,7 @@
 	e.HostUp("host-a")
 	e.HostUp("host-b")
 	for _, name := range []string{"a0", "a1", "b0", "b1"} {
-		e.Feedback(query.Feedback{Leaf: name, Limit: 2, Holds: []invent.SnapshotID{pin}})
+		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Holds: []invent.SnapshotID{pin}})
 	}
 	cfg, hosts := testConfig()
 	e.Configure(cfg, hosts)
@@ -98,8 +98,8 @@
 	e := proven()
 	sent := calls(ask(e, 1, 1))
 	assert.Equal(t, len(sent), 2)
-	e.Outcome(5, ok(sent[0].ID, "x"))
-	a, done := answerOf(e.Outcome(6, ok(sent[1].ID, "y")))
+	e.CallDone(5, ok(sent[0].ID, "x"))
+	a, done := answerOf(e.CallDone(6, ok(sent[1].ID, "y")))
 	assert.Assert(t, done)
 	assert.Assert(t, a.Coverage.Complete())
 	assert.Equal(t, len(a.Rows), 2)
@@ -111,10 +111,10 @@
 func TestLostReplicasAreReported(t *testing.T) {
 	e := proven()
 	sent := calls(ask(e, 1, 1))
-	e.Outcome(5, ok(sent[0].ID, "x"))
-	again := calls(e.Outcome(6, query.Outcome{Call: sent[1].ID, Kind: query.Unknown, Reason: query.ReasonReset}))
+	e.CallDone(5, ok(sent[0].ID, "x"))
+	again := calls(e.CallDone(6, query.Outcome{Call: sent[1].ID, Kind: query.Unknown, Reason: query.ReasonReset}))
 	assert.Equal(t, len(again), 1)
-	a, done := answerOf(e.Outcome(7, query.Outcome{Call: again[0].ID, Kind: query.Unknown, Reason: query.ReasonReset}))
+	a, done := answerOf(e.CallDone(7, query.Outcome{Call: again[0].ID, Kind: query.Unknown, Reason: query.ReasonReset}))
 	assert.Assert(t, done)
 	assert.Equal(t, a.Coverage.Answered, 1)
 	assert.DeepEqual(t, a.Coverage.Missing, []query.Missing{{Shard: sent[1].Shard, Reason: query.ReasonReset}})
@@ -126,13 +126,13 @@
 func TestLateReplyChangesNothing(t *testing.T) {
 	e := proven()
 	sent := calls(ask(e, 1, 1))
-	e.Outcome(5, ok(sent[0].ID, "x"))
-	_, done := answerOf(e.Outcome(6, ok(sent[1].ID, "y")))
+	e.CallDone(5, ok(sent[0].ID, "x"))
+	_, done := answerOf(e.CallDone(6, ok(sent[1].ID, "y")))
 	assert.Assert(t, done)
-	assert.Equal(t, len(e.Outcome(7, ok(sent[1].ID, "y"))), 0)
+	assert.Equal(t, len(e.CallDone(7, ok(sent[1].ID, "y"))), 0)
 	next := calls(ask(e, 8, 2))
-	e.Outcome(9, ok(next[0].ID, "z"))
-	a, _ := answerOf(e.Outcome(9, ok(next[1].ID, "w")))
+	e.CallDone(9, ok(next[0].ID, "z"))
+	a, _ := answerOf(e.CallDone(9, ok(next[1].ID, "w")))
 	assert.Equal(t, len(a.Rows), 2)
 }
 
@@ -141,16 +141,16 @@
 func TestQueryStartsOverOnTheNextSnapshot(t *testing.T) {
 	e := proven()
 	sent := calls(ask(e, 1, 1))
-	e.Outcome(2, ok(sent[0].ID, "old"))
+	e.CallDone(2, ok(sent[0].ID, "old"))
 	next := invent.SnapshotID{Layout: 1, Version: 2}
 	for _, name := range []string{"a0", "a1", "b0", "b1"} {
-		e.Feedback(query.Feedback{Leaf: name, Limit: 2, Holds: []invent.SnapshotID{next}})
+		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Holds: []invent.SnapshotID{next}})
 	}
-	out := e.Outcome(3, query.Outcome{Call: sent[1].ID, Kind: query.NotRun, Reason: query.ReasonSnapshot})
+	out := e.CallDone(3, query.Outcome{Call: sent[1].ID, Kind: query.NotRun, Reason: query.ReasonSnapshot})
 	again := calls(out)
 	assert.Equal(t, len(again), 2)
-	e.Outcome(4, ok(again[0].ID, "new"))
-	a, done := answerOf(e.Outcome(5, ok(again[1].ID, "new too")))
+	e.CallDone(4, ok(again[0].ID, "new"))
+	a, done := answerOf(e.CallDone(5, ok(again[1].ID, "new too")))
 	assert.Assert(t, done)
 	assert.Equal(t, a.Pin, next)
 	for _, r := range a.Rows {
@@ -168,7 +168,7 @@
 		sent := calls(ask(e, clock.Milli(id+1), id+1))
 		first += len(sent)
 		for _, c := range sent {
-			extra += len(calls(e.Outcome(clock.Milli(id+1), query.Outcome{Call: c.ID, Kind: query.Unknown, Reason: query.ReasonReset})))
+			extra += len(calls(e.CallDone(clock.Milli(id+1), query.Outcome{Call: c.ID, Kind: query.Unknown, Reason: query.ReasonReset})))
 		}
 		e.Tick(clock.Milli(id + 1))
 	}
@@ -181,11 +181,11 @@
 	e := proven()
 	sent := calls(ask(e, 1, 1))
 	for _, name := range []string{"a0", "a1", "b0", "b1"} {
-		e.Feedback(query.Feedback{Leaf: name, Limit: 2, Busy: 2, Holds: []invent.SnapshotID{pin}})
+		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Busy: 2, Holds: []invent.SnapshotID{pin}})
 	}
 	assert.Equal(t, len(calls(e.Tick(1+hedgeUnknown))), 0)
 	for _, name := range []string{"a0", "a1", "b0", "b1"} {
-		e.Feedback(query.Feedback{Leaf: name, Limit: 2, Holds: []invent.SnapshotID{pin}})
+		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Holds: []invent.SnapshotID{pin}})
 	}
 	hedges := calls(e.Tick(2 + hedgeUnknown))
 	assert.Equal(t, len(hedges), 2)
@@ -215,13 +215,13 @@
 	e := testEngine(Policy{})
 	canary := calls(ask(e, 1, 1))
 	assert.Equal(t, len(canary), 1)
-	out := e.Outcome(2, query.Outcome{Call: canary[0].ID, Kind: query.Died, Strikes: 1, RetryAfter: 1000})
+	out := e.CallDone(2, query.Outcome{Call: canary[0].ID, Kind: query.Died, Strikes: 1, RetryAfter: 1000})
 	assert.Equal(t, len(calls(out)), 0)
-	second := calls(e.Shared(3, 1))
+	second := calls(e.StrikeShared(3, 1))
 	assert.Equal(t, len(second), 1)
-	assert.Assert(t, second[0].Again)
-	e.Outcome(4, query.Outcome{Call: second[0].ID, Kind: query.Died, Strikes: 2, RetryAfter: 600000})
-	a, done := answerOf(e.Shared(5, 1))
+	assert.Assert(t, second[0].SecondCanary)
+	e.CallDone(4, query.Outcome{Call: second[0].ID, Kind: query.Died, Strikes: 2, RetryAfter: 600000})
+	a, done := answerOf(e.StrikeShared(5, 1))
 	assert.Assert(t, done)
 	assert.Equal(t, a.Refused, query.ReasonCrashed)
 	a, done = answerOf(ask(e, 6, 2))
@@ -233,10 +233,10 @@
 // startUpdate runs a new update and returns its call.
 func startUpdate(t *testing.T, e *Engine) (Update, SendUpdate) {
 	t.Helper()
-	e.Incarnate(5)
+	e.SetIncarnation(5)
 	ids, err := e.Mint(1, 1)
 	assert.NilError(t, err)
-	u := Update{Number: 1, ID: ids[0], Service: "search", Operation: "status-update", Key: "k", Body: "b", Deadline: 500}
+	u := Update{RequestID: 1, ID: ids[0], Service: "search", Operation: "status-update", Key: "k", Body: "b", Deadline: 500}
 	sent, isSend := e.StartUpdate(1, u)[0].(SendUpdate)
 	assert.Assert(t, isSend)
 	return u, sent
@@ -250,7 +250,7 @@
 	out := e.HostDown(2, sent.Host)
 	assert.Equal(t, len(out), 1)
 	assert.Equal(t, out[0].(UpdateAnswered).Result.Kind, query.Unknown)
-	u.Number = 2
+	u.RequestID = 2
 	again := e.StartUpdate(3, u)
 	assert.Equal(t, len(again), 1)
 	assert.Equal(t, again[0].(UpdateAnswered).Result.Kind, query.Unknown)
@@ -262,12 +262,12 @@
 	e := testEngine(Policy{})
 	u, sent := startUpdate(t, e)
 	refused := UpdateResult{Kind: query.NotRun, Reason: query.ReasonDraining}
-	next, isSend := e.UpdateOutcome(2, sent.Call, refused)[0].(SendUpdate)
+	next, isSend := e.UpdateDone(2, sent.Call, refused)[0].(SendUpdate)
 	assert.Assert(t, isSend)
 	assert.Assert(t, next.Leaf != sent.Leaf)
-	out := e.UpdateOutcome(3, next.Call, refused)
+	out := e.UpdateDone(3, next.Call, refused)
 	assert.Equal(t, out[0].(UpdateAnswered).Result.Kind, query.NotRun)
-	u.Number = 2
+	u.RequestID = 2
 	_, isSend = e.StartUpdate(4, u)[0].(SendUpdate)
 	assert.Assert(t, isSend)
 }
@@ -277,14 +277,14 @@
 func TestSameUpdateTwiceAtOnce(t *testing.T) {
 	e := testEngine(Policy{})
 	u, sent := startUpdate(t, e)
-	u.Number = 2
+	u.RequestID = 2
 	assert.Equal(t, len(e.StartUpdate(1, u)), 0)
-	out := e.UpdateOutcome(2, sent.Call, UpdateResult{Kind: query.OK, Body: "done"})
+	out := e.UpdateDone(2, sent.Call, UpdateResult{Kind: query.OK, Body: "done"})
 	assert.Equal(t, len(out), 2)
 	for _, a := range out {
 		assert.Equal(t, a.(UpdateAnswered).Result.Body, "done")
 	}
-	u.Number, u.Body = 3, "another charge"
+	u.RequestID, u.Body = 3, "another charge"
 	reused := e.StartUpdate(3, u)[0].(UpdateAnswered).Result
 	assert.Equal(t, reused.Reason, query.ReasonReused)
 }
@@ -294,7 +294,7 @@
 func TestUnreachableOwnerIsUnknown(t *testing.T) {
 	e := testEngine(Policy{})
 	u, _ := startUpdate(t, e)
-	u.Number, u.ID.Host = 9, "host-b"
+	u.RequestID, u.ID.Host = 9, "host-b"
 	_, isForward := e.StartUpdate(1, u)[0].(Forward)
 	assert.Assert(t, isForward)
 	out := e.OwnerDown("host-b")
@@ -317,7 +317,7 @@
 func TestQuarantinedAnswerSaysWhenToComeBack(t *testing.T) {
 	e := testEngine(Policy{})
 	canary := calls(ask(e, 1, 1))
-	a, done := answerOf(e.Outcome(2, query.Outcome{Call: canary[0].ID, Kind: query.NotRun, Reason: query.ReasonQuarantined}))
+	a, done := answerOf(e.CallDone(2, query.Outcome{Call: canary[0].ID, Kind: query.NotRun, Reason: query.ReasonQuarantined}))
 	assert.Assert(t, done)
 	assert.Equal(t, a.Refused, query.ReasonQuarantined)
 	assert.Assert(t, a.RetryAfter > 0)
@@ -329,7 +329,7 @@
 func TestCallsEndWhenTheCallerLeaves(t *testing.T) {
 	e := proven()
 	sent := calls(ask(e, 1, 1))
-	actions := e.Leave(5, 1)
+	actions := e.CancelQuery(5, 1)
 	called := 0
 	for _, a := range actions {
 		if c, ok := a.(CancelCalls); ok {
@@ -341,6 +341,6 @@
 	assert.Assert(t, done)
 	assert.Equal(t, a.Refused, query.ReasonCallerGone)
 	assert.Assert(t, e.Idle())
-	assert.Equal(t, len(e.Outcome(6, ok(sent[0].ID, "x"))), 0)
-	assert.Equal(t, len(e.Leave(7, 1)), 0)
+	assert.Equal(t, len(e.CallDone(6, ok(sent[0].ID, "x"))), 0)
+	assert.Equal(t, len(e.CancelQuery(7, 1)), 0)
 }
--- a/share/fanout/hosts.go
+++ b/share/fanout/hosts.go
@@ -50,8 +50,8 @@
 	e.host(name).leaving = leaving
 }
 
-// HostRTT gives a measured round trip to an aggregator, in milliseconds.
-func (e *Engine) HostRTT(name string, rtt float64) {
+// RecordRTT gives a measured round trip to an aggregator, in milliseconds.
+func (e *Engine) RecordRTT(name string, rtt float64) {
 	e.init()
 	h := e.host(name)
 	if h.rtt == 0 {
@@ -83,7 +83,7 @@
 	sort.Slice(lost, func(i, j int) bool { return lost[i].id < lost[j].id })
 	var out []Action
 	for _, a := range lost {
-		out = append(out, e.Outcome(now, query.Outcome{Call: a.id, Kind: query.Unknown, Reason: query.ReasonUnreachable})...)
+		out = append(out, e.CallDone(now, query.Outcome{Call: a.id, Kind: query.Unknown, Reason: query.ReasonUnreachable})...)
 	}
 	for _, s := range e.services {
 		s.dirty = true
--- a/share/fanout/outcome.go
+++ b/share/fanout/outcome.go
@@ -5,11 +5,11 @@
 	"dandelionstile/share/query"
 )
 
-// Outcome takes the final word on a call. A late one, whose query has its
+// CallDone takes the final word on a call. A late one, whose query has its
 // answer or was pinned anew, changes nothing.
-func (e *Engine) Outcome(now clock.Milli, o query.Outcome) []Action {
+func (e *Engine) CallDone(now clock.Milli, o query.Outcome) []Action {
 	if o.Feedback != nil {
-		e.Feedback(*o.Feedback)
+		e.SetFeedback(*o.Feedback)
 	}
 	a := e.attempts[o.Call]
 	if a == nil {
--- a/share/fanout/pick.go
+++ b/share/fanout/pick.go
@@ -104,7 +104,7 @@
 	if len(near) == 1 {
 		return near[0]
 	}
-	if e.Policy.Choose == ChooseLeast {
+	if e.Policy.Choose == ChooseLeastLoaded {
 		best := near[0]
 		for _, c := range near[1:] {
 			if c.cost < best.cost {
--- a/share/fanout/pins.go
+++ b/share/fanout/pins.go
@@ -56,9 +56,9 @@
 	return e.choosePin(s)
 }
 
-// Reach tells, for a service's current pin, how many shards could be answered
+// Coverage tells, for a service's current pin, how many shards could be answered
 // now.
-func (e *Engine) Reach(name string) query.Coverage {
+func (e *Engine) Coverage(name string) query.Coverage {
 	s := e.services[name]
 	if s == nil {
 		return query.Coverage{}
--- a/share/fanout/query.go
+++ b/share/fanout/query.go
@@ -76,8 +76,8 @@
 	q.trail = append(q.trail, s)
 }
 
-// Start takes a query. The answer may come at once.
-func (e *Engine) Start(now clock.Milli, r Request) []Action {
+// StartQuery takes a query. The answer may come at once.
+func (e *Engine) StartQuery(now clock.Milli, r Request) []Action {
 	e.init()
 	e.now = now
 	s := e.services[r.Service]
@@ -198,7 +198,7 @@
 	if ev != EventSent {
 		q.note(now, Step{Event: ev, Shard: i, Leaf: c.leaf.name, Host: c.host, Cause: st.last})
 	}
-	b.add(q, c.host, CallSpec{ID: e.lastCall, Leaf: c.leaf.name, Shard: i, Canary: canary, Again: q.deaths > 0})
+	b.add(q, c.host, CallSpec{ID: e.lastCall, Leaf: c.leaf.name, Shard: i, Canary: canary, SecondCanary: q.deaths > 0})
 }
 
 // batches gathers a query's calls by aggregator.
--- a/share/fanout/retry.go
+++ b/share/fanout/retry.go
@@ -66,7 +66,7 @@
 	// A call that never reached a leaf costs leafs nothing when it is made
 	// again; all others draw on the budget.
 	if o.Kind != query.NotRun && !e.extra(q.service) {
-		q.note(now, Step{Event: EventHeld, Shard: a.shard, Cause: o.Reason})
+		q.note(now, Step{Event: EventHeldByBudget, Shard: a.shard, Cause: o.Reason})
 		st.last = o.Reason
 		return false
 	}
--- a/share/fanout/tick.go
+++ b/share/fanout/tick.go
@@ -31,7 +31,7 @@
 func (e *Engine) tick(now clock.Milli, q *running) []Action {
 	if q.struck {
 		if now >= q.strikeUntil {
-			return e.Shared(now, q.ID)
+			return e.StrikeShared(now, q.ID)
 		}
 		return nil
 	}
@@ -105,7 +105,7 @@
 	}
 	st.hedged = true
 	if !e.extra(q.service) {
-		q.note(now, Step{Event: EventHeld, Shard: i})
+		q.note(now, Step{Event: EventHeldByBudget, Shard: i})
 		return
 	}
 	e.send(now, q, i, e.choose(free), false, EventHedged, b)
--- a/share/fanout/update.go
+++ b/share/fanout/update.go
@@ -14,8 +14,8 @@
 
 // Update is a caller's change on one leaf.
 type Update struct {
-	// Number is this entry's own name for the request.
-	Number    uint64
+	// RequestID is this entry's own name for the request.
+	RequestID uint64
 	ID        ticket.ID
 	Service   string
 	Operation string
@@ -62,8 +62,8 @@
 
 // UpdateAnswered gives an update its result.
 type UpdateAnswered struct {
-	Number uint64
-	Result UpdateResult
+	RequestID uint64
+	Result    UpdateResult
 }
 
 func (SendUpdate) action()     {}
@@ -99,9 +99,9 @@
 
 func (u *updates) idle() bool { return len(u.running) == 0 && len(u.away) == 0 }
 
-// Incarnate names this process as the owner of the ids that it mints. Call it
+// SetIncarnation names this process as the owner of the ids that it mints. Call it
 // once, before anything is minted.
-func (e *Engine) Incarnate(incarnation uint64) {
+func (e *Engine) SetIncarnation(incarnation uint64) {
 	e.init()
 	e.updates.book.Host = e.Self
 	e.updates.book.Incarnation = incarnation
@@ -119,11 +119,11 @@
 	e.init()
 	book := &e.updates.book
 	if u.ID.Host != book.Host {
-		e.updates.away[u.Number] = &forwarded{Update: u, host: u.ID.Host}
+		e.updates.away[u.RequestID] = &forwarded{Update: u, host: u.ID.Host}
 		return []Action{Forward{Host: u.ID.Host, Update: u}}
 	}
 	if left, blocked := e.strikes.Blocked(now, fingerprintOf(u)); blocked {
-		return answerUpdate(u.Number, UpdateResult{Kind: query.NotRun, Reason: query.ReasonQuarantined, RetryAfter: left})
+		return answerUpdate(u.RequestID, UpdateResult{Kind: query.NotRun, Reason: query.ReasonQuarantined, RetryAfter: left})
 	}
 	verdict, result := book.Begin(now, u.ID, u.content())
 	switch verdict {
@@ -131,15 +131,15 @@
 		return e.runUpdate(now, u)
 	case ticket.Join:
 		r := e.updates.byID[u.ID]
-		r.waiting = append(r.waiting, u.Number)
+		r.waiting = append(r.waiting, u.RequestID)
 		return nil
 	case ticket.Done:
-		return answerUpdate(u.Number, result)
+		return answerUpdate(u.RequestID, result)
 	case ticket.Reused, ticket.NeverMinted:
-		return answerUpdate(u.Number, UpdateResult{Kind: query.NotRun, Reason: query.ReasonReused})
+		return answerUpdate(u.RequestID, UpdateResult{Kind: query.NotRun, Reason: query.ReasonReused})
 	case ticket.Foreign, ticket.Unknown:
 	}
-	return answerUpdate(u.Number, UpdateResult{Kind: query.Unknown, Reason: query.ReasonOwnerGone})
+	return answerUpdate(u.RequestID, UpdateResult{Kind: query.Unknown, Reason: query.ReasonOwnerGone})
 }
 
 func fingerprintOf(u Update) uint64 {
@@ -147,11 +147,11 @@
 }
 
 func answerUpdate(number uint64, r UpdateResult) []Action {
-	return []Action{UpdateAnswered{Number: number, Result: r}}
+	return []Action{UpdateAnswered{RequestID: number, Result: r}}
 }
 
 func (e *Engine) runUpdate(now clock.Milli, u Update) []Action {
-	r := &runningUpdate{Update: u, tried: map[string]bool{}, waiting: []uint64{u.Number}}
+	r := &runningUpdate{Update: u, tried: map[string]bool{}, waiting: []uint64{u.RequestID}}
 	e.updates.byID[u.ID] = r
 	return e.sendUpdate(now, r, query.ReasonNone)
 }
@@ -209,9 +209,9 @@
 	return list[i], true
 }
 
-// UpdateOutcome takes the final word on an update that was sent to an
+// UpdateDone takes the final word on an update that was sent to an
 // aggregator. It is tried elsewhere only when nothing ran.
-func (e *Engine) UpdateOutcome(now clock.Milli, call uint64, res UpdateResult) []Action {
+func (e *Engine) UpdateDone(now clock.Milli, call uint64, res UpdateResult) []Action {
 	r := e.updates.running[call]
 	if r == nil {
 		return nil
@@ -238,13 +238,13 @@
 	}
 	var out []Action
 	for _, n := range r.waiting {
-		out = append(out, UpdateAnswered{Number: n, Result: res})
+		out = append(out, UpdateAnswered{RequestID: n, Result: res})
 	}
 	return out
 }
 
-// ForwardOutcome takes the owner's answer to a forwarded update.
-func (e *Engine) ForwardOutcome(number uint64, res UpdateResult) []Action {
+// ForwardDone takes the owner's answer to a forwarded update.
+func (e *Engine) ForwardDone(number uint64, res UpdateResult) []Action {
 	if _, ok := e.updates.away[number]; !ok {
 		return nil
 	}
@@ -255,7 +255,7 @@
 // ForwardFailed says that an update's owner was not reached. Nothing ran now,
 // but an earlier sending of the id may have run, so the answer is unknown.
 func (e *Engine) ForwardFailed(number uint64) []Action {
-	return e.ForwardOutcome(number, UpdateResult{Kind: query.Unknown, Reason: query.ReasonOwnerAway, RetryAfter: lonelyAdvice})
+	return e.ForwardDone(number, UpdateResult{Kind: query.Unknown, Reason: query.ReasonOwnerAway, RetryAfter: lonelyAdvice})
 }
 
 // updatesHostDown ends the updates that were sent over a link that is gone:
@@ -270,7 +270,7 @@
 	sort.Slice(lost, func(i, j int) bool { return lost[i] < lost[j] })
 	var out []Action
 	for _, call := range lost {
-		out = append(out, e.UpdateOutcome(now, call, UpdateResult{Kind: query.Unknown, Reason: query.ReasonUnreachable})...)
+		out = append(out, e.UpdateDone(now, call, UpdateResult{Kind: query.Unknown, Reason: query.ReasonUnreachable})...)
 	}
 	return out
 }
@@ -304,7 +304,7 @@
 	sort.Slice(late, func(i, j int) bool { return late[i].call < late[j].call })
 	for _, r := range late {
 		for _, n := range r.waiting {
-			out = append(out, UpdateAnswered{Number: n, Result: UpdateResult{
+			out = append(out, UpdateAnswered{RequestID: n, Result: UpdateResult{
 				Kind: query.Unknown, Reason: query.ReasonDeadline, RetryAfter: lonelyAdvice,
 			}})
 		}
--- a/share/gate/flow.go
+++ b/share/gate/flow.go
@@ -6,9 +6,9 @@
 	"dandelionstile/share/query"
 )
 
-// Arrive takes a new call. It is answered at once, put on a connection, or
+// Submit takes a new call. It is answered at once, put on a connection, or
 // queued for a short while.
-func (e *Engine) Arrive(now clock.Milli, c Call) []Action {
+func (e *Engine) Submit(now clock.Milli, c Call) []Action {
 	e.init(now)
 	f := e.leafs[c.Leaf]
 	if f == nil {
@@ -73,7 +73,7 @@
 // secondChance tells whether a request that brought down one server may run once
 // more: only for the query whose canary that was.
 func (e *Engine) secondChance(now clock.Milli, c Call) bool {
-	return c.Again && e.strikes.Get(now, c.Fingerprint).Count < 2
+	return c.SecondCanary && e.strikes.Get(now, c.Fingerprint).Count < 2
 }
 
 func (e *Engine) queueCap(f *leaf) int {
@@ -88,7 +88,7 @@
 // another caller has far more than its share in it. That one's newest call is
 // displaced by the next dispatch.
 func (e *Engine) makeRoom(f *leaf, c Call) bool {
-	if e.Policy.NoFair || len(f.queue) > e.queueCap(f) {
+	if e.Policy.NoFairness || len(f.queue) > e.queueCap(f) {
 		return false
 	}
 	mine, most := 0, 0
@@ -130,7 +130,7 @@
 		}
 		c.call, c.since = k, now
 		f.busy++
-		out = append(out, Send{Leaf: f.Name, Conn: c.id, Fresh: fresh, Call: k.Call})
+		out = append(out, Send{Leaf: f.Name, Conn: c.id, NewConn: fresh, Call: k.Call})
 	}
 	if over := len(f.queue) - e.queueCap(f); over > 0 {
 		out = append(out, e.displace(now, f)...)
@@ -208,7 +208,7 @@
 }
 
 func (e *Engine) prefer(a, b *call, at map[string]int) bool {
-	if !e.Policy.NoFair && at[a.Caller] != at[b.Caller] {
+	if !e.Policy.NoFairness && at[a.Caller] != at[b.Caller] {
 		return at[a.Caller] < at[b.Caller]
 	}
 	switch e.Policy.Order {
@@ -245,15 +245,15 @@
 	Key  Key
 	// Outcome has the kind, reason and rows.
 	Outcome query.Outcome
-	Sign    Sign
+	Status  LeafStatus
 	// ConnLost: the connection is gone.
 	ConnLost bool
 	// NotOpened: the connection could not even be opened.
-	NotOpened bool
+	DialFailed bool
 }
 
-// Done takes the result of a call.
-func (e *Engine) Done(now clock.Milli, r Result) []Action {
+// CallDone takes the result of a call.
+func (e *Engine) CallDone(now clock.Milli, r Result) []Action {
 	f := e.leafs[r.Leaf]
 	if f == nil {
 		return nil
@@ -267,7 +267,7 @@
 	e.release(now, f, c, r)
 	o := r.Outcome
 	o.Took = took
-	if o.Reason == query.ReasonReset && r.Sign.restarted(f) {
+	if o.Reason == query.ReasonReset && r.Status.restarted(f) {
 		o.Kind = query.Died
 	}
 	out := e.judge(now, f, k, r, &o)
@@ -278,7 +278,7 @@
 }
 
 func (e *Engine) release(now clock.Milli, f *leaf, c *conn, r Result) {
-	if r.ConnLost || r.NotOpened {
+	if r.ConnLost || r.DialFailed {
 		e.detach(f, c)
 		return
 	}
@@ -289,7 +289,7 @@
 
 // judge learns from a result.
 func (e *Engine) judge(now clock.Milli, f *leaf, k *call, r Result, o *query.Outcome) []Action {
-	out := e.observe(now, f, r.Sign, false)
+	out := e.observe(now, f, r.Status, false)
 	switch o.Kind {
 	case query.OK:
 		f.succeed(now)
@@ -299,22 +299,22 @@
 		}
 		if e.coldBySlowness(f, o.Took) {
 			f.ramp.begin(now, true)
-			out = append(out, Note{Leaf: f.Name, Event: "ramp started", Cause: "slow"})
+			out = append(out, LeafEvent{Leaf: f.Name, Event: "ramp started", Cause: "slow"})
 		}
 	case query.Shed:
 		// This host sends no more than the slots, so a leaf that sheds is
 		// colder than it seemed; unless another host may send to it as well.
 		own := e.leases.exclusive(now, f.server) || e.leases.settled(now, f.server)
-		if own && !r.Sign.Draining && now-f.ramp.sheds >= shedPause {
+		if own && !r.Status.Draining && now-f.ramp.sheds >= shedPause {
 			f.ramp.sheds = now
 			f.ramp.begin(now, true)
-			out = append(out, Note{Leaf: f.Name, Event: "ramp started", Cause: "shed"})
+			out = append(out, LeafEvent{Leaf: f.Name, Event: "ramp started", Cause: "shed"})
 		}
 	case query.Died:
 		out = append(out, e.blame(now, k, o)...)
 		out = append(out, e.fail(now, f, true, query.ReasonReset)...)
 	case query.NotRun:
-		if r.NotOpened {
+		if r.DialFailed {
 			out = append(out, e.fail(now, f, true, query.ReasonUnreachable)...)
 		}
 	case query.Unknown:
@@ -336,7 +336,7 @@
 	}
 	strike := e.strikes.Add(now, k.Fingerprint)
 	o.Strikes, o.RetryAfter = strike.Count, strike.TimeLeft
-	return append([]Action{Struck{Strike: strike}}, e.purge(now, k.Fingerprint)...)
+	return append([]Action{ShareStrike{Strike: strike}}, e.purge(now, k.Fingerprint)...)
 }
 
 // Cancel gives up on a call whose caller no longer needs it. A waiting call
@@ -367,8 +367,8 @@
 	return out
 }
 
-// LinkGone cancels every call that came on a link which is closed.
-func (e *Engine) LinkGone(now clock.Milli, link uint64) []Action {
+// LinkClosed cancels every call that came on a link which is closed.
+func (e *Engine) LinkClosed(now clock.Milli, link uint64) []Action {
 	var out []Action
 	for _, f := range e.order {
 		keys := make([]Key, 0, f.busy)
@@ -395,7 +395,7 @@
 	e.init(now)
 	if now-e.lastTick >= pauseGap {
 		paused = true
-		e.Fence(now)
+		e.SuspendAdmission(now)
 	}
 	e.lastTick = now
 	e.average()
@@ -409,21 +409,21 @@
 	return out, paused
 }
 
-// Fence holds new work back after a pause. A process that slept still believes
+// SuspendAdmission holds new work back after a pause. A process that slept still believes
 // what was true before: a failure domain may have been taken out meanwhile, and
 // its queue holds work that nobody waits for. No new work goes out until the
 // configuration is known to be current (Unfence), or, when the host is cut off
 // from everyone, for a short span.
-func (e *Engine) Fence(now clock.Milli) {
+func (e *Engine) SuspendAdmission(now clock.Milli) {
 	e.fenced = now + fenceSpan
 	e.leases.unsettle(now)
 }
 
-// Unfence ends a fence: a peer has confirmed the configuration in force.
-func (e *Engine) Unfence() { e.fenced = 0 }
+// ResumeAdmission ends a fence: a peer has confirmed the configuration in force.
+func (e *Engine) ResumeAdmission() { e.fenced = 0 }
 
-// OnConn returns the call that is on a connection, if any.
-func (e *Engine) OnConn(leafName string, id ConnID) (Key, bool) {
+// CallOnConn returns the call that is on a connection, if any.
+func (e *Engine) CallOnConn(leafName string, id ConnID) (Key, bool) {
 	f := e.leafs[leafName]
 	if f == nil || f.conns[id] == nil || f.conns[id].call == nil {
 		return Key{}, false
--- a/share/gate/gate.go
+++ b/share/gate/gate.go
@@ -35,7 +35,7 @@
 	Fingerprint uint64
 	Canary      bool
 	// Again: a server died under this canary's predecessor of the same query.
-	Again bool
+	SecondCanary bool
 	// Pin is the snapshot that a query runs on.
 	Pin invent.SnapshotID
 	// Update is set for changes; they are run whatever was proven.
@@ -49,30 +49,30 @@
 
 // Send puts a call on a connection, which the program opens when Fresh is set.
 type Send struct {
-	Leaf  string
-	Conn  ConnID
-	Fresh bool
-	Call  Call
+	Leaf    string
+	Conn    ConnID
+	NewConn bool
+	Call    Call
 }
 
 // Probe asks a leaf for its state over a connection.
 type Probe struct {
-	Leaf  string
-	Conn  ConnID
-	Fresh bool
+	Leaf    string
+	Conn    ConnID
+	NewConn bool
 }
 
 // Abort asks a leaf, over an idle connection, to stop working on a call. It
 // is answered like a probe.
 type Abort struct {
-	Leaf  string
-	Conn  ConnID
-	Fresh bool
-	Call  Call
+	Leaf    string
+	Conn    ConnID
+	NewConn bool
+	Call    Call
 }
 
-// Shut closes a connection. Its call, if any, has been answered already.
-type Shut struct {
+// CloseConn closes a connection. Its call, if any, has been answered already.
+type CloseConn struct {
 	Leaf   string
 	Conn   ConnID
 	Reason query.Reason
@@ -96,10 +96,10 @@
 
 // Grant answers a claim.
 type Grant struct {
-	Host    string
-	ID      uint64
-	Servers []ServerAges
-	Span    clock.Milli
+	Host     string
+	ID       uint64
+	Servers  []ServerAges
+	Duration clock.Milli
 }
 
 // Release tells the other candidate that this host no longer needs servers.
@@ -108,27 +108,27 @@
 	Servers []ServerAges
 }
 
-// Struck says that a request brought down a server.
-type Struck struct{ Strike poison.Strike }
+// ShareStrike says that a request brought down a server.
+type ShareStrike struct{ Strike poison.Strike }
 
-// Note reports a change of a leaf's state for the log.
-type Note struct {
+// LeafEvent reports a change of a leaf's state for the log.
+type LeafEvent struct {
 	Leaf  string
 	Event string
 	Cause string
 }
 
-func (Send) action()    {}
-func (Probe) action()   {}
-func (Shut) action()    {}
-func (Abort) action()   {}
-func (Reply) action()   {}
-func (Publish) action() {}
-func (Claim) action()   {}
-func (Grant) action()   {}
-func (Release) action() {}
-func (Struck) action()  {}
-func (Note) action()    {}
+func (Send) action()        {}
+func (Probe) action()       {}
+func (CloseConn) action()   {}
+func (Abort) action()       {}
+func (Reply) action()       {}
+func (Publish) action()     {}
+func (Claim) action()       {}
+func (Grant) action()       {}
+func (Release) action()     {}
+func (ShareStrike) action() {}
+func (LeafEvent) action()   {}
 
 // Policy varies how the gate behaves; zero fields take the defaults. The bench
 // compares settings.
@@ -140,10 +140,10 @@
 	// NoRamp sends a cold leaf full load at once. Only the bench's baseline
 	// sets it.
 	NoRamp bool
-	// NoFair takes waiting calls regardless of who asked.
-	NoFair bool
-	// SilentAfter is how long a connection with a call may make no progress.
-	SilentAfter clock.Milli
+	// NoFairness takes waiting calls regardless of who asked.
+	NoFairness bool
+	// SilenceTimeout is how long a connection with a call may make no progress.
+	SilenceTimeout clock.Milli
 }
 
 // Order is the order of a leaf's queue.
@@ -350,7 +350,7 @@
 	out := e.flush(now, f, query.ReasonNotOwner)
 	for _, c := range f.sorted() {
 		if c.call == nil {
-			out = append(out, Shut{Leaf: f.Name, Conn: c.id, Reason: query.ReasonNotOwner})
+			out = append(out, CloseConn{Leaf: f.Name, Conn: c.id, Reason: query.ReasonNotOwner})
 			delete(f.conns, c.id)
 		}
 	}
--- a/share/gate/gate_test.go
+++ b/share/gate/gate_test.go
@@ -35,7 +35,7 @@
 	e.Configure(0, testConfig(), alone)
 	now := clock.Milli(0)
 	for now = 10; now < 2000; now += 50 {
-		probeAll(e, now, tick(e, now), Sign{Incarnation: 1})
+		probeAll(e, now, tick(e, now), LeafStatus{Incarnation: 1})
 	}
 	assert.Equal(t, e.limit(now, e.leafs["l"]), 4)
 	return e, now
@@ -47,10 +47,10 @@
 }
 
 // probeAll answers all probes among the actions.
-func probeAll(e *Engine, now clock.Milli, actions []Action, s Sign) {
+func probeAll(e *Engine, now clock.Milli, actions []Action, s LeafStatus) {
 	for _, a := range actions {
 		if p, ok := a.(Probe); ok {
-			e.Probed(now, p.Leaf, p.Conn, s, nil)
+			e.ProbeDone(now, p.Leaf, p.Conn, s, nil)
 		}
 	}
 }
@@ -76,11 +76,11 @@
 }
 
 func arrive(e *Engine, now clock.Milli, id uint64) []Action {
-	return e.Arrive(now, Call{Key: Key{1, id}, Leaf: "l", Caller: "c", Deadline: now + 1000, Fingerprint: id})
+	return e.Submit(now, Call{Key: Key{1, id}, Leaf: "l", Caller: "c", Deadline: now + 1000, Fingerprint: id})
 }
 
-func finishCall(e *Engine, now clock.Milli, s Send, kind query.Kind, sign Sign) []Action {
-	return e.Done(now, Result{Leaf: s.Leaf, Conn: s.Conn, Key: s.Call.Key, Outcome: query.Outcome{Kind: kind}, Sign: sign})
+func finishCall(e *Engine, now clock.Milli, s Send, kind query.Kind, sign LeafStatus) []Action {
+	return e.CallDone(now, Result{Leaf: s.Leaf, Conn: s.Conn, Key: s.Call.Key, Outcome: query.Outcome{Kind: kind}, Status: sign})
 }
 
 // A caller's harmless query is refused as one that crashes servers. The server
@@ -89,9 +89,9 @@
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	e, now := start(t)
 	for _, c := range e.leafs["l"].sorted() {
-		for _, a := range e.Closed(now, "l", c.id) {
+		for _, a := range e.ConnClosed(now, "l", c.id) {
 			if p, ok := a.(Probe); ok {
-				e.Probed(now, "l", p.Conn, Sign{}, errDown)
+				e.ProbeDone(now, "l", p.Conn, LeafStatus{}, errDown)
 			}
 		}
 	}
@@ -121,7 +121,7 @@
 // worth of work while its caches are empty.
 func TestRestartedLeafIsWarmedUp(t *testing.T) {
 	e, now := start(t)
-	e.Probed(now, "l", e.leafs["l"].sorted()[0].id, Sign{Incarnation: 2}, nil)
+	e.ProbeDone(now, "l", e.leafs["l"].sorted()[0].id, LeafStatus{Incarnation: 2}, nil)
 	for id := range uint64(8) {
 		arrive(e, now, id+1)
 	}
@@ -140,7 +140,7 @@
 	out := e.Cancel(now, first.Call.Key)
 	assert.Equal(t, replies(out)[0].Reason, query.ReasonCancelled)
 	assert.Equal(t, e.leafs["l"].busy, 1)
-	late := finishCall(e, now+5, first, query.OK, Sign{Incarnation: 1})
+	late := finishCall(e, now+5, first, query.OK, LeafStatus{Incarnation: 1})
 	assert.Equal(t, len(replies(late)), 0)
 	assert.Equal(t, e.leafs["l"].busy, 0)
 }
@@ -155,7 +155,7 @@
 	out := arrive(e, now, 1)
 	assert.Equal(t, len(sends(out)), 0)
 	assert.Equal(t, replies(out)[0].Reason, query.ReasonWaking)
-	e.Unfence()
+	e.ResumeAdmission()
 	assert.Equal(t, len(sends(arrive(e, now, 2))), 1)
 }
 
@@ -179,11 +179,11 @@
 func TestDrainIsNotEndedByOneLaggingProbe(t *testing.T) {
 	e, now := start(t)
 	s := sends(arrive(e, now, 1))[0]
-	finishCall(e, now, s, query.NotRun, Sign{Incarnation: 1, Draining: true})
+	finishCall(e, now, s, query.NotRun, LeafStatus{Incarnation: 1, Draining: true})
 	probe := e.leafs["l"].sorted()[0].id
-	e.Probed(now+100, "l", probe, Sign{Incarnation: 1}, nil)
+	e.ProbeDone(now+100, "l", probe, LeafStatus{Incarnation: 1}, nil)
 	assert.Equal(t, replies(arrive(e, now+100, 2))[0].Reason, query.ReasonDraining)
-	e.Probed(now+drainHold, "l", probe, Sign{Incarnation: 1}, nil)
+	e.ProbeDone(now+drainHold, "l", probe, LeafStatus{Incarnation: 1}, nil)
 	assert.Equal(t, len(sends(arrive(e, now+drainHold, 3))), 1)
 }
 
@@ -193,12 +193,12 @@
 	e, now := start(t)
 	var sent []Send
 	for id := range uint64(3) {
-		sent = append(sent, sends(e.Arrive(now, Call{
+		sent = append(sent, sends(e.Submit(now, Call{
 			Key: Key{1, id + 1}, Leaf: "l", Deadline: now + 1000, Fingerprint: 77, Canary: true,
 		}))...)
 	}
 	assert.Equal(t, len(sent), 1)
-	out := e.Done(now+1, Result{
+	out := e.CallDone(now+1, Result{
 		Leaf: "l", Conn: sent[0].Conn, Key: sent[0].Call.Key, ConnLost: true,
 		Outcome: query.Outcome{Kind: query.Died, Reason: query.ReasonReset},
 	})
@@ -218,7 +218,7 @@
 func TestProvenQueryIsNotBlamed(t *testing.T) {
 	e, now := start(t)
 	s := sends(arrive(e, now, 1))[0]
-	out := e.Done(now+1, Result{
+	out := e.CallDone(now+1, Result{
 		Leaf: "l", Conn: s.Conn, Key: s.Call.Key, ConnLost: true,
 		Outcome: query.Outcome{Kind: query.Died, Reason: query.ReasonReset},
 	})
@@ -236,7 +236,7 @@
 		e.Configure(0, testConfig(), hosts)
 		now := clock.Milli(0)
 		for ; now < 6000; now += 50 {
-			probeAll(e, now, tick(e, now), Sign{Incarnation: 1})
+			probeAll(e, now, tick(e, now), LeafStatus{Incarnation: 1})
 		}
 		f := e.leafs["l"]
 		f.rank = 0
@@ -257,7 +257,7 @@
 	for _, a := range tick(e, now+5) {
 		if c, ok := a.(Claim); ok {
 			warm := ServerAges{Server: "s", Leafs: []LeafAge{{Leaf: "l", Age: clock.Minute, Known: true}}}
-			e.Granted(now+10, c.Host, c.ID, []ServerAges{warm}, leaseSpan)
+			e.GrantReceived(now+10, c.Host, c.ID, []ServerAges{warm}, leaseSpan)
 		}
 	}
 	assert.Equal(t, e.leafs["l"].ramp.left(now+10, 1000), clock.Milli(0))
@@ -274,10 +274,10 @@
 		silent[sends(arrive(e, now, id+1))[0].Conn] = true
 	}
 	other := sends(arrive(e, now, 9))[0]
-	finishCall(e, now+900, other, query.OK, Sign{Incarnation: 1})
+	finishCall(e, now+900, other, query.OK, LeafStatus{Incarnation: 1})
 	lost := 0
 	for _, a := range tick(e, now+999+1) {
-		if shut, ok := a.(Shut); ok && silent[shut.Conn] {
+		if shut, ok := a.(CloseConn); ok && silent[shut.Conn] {
 			lost++
 		}
 	}
--- a/share/gate/health.go
+++ b/share/gate/health.go
@@ -34,8 +34,8 @@
 	drainHold = 3 * clock.Second
 )
 
-// Sign is what a reply or probe tells of a leaf besides its result.
-type Sign struct {
+// LeafStatus is what a reply or probe tells of a leaf besides its result.
+type LeafStatus struct {
 	// Incarnation changes when the server restarts; 0 when unknown.
 	Incarnation uint64
 	Draining    bool
@@ -45,7 +45,7 @@
 
 // restarted tells whether the sign comes from another incarnation than the one
 // known of.
-func (s Sign) restarted(f *leaf) bool {
+func (s LeafStatus) restarted(f *leaf) bool {
 	return s.Incarnation != 0 && f.health.incarnation != 0 && s.Incarnation != f.health.incarnation
 }
 
@@ -71,14 +71,14 @@
 }
 
 // observe takes the signs of a reply or probe.
-func (e *Engine) observe(now clock.Milli, f *leaf, s Sign, probe bool) []Action {
+func (e *Engine) observe(now clock.Milli, f *leaf, s LeafStatus, probe bool) []Action {
 	var out []Action
 	h := &f.health
 	if s.restarted(f) {
 		f.ramp.begin(now, true)
 		h.usual = 0
 		h.draining = false
-		out = append(out, Note{Leaf: f.Name, Event: "ramp started", Cause: "restarted"})
+		out = append(out, LeafEvent{Leaf: f.Name, Event: "ramp started", Cause: "restarted"})
 	}
 	if s.Incarnation != 0 {
 		h.incarnation = s.Incarnation
@@ -88,7 +88,7 @@
 	}
 	if s.Draining {
 		if !h.draining {
-			out = append(out, Note{Leaf: f.Name, Event: "closed", Cause: "draining"})
+			out = append(out, LeafEvent{Leaf: f.Name, Event: "closed", Cause: "draining"})
 		}
 		h.draining, h.drainedAt = true, now
 		out = append(out, e.flush(now, f, query.ReasonDraining)...)
@@ -96,7 +96,7 @@
 		h.draining = false
 		// What it did while it drained is not known here: start from cold.
 		f.ramp.begin(now, true)
-		out = append(out, Note{Leaf: f.Name, Event: "ramp started", Cause: "drain ended"})
+		out = append(out, LeafEvent{Leaf: f.Name, Event: "ramp started", Cause: "drain ended"})
 	}
 	return out
 }
@@ -122,7 +122,7 @@
 	var out []Action
 	if !h.down {
 		h.down = true
-		out = append(out, Note{Leaf: f.Name, Event: "closed", Cause: string(cause)})
+		out = append(out, LeafEvent{Leaf: f.Name, Event: "closed", Cause: string(cause)})
 		out = append(out, e.flush(now, f, query.ReasonUnreachable)...)
 	}
 	h.backoff = min(max(2*h.backoff, 100), probeMax)
@@ -152,7 +152,7 @@
 		h.nextProbe = now + 50
 	}
 	c.probe, c.since = true, now
-	return []Action{Probe{Leaf: f.Name, Conn: c.id, Fresh: fresh}}
+	return []Action{Probe{Leaf: f.Name, Conn: c.id, NewConn: fresh}}
 }
 
 // idle returns a free connection: the least recently used for a probe, the most
@@ -181,11 +181,11 @@
 	return c
 }
 
-// Probed takes the result of a probe.
-func (e *Engine) Probed(now clock.Milli, leafName string, id ConnID, s Sign, err error) []Action {
+// ProbeDone takes the result of a probe.
+func (e *Engine) ProbeDone(now clock.Milli, leafName string, id ConnID, s LeafStatus, err error) []Action {
 	f := e.leafs[leafName]
 	if f == nil {
-		return []Action{Shut{Leaf: leafName, Conn: id, Reason: query.ReasonNotOwner}}
+		return []Action{CloseConn{Leaf: leafName, Conn: id, Reason: query.ReasonNotOwner}}
 	}
 	c := f.conns[id]
 	if c == nil {
@@ -193,7 +193,7 @@
 	}
 	if err != nil {
 		delete(f.conns, id)
-		out := []Action{Shut{Leaf: leafName, Conn: id, Reason: query.ReasonUnreachable}}
+		out := []Action{CloseConn{Leaf: leafName, Conn: id, Reason: query.ReasonUnreachable}}
 		out = append(out, e.fail(now, f, !c.opened, query.ReasonUnreachable)...)
 		return append(out, e.publish(f, now)...)
 	}
@@ -207,11 +207,11 @@
 	return append(out, e.publish(f, now)...)
 }
 
-// Closed says that a connection was closed. One that was idle is dropped before
+// ConnClosed says that a connection was closed. One that was idle is dropped before
 // a call is put on it: the call would fail, and its request would be taken for
 // what brought the server down. A close by the server hints at a restart, so
 // the leaf is looked at right away.
-func (e *Engine) Closed(now clock.Milli, leafName string, id ConnID) []Action {
+func (e *Engine) ConnClosed(now clock.Milli, leafName string, id ConnID) []Action {
 	f := e.leafs[leafName]
 	if f == nil {
 		return nil
@@ -245,7 +245,7 @@
 			f.overtaken(now, lost)
 		}
 		e.detach(f, c)
-		out = append(out, Shut{Leaf: f.Name, Conn: c.id, Reason: query.ReasonSilent})
+		out = append(out, CloseConn{Leaf: f.Name, Conn: c.id, Reason: query.ReasonSilent})
 		if now-f.health.progress >= span {
 			out = append(out, e.fail(now, f, !c.opened, query.ReasonSilent)...)
 		}
@@ -268,7 +268,7 @@
 		return nil
 	}
 	c.probe, c.since, c.aborts = true, now, k.Key
-	return []Action{Abort{Leaf: f.Name, Conn: c.id, Fresh: fresh, Call: k.Call}}
+	return []Action{Abort{Leaf: f.Name, Conn: c.id, NewConn: fresh, Call: k.Call}}
 }
 
 // ghosts counts the calls that may still run at the leaf although their
@@ -299,7 +299,7 @@
 // silentAfter is how long a call may go without a reply: many times what the
 // leaf usually takes, so that a mere straggler keeps its connection.
 func (e *Engine) silentAfter(f *leaf) clock.Milli {
-	most := e.Policy.SilentAfter
+	most := e.Policy.SilenceTimeout
 	if most == 0 {
 		most = defaultSilent
 	}
--- a/share/gate/lease.go
+++ b/share/gate/lease.go
@@ -177,14 +177,14 @@
 	return s, busy
 }
 
-// Claimed answers another host's claim. A server is granted unless this host
+// ClaimReceived answers another host's claim. A server is granted unless this host
 // believes itself primary for it, or has just ceased to be a candidate beside
 // another: entries learn of new owners at different moments, and until all have,
 // both hosts serve, each its half. The answer always carries what is known of
 // the leafs, so that a fresh host need not take warm leafs for cold.
-func (e *Engine) Claimed(now clock.Milli, host string, id uint64, servers []ServerAges) []Action {
+func (e *Engine) ClaimReceived(now clock.Milli, host string, id uint64, servers []ServerAges) []Action {
 	e.init(now)
-	g := Grant{Host: host, ID: id, Span: leaseSpan}
+	g := Grant{Host: host, ID: id, Duration: leaseSpan}
 	for _, s := range servers {
 		e.learn(now, s)
 		mine, busy := e.ages(now, s.Server)
@@ -204,9 +204,9 @@
 	return []Action{g}
 }
 
-// Released takes another host's word that it no longer needs servers: the
+// ReleaseReceived takes another host's word that it no longer needs servers: the
 // promises to it end.
-func (e *Engine) Released(now clock.Milli, host string, servers []ServerAges) {
+func (e *Engine) ReleaseReceived(now clock.Milli, host string, servers []ServerAges) {
 	e.init(now)
 	for _, s := range servers {
 		e.learn(now, s)
@@ -248,7 +248,7 @@
 	}
 	if l.owed != 0 && now < l.given {
 		mine.Granted = true
-		out = append(out, Grant{Host: l.other, ID: l.owed, Span: leaseSpan, Servers: []ServerAges{mine}})
+		out = append(out, Grant{Host: l.other, ID: l.owed, Duration: leaseSpan, Servers: []ServerAges{mine}})
 	}
 	l.owed, l.releasing = 0, false
 	return out
@@ -271,8 +271,8 @@
 	}
 }
 
-// Granted takes the answer to a claim.
-func (e *Engine) Granted(now clock.Milli, host string, id uint64, servers []ServerAges, span clock.Milli) []Action {
+// GrantReceived takes the answer to a claim.
+func (e *Engine) GrantReceived(now clock.Milli, host string, id uint64, servers []ServerAges, span clock.Milli) []Action {
 	e.init(now)
 	sent, ok := e.leases.claims[id]
 	if !ok {
--- a/share/gate/state.go
+++ b/share/gate/state.go
@@ -12,9 +12,9 @@
 // Strikes lists the requests refused now.
 func (e *Engine) Strikes(now clock.Milli) []poison.Strike { return e.strikes.Active(now) }
 
-// Strike takes a strike from another host and tells whether it was news.
+// MergeStrike takes a strike from another host and tells whether it was news.
 // Waiting calls with that fingerprint are answered as not run.
-func (e *Engine) Strike(now clock.Milli, s poison.Strike) (bool, []Action) {
+func (e *Engine) MergeStrike(now clock.Milli, s poison.Strike) (bool, []Action) {
 	e.init(now)
 	if !e.strikes.Merge(now, s) {
 		return false, nil
@@ -26,9 +26,9 @@
 	return true, e.purge(now, s.Fingerprint)
 }
 
-// HostGone says that the link to another host is lost: promises to keep off its leafs end, except where a leaf is cold and may
+// HostDown says that the link to another host is lost: promises to keep off its leafs end, except where a leaf is cold and may
 // still have its work.
-func (e *Engine) HostGone(now clock.Milli, host string) {
+func (e *Engine) HostDown(now clock.Milli, host string) {
 	e.init(now)
 	for _, f := range e.order {
 		l := e.leases.servers[f.server]
@@ -61,18 +61,18 @@
 
 // LeafState is a leaf as operators see it.
 type LeafState struct {
-	Leaf      string
-	Server    string
-	Service   string
-	Primary   bool
-	Exclusive bool
-	Busy      int
-	Queued    int
-	Limit     int
-	Slots     int
-	Conns     int
-	RampLeft  clock.Milli
-	Closed    query.Reason
+	Leaf         string
+	Server       string
+	Service      string
+	Primary      bool
+	Exclusive    bool
+	Busy         int
+	Queued       int
+	Limit        int
+	Slots        int
+	Conns        int
+	RampLeft     clock.Milli
+	ClosedReason query.Reason
 }
 
 // State lists all leafs by name.
@@ -84,7 +84,7 @@
 			Primary: f.rank == 0, Exclusive: e.leases.exclusive(now, f.server),
 			Busy: f.busy, Queued: len(f.queue), Limit: e.limit(now, f), Slots: f.cap,
 			Conns: len(f.conns), RampLeft: f.ramp.left(now, f.warm),
-			Closed: e.closed(now, f),
+			ClosedReason: e.closed(now, f),
 		})
 	}
 	return list
