--- a/entry/routed/routed.go
+++ b/entry/routed/routed.go
@@ -44,8 +44,8 @@
 		Settings: tier.Settings{
 			CallerAddress: s.Listen, GossipAddress: s.Gossip, ForwardAddress: s.Relay, Seeds: s.Seeds,
 			SourceIP: r.Settings.Listen.IP(), Dialect: hop.DefaultDialect,
-			Self:   router.Place{Host: r.Settings.Host.Name, Domain: r.Settings.Host.Domain, Address: s.Relay},
-			Policy: router.Policy{Ratio: s.SecondCalls.Ratio, Reserve: s.SecondCalls.Reserve},
+			Self:   router.HostInfo{Host: r.Settings.Host.Name, Domain: r.Settings.Host.Domain, Address: s.Relay},
+			Policy: router.Policy{BudgetRatio: s.SecondCalls.Ratio, BudgetReserve: s.SecondCalls.Reserve},
 		},
 		Log: r.Log, Meter: r.Meter, Clock: clock.Wall{}, Middleware: r.traced,
 	}
@@ -106,20 +106,20 @@
 // there: an opaque request names none of the server's own.
 func facts(cfg *invent.Config) router.Facts {
 	f := router.Facts{
-		Table:   cfg.RouteTable(),
-		Out:     make(map[string]bool, len(cfg.Rules.DomainsOut)),
-		Regions: make(map[string]string, len(cfg.Inventory.Domains)),
+		Table:      cfg.RouteTable(),
+		DomainsOut: make(map[string]bool, len(cfg.Rules.DomainsOut)),
+		Regions:    make(map[string]string, len(cfg.Inventory.Domains)),
 	}
 	for _, d := range cfg.Inventory.Domains {
 		f.Regions[d.Name] = d.Region
 	}
 	for _, d := range cfg.Rules.DomainsOut {
-		f.Out[d] = true
+		f.DomainsOut[d] = true
 	}
 	carry := cfg.ServerLimits()
 	for _, s := range cfg.Inventory.Servers {
 		rule := carry[s.Name]
-		f.Leafs = append(f.Leafs, roster.Leaf{
+		f.Leaves = append(f.Leaves, roster.Leaf{
 			ID: s.Name, Service: s.Service, Address: s.Address, Domain: s.Domain,
 			Slots: slots(s, rule.Slots), Draining: rule.Out,
 		})
--- a/entry/routed/routed_test.go
+++ b/entry/routed/routed_test.go
@@ -44,10 +44,10 @@
 	f := facts(cfg)
 	assert.Equal(t, f.Table.Version, uint64(4))
 	assert.Equal(t, f.Regions["b"], "south")
-	assert.Assert(t, f.Out["b"] && !f.Out["a"])
-	assert.Equal(t, f.Leafs[0].ID, "s-0")
-	assert.Equal(t, f.Leafs[0].Slots, 3+2, "each leaf is held to the cap")
-	assert.Assert(t, !f.Leafs[0].Draining && f.Leafs[1].Draining)
+	assert.Assert(t, f.DomainsOut["b"] && !f.DomainsOut["a"])
+	assert.Equal(t, f.Leaves[0].ID, "s-0")
+	assert.Equal(t, f.Leaves[0].Slots, 3+2, "each leaf is held to the cap")
+	assert.Assert(t, !f.Leaves[0].Draining && f.Leaves[1].Draining)
 	// Connections are those of the service's smallest server.
 	assert.Equal(t, f.Table.Services["search"].Connections, 8)
 }
--- a/share/hop/hop_test.go
+++ b/share/hop/hop_test.go
@@ -80,7 +80,7 @@
 		method = http.MethodPost
 	}
 	c.pool.Send(router.Send{
-		Call: c.last, Leaf: "leaf-1", Address: l.ln.Addr().String(), Left: 1000,
+		Call: c.last, Leaf: "leaf-1", Address: l.ln.Addr().String(), Timeout: 1000,
 		Request: &call.Request{ID: id, Method: method, Target: "/a//b?x=%2f", Host: "h", Header: http.Header{"Own": {"1"}}, Body: body},
 	})
 }
@@ -326,7 +326,7 @@
 	l := serve(t, reset)
 	c := newCaller(t)
 	c.pool.Send(router.Send{
-		Call: 1, Leaf: "l", Address: l.ln.Addr().String(), Left: 1000, Watch: true,
+		Call: 1, Leaf: "l", Address: l.ln.Addr().String(), Timeout: 1000, Watch: true,
 		Request: &call.Request{ID: "q", Method: "POST", Target: "/x", Host: "h", Header: http.Header{}},
 	})
 	d := <-c.done
@@ -353,8 +353,8 @@
 // A call broke. Whether its leaf went down with it shows a connection check: where nobody
 // listens the leaf is told absent; where somebody does, nothing is told.
 func TestConnCheckTellsOnlyOfAbsentLeafs(t *testing.T) {
-	absent := make(chan router.Absent, 2)
-	p := &Pool{Dialect: DefaultDialect, Clock: clock.Wall{}, OnConnRefused: func(a router.Absent) { absent <- a }}
+	absent := make(chan router.ConnRefused, 2)
+	p := &Pool{Dialect: DefaultDialect, Clock: clock.Wall{}, OnConnRefused: func(a router.ConnRefused) { absent <- a }}
 	here := serve(t, func(net.Conn, *bufio.Reader) {})
 	gone, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/share/hop/pool.go
+++ b/share/hop/pool.go
@@ -35,8 +35,8 @@
 	// OnDone takes the end of a call, Probed that of a probe, and Absent the
 	// news that a connection check found nobody, from any goroutine.
 	OnDone        func(router.Done)
-	OnProbed      func(router.Probed)
-	OnConnRefused func(router.Absent)
+	OnProbed      func(router.ProbeResult)
+	OnConnRefused func(router.ConnRefused)
 
 	mu   sync.Mutex
 	idle map[string][]*conn // by leaf, or by address of another host
@@ -70,7 +70,7 @@
 
 // Forward hands a request to another host; it ends with a report as Send does.
 func (p *Pool) Forward(r router.Forward) {
-	s := router.Send{Call: r.Call, Request: r.Request, Leaf: r.Address, Address: r.Address, Left: r.Left}
+	s := router.Send{Call: r.Call, Request: r.Request, Leaf: r.Address, Address: r.Address, Timeout: r.Timeout}
 	q := p.request(s)
 	delete(q.Header, p.Dialect.ExpectLeaf)
 	q.Header[HeaderForwardTarget] = []string{strconv.FormatInt(int64(r.Target), 10)}
@@ -125,7 +125,7 @@
 	p.wait.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		defer cancel()
-		p.OnProbed(router.Probed{Leaf: a.Leaf, Healthy: p.healthy(ctx, a)})
+		p.OnProbed(router.ProbeResult{Leaf: a.Leaf, Healthy: p.healthy(ctx, a)})
 	})
 }
 
@@ -145,7 +145,7 @@
 			return
 		}
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			p.OnConnRefused(router.Absent{Leaf: k.Leaf})
+			p.OnConnRefused(router.ConnRefused{Leaf: k.Leaf})
 		}
 	})
 }
@@ -330,7 +330,7 @@
 func (p *Pool) merged(d *router.Done) {
 	ms, err := strconv.ParseInt(d.Reply.Header.Get(HeaderForwardProcessingTime), 10, 64)
 	if err == nil {
-		d.Worked = clock.Milli(ms)
+		d.ProcessingTime = clock.Milli(ms)
 	}
 	// A time that cannot be read is as one not told: the way is not learnt.
 	r := d.Reply
@@ -348,7 +348,7 @@
 		h[name] = values
 	}
 	h[p.Dialect.RequestID] = []string{s.Request.ID}
-	h[p.Dialect.Deadline] = []string{strconv.FormatInt(int64(s.Left), 10)}
+	h[p.Dialect.Deadline] = []string{strconv.FormatInt(int64(s.Timeout), 10)}
 	h[p.Dialect.ExpectLeaf] = []string{s.Leaf}
 	if len(s.Request.Body) > 0 || bodied(s.Request.Method) {
 		h["Content-Length"] = []string{strconv.Itoa(len(s.Request.Body))}
--- a/share/router/arrive.go
+++ b/share/router/arrive.go
@@ -64,8 +64,8 @@
 	}
 	e.queries[q.id] = q
 	e.do(Note{
-		Kind: NoteAdmitted, Request: q.request.ID, Query: q.id, Route: r.Name, Version: q.version, Of: len(q.shards),
-		Wait: a.Wait, Passed: passed, Due: q.target - now, Remote: a.Remote, Forwarded: q.forwarded, Late: q.late,
+		Kind: NoteAdmitted, Request: q.request.ID, Query: q.id, Route: r.Name, Version: q.version, Total: len(q.shards),
+		Wait: a.Wait, SinceFirstAttempt: passed, Due: q.target - now, Remote: a.Remote, Forwarded: q.forwarded, Late: q.late,
 	})
 	for _, h := range away {
 		e.forward(now, q, h.peer, h.shards)
@@ -225,14 +225,14 @@
 }
 
 // gone drops a request whose caller has left.
-func (e *Engine) gone(now clock.Milli, g Gone) {
+func (e *Engine) gone(now clock.Milli, g CallerGone) {
 	q := e.queries[g.Query]
 	if q == nil {
 		return
 	}
 	e.do(Note{
-		Kind: NoteGone, Request: q.request.ID, Query: q.id, Route: q.route.Name, Version: q.version,
-		Took: now - q.arrived, Got: q.in, Of: len(q.shards),
+		Kind: NoteCallerGone, Request: q.request.ID, Query: q.id, Route: q.route.Name, Version: q.version,
+		Took: now - q.arrived, Count: q.in, Total: len(q.shards),
 	})
 	e.close(now, q)
 }
--- a/share/router/crash.go
+++ b/share/router/crash.go
@@ -7,14 +7,14 @@
 	"dandelionstile/share/poison"
 )
 
-// Crashes are what other hosts have seen.
-type Crashes struct{ List []crash.Report }
+// CrashReports are what other hosts have seen.
+type CrashReports struct{ List []crash.Report }
 
-// TellCrashes passes reports on to other hosts.
-type TellCrashes struct{ List []crash.Report }
+// SendCrashReports passes reports on to other hosts.
+type SendCrashReports struct{ List []crash.Report }
 
-func (Crashes) event()      {}
-func (TellCrashes) action() {}
+func (CrashReports) event()      {}
+func (SendCrashReports) action() {}
 
 // connCheckPause is the least time between two connection checks of one leaf:
 // where many answers are lost, one new connection tells as much as many.
@@ -25,7 +25,7 @@
 }
 
 // heardOfCrashes takes what other hosts have seen, and passes on what is new here.
-func (e *Engine) heardOfCrashes(now clock.Milli, s Crashes) {
+func (e *Engine) heardOfCrashes(now clock.Milli, s CrashReports) {
 	var news []crash.Report
 	for _, one := range s.List {
 		if one.Age < crash.ReportTTL && !e.crashes.Proven(now, one.Fingerprint) && e.crashes.Add(now-one.Age, one.Fingerprint, one.Leaf) {
@@ -33,7 +33,7 @@
 		}
 	}
 	if len(news) > 0 {
-		e.do(TellCrashes{List: news})
+		e.do(SendCrashReports{List: news})
 	}
 }
 
@@ -50,7 +50,7 @@
 }
 
 // absent takes word that nobody listens at a leaf's address.
-func (e *Engine) absent(now clock.Milli, a Absent) {
+func (e *Engine) absent(now clock.Milli, a ConnRefused) {
 	f := e.leafs[a.Leaf]
 	if f == nil {
 		return
@@ -65,6 +65,6 @@
 	if len(list) == 0 {
 		return
 	}
-	e.do(Note{Kind: NoteCrash, Leaf: f.ID, Service: f.Service, Of: len(list), Cause: "it went down with requests on it"})
-	e.do(TellCrashes{List: list})
+	e.do(Note{Kind: NoteCrash, Leaf: f.ID, Service: f.Service, Total: len(list), Cause: "it went down with requests on it"})
+	e.do(SendCrashReports{List: list})
 }
--- a/share/router/crash_test.go
+++ b/share/router/crash_test.go
@@ -21,7 +21,7 @@
 	}
 	one := single(true)
 	one.Attempts = 1
-	r.handle(Facts{Table: table(1, one), Leafs: leafs})
+	r.handle(Facts{Table: table(1, one), Leaves: leafs})
 	return r
 }
 
@@ -31,7 +31,7 @@
 	r.ends(s, call.Broken)
 	r.engine.leafDown(r.now, r.engine.leafs[s.Leaf])
 	for _, a := range r.engine.actions {
-		if tell, ok := a.(TellCrashes); ok {
+		if tell, ok := a.(SendCrashReports); ok {
 			r.told = append(r.told, tell.List...)
 		}
 	}
@@ -56,7 +56,7 @@
 	assert.Equal(t, len(r.sends), sent+1)
 
 	other := crashRig(t)
-	other.handle(Crashes{List: r.told})
+	other.handle(CrashReports{List: r.told})
 	q = other.arrive("/one/bad", 4000)
 	assert.Equal(t, other.answers[q].Refusal, Harmful)
 	assert.Equal(t, len(other.sends), 0)
@@ -96,7 +96,7 @@
 			}
 		}
 		assert.DeepEqual(t, checks, []CheckConn{{Leaf: s.Leaf, Address: s.Address}})
-		r.handle(Absent{Leaf: s.Leaf})
+		r.handle(ConnRefused{Leaf: s.Leaf})
 		r.pass(3000)
 	}
 	q := r.arrive("/one/bad", 4000)
@@ -160,14 +160,14 @@
 		r := crashRig(t)
 		r.arrive("/one/popular", 4000)
 		r.good(r.last())
-		r.handle(Crashes{List: strikesOf("/one/popular", 5)})
+		r.handle(CrashReports{List: strikesOf("/one/popular", 5)})
 		r.servesPopular()
 	})
 	t.Run("answered after the blame", func(t *testing.T) {
 		r := crashRig(t)
 		r.arrive("/one/popular", 4000)
 		open := r.last()
-		r.handle(Crashes{List: strikesOf("/one/popular", 5)})
+		r.handle(CrashReports{List: strikesOf("/one/popular", 5)})
 		r.good(open)
 		r.servesPopular()
 	})
--- a/share/router/done.go
+++ b/share/router/done.go
@@ -22,7 +22,7 @@
 	f, s := a.leaf, a.shard
 	svc := e.service(f.Service)
 	f.drop(a)
-	e.do(Ended{Service: f.Service, Domain: f.Domain, Kind: d.Kind, Took: now - a.sent})
+	e.do(CallEnded{Service: f.Service, Domain: f.Domain, Kind: d.Kind, Took: now - a.sent})
 	e.learn(now, a, d)
 	f.calledAt = now
 	e.tell(now, f)
@@ -183,8 +183,8 @@
 	}
 	s.query.held = true
 	e.do(Note{
-		Kind: NoteHeld, Request: s.query.request.ID, Query: s.query.id, Service: s.service, Leaf: s.last,
-		Cause: cause, Took: now - s.query.arrived, Left: e.services[s.service].budget.Tokens,
+		Kind: NoteWithheld, Request: s.query.request.ID, Query: s.query.id, Service: s.service, Leaf: s.last,
+		Cause: cause, Took: now - s.query.arrived, BudgetLeft: e.services[s.service].budget.Tokens,
 	})
 }
 
--- a/share/router/engine.go
+++ b/share/router/engine.go
@@ -14,9 +14,9 @@
 	"dandelionstile/share/route"
 )
 
-// Place is where this host stands, its name, where it takes forwarded requests,
+// HostInfo is where this host stands, its name, where it takes forwarded requests,
 // and its processor as of Peer.
-type Place struct {
+type HostInfo struct {
 	Host, Domain, Region, Address string
 	Capacity                      uint32
 }
@@ -24,7 +24,7 @@
 // Engine is the state of all decisions of one process. It is driven by one
 // control loop. The exported fields are set before the first event.
 type Engine struct {
-	Self Place
+	Self HostInfo
 	// Regions maps failure domains to regions.
 	Regions map[string]string
 	Policy  Policy
@@ -83,7 +83,7 @@
 	e.startedAt = now
 	e.delayedAt = now - mistrust
 	e.Policy = e.Policy.filled()
-	e.hosts = e.Policy.Hosts
+	e.hosts = e.Policy.MinHosts
 	e.peers = map[string]*peer{}
 	e.aggregator = true
 	e.forwards = map[uint64]*forward{}
@@ -105,7 +105,7 @@
 	switch ev := ev.(type) {
 	case Arrive:
 		e.arrive(now, ev)
-	case Gone:
+	case CallerGone:
 		e.gone(now, ev)
 	case Done:
 		e.done(now, ev)
@@ -113,13 +113,13 @@
 		e.facts(now, ev)
 	case Peers:
 		e.setPeers(now, ev.List)
-	case Crashes:
+	case CrashReports:
 		e.heardOfCrashes(now, ev)
-	case Probed:
+	case ProbeResult:
 		e.probed(now, ev)
-	case Absent:
+	case ConnRefused:
 		e.absent(now, ev)
-	case HeardOfLeafs:
+	case LeafReports:
 		e.heardOfLeafs(now, ev.List)
 	case Tick:
 	}
@@ -138,8 +138,8 @@
 // Ready tells whether requests can be served here.
 func (e *Engine) Ready() bool { return e.table != nil }
 
-// Busy is how many requests are under way.
-func (e *Engine) Busy() int { return len(e.queries) }
+// InFlight is how many requests are under way.
+func (e *Engine) InFlight() int { return len(e.queries) }
 
 func (e *Engine) do(a Action) { e.actions = append(e.actions, a) }
 
@@ -148,13 +148,13 @@
 	if f.Table != nil && (e.table == nil || f.Table.Version > e.table.Version) {
 		e.table = f.Table
 		e.sharded = shards(f.Table)
-		e.do(Note{Kind: NoteTable, Version: f.Table.Version, Of: len(f.Table.Routes)})
+		e.do(Note{Kind: NoteTable, Version: f.Table.Version, Total: len(f.Table.Routes)})
 	}
 	if f.Regions != nil {
 		e.setRegions(f.Regions)
 	}
-	e.domains(f.Out)
-	e.roster(now, f.Leafs)
+	e.domains(f.DomainsOut)
+	e.roster(now, f.Leaves)
 	for name, s := range e.services {
 		s.config = route.Service{Name: name}
 		if e.table != nil {
@@ -197,7 +197,7 @@
 
 // fill gives a service's budget this host's part.
 func (e *Engine) fill(s *service) {
-	s.budget.Configure(e.Policy.Ratio, e.Policy.Reserve/e.budgetSharers(s))
+	s.budget.Configure(e.Policy.BudgetRatio, e.Policy.BudgetReserve/e.budgetSharers(s))
 }
 
 // allot gives a leaf this host's part of what all hosts share.
@@ -278,7 +278,7 @@
 		}
 	}
 	if first {
-		e.do(Note{Kind: NoteLeafsKnown, Of: len(list)})
+		e.do(Note{Kind: NoteLeavesKnown, Total: len(list)})
 		came = nil
 	}
 	for id, f := range e.leafs {
@@ -287,8 +287,8 @@
 			went = append(went, f)
 		}
 	}
-	e.nameLeaves(now, came, NoteLeafNew, NoteLeafsNew)
-	e.nameLeaves(now, went, NoteLeafGone, NoteLeafsGone)
+	e.nameLeaves(now, came, NoteLeafNew, NoteLeavesNew)
+	e.nameLeaves(now, went, NoteLeafRemoved, NoteLeavesRemoved)
 }
 
 // mostNamedLeaves bounds the lines on leaves that have come or gone in a second:
@@ -306,7 +306,7 @@
 		for _, f := range list[:min(len(list), mostNamedLeaves)] {
 			names = append(names, f.ID)
 		}
-		e.do(Note{Kind: all, Of: len(list), Cause: strings.Join(names, " ")})
+		e.do(Note{Kind: all, Total: len(list), Cause: strings.Join(names, " ")})
 		return
 	}
 	e.named += len(list)
@@ -325,7 +325,7 @@
 	if !same {
 		if f != nil {
 			e.remove(f)
-			e.do(Note{Kind: NoteLeafGone, Leaf: f.ID, Service: f.Service, Cause: "another has its name"})
+			e.do(Note{Kind: NoteLeafRemoved, Leaf: f.ID, Service: f.Service, Cause: "another has its name"})
 		}
 		f = &leaf{pace: pace.Limiter{Phase: rank.Fraction(e.Self.Host, l.ID)}}
 		e.leafs[l.ID] = f
@@ -333,7 +333,7 @@
 		s.leafs = append(s.leafs, f)
 	}
 	if l.Draining && !f.Draining {
-		e.do(Note{Kind: NoteLeafDrains, Leaf: l.ID, Service: l.Service})
+		e.do(Note{Kind: NoteLeafDraining, Leaf: l.ID, Service: l.Service})
 	}
 	f.Leaf = l
 	e.locate(f)
--- a/share/router/finish.go
+++ b/share/router/finish.go
@@ -59,7 +59,7 @@
 	}
 	e.do(Note{
 		Kind: kind, Cause: fmt.Sprintf("%.0f of 100 answers came too late of late", 100*l.LateRatio()),
-		Got: l.InFlight, Of: int(l.Limit()),
+		Count: l.InFlight, Total: int(l.Limit()),
 	})
 }
 
@@ -93,7 +93,7 @@
 
 // patience is when a request that no leaf has room for is turned away.
 func (e *Engine) patience(q *query) clock.Milli {
-	return q.arrived + clock.Milli(e.Policy.Patience*float64(q.route.Target))
+	return q.arrived + clock.Milli(e.Policy.MaxWaitShare*float64(q.route.Target))
 }
 
 // impatient tells whether a request that no leaf has room for is turned away.
@@ -156,7 +156,7 @@
 func (e *Engine) answer(now clock.Milli, q *query) {
 	n := Note{
 		Kind: NoteAnswered, Request: q.request.ID, Query: q.id, Route: q.route.Name, Version: q.version,
-		Took: now - q.arrived, Got: q.in, Of: len(q.shards), Extra: q.extra, Forwarded: q.forwarded,
+		Took: now - q.arrived, Count: q.in, Total: len(q.shards), Extra: q.extra, Forwarded: q.forwarded,
 	}
 	n.Late = q.late || now > q.target+e.Policy.Margin
 	a := Answer{Query: q.id}
@@ -189,13 +189,13 @@
 	}
 	n := Note{
 		Kind: NoteRefused, Request: q.request.ID, Query: q.id, Version: q.version,
-		Cause: why.String() + ": " + cause, Refusal: why, Took: now - q.arrived, Got: q.in, Of: len(q.shards), Extra: q.extra,
+		Cause: why.String() + ": " + cause, Refusal: why, Took: now - q.arrived, Count: q.in, Total: len(q.shards), Extra: q.extra,
 		Missing: q.missing(), Forwarded: q.forwarded,
 	}
 	if q.route != nil {
 		n.Route = q.route.Name
 	}
-	e.do(Answer{Query: q.id, Refusal: why, Again: e.comeBack(now, q, why)})
+	e.do(Answer{Query: q.id, Refusal: why, RetryAfter: e.comeBack(now, q, why)})
 	e.do(n)
 	e.close(now, q)
 }
--- a/share/router/forward.go
+++ b/share/router/forward.go
@@ -49,9 +49,9 @@
 	}
 	e.do(Forward{
 		Call: r.id, Request: q.request, Address: p.Address, Version: q.version, Shards: names,
-		Target: due - now - clock.Milli(e.trip(p)), Left: q.end - now, Late: q.late,
+		Target: due - now - clock.Milli(e.trip(p)), Timeout: q.end - now, Late: q.late,
 	})
-	e.do(Note{Kind: NoteForwarded, Request: q.request.ID, Query: q.id, Leaf: p.Address, Version: q.version, Of: len(group)})
+	e.do(Note{Kind: NoteForwarded, Request: q.request.ID, Query: q.id, Leaf: p.Address, Version: q.version, Total: len(group)})
 }
 
 // forwarded takes the end of forwarded shards.
@@ -163,7 +163,7 @@
 func (e *Engine) failed(now clock.Milli, r *forward, d Done) {
 	e.do(Note{
 		Kind: NoteForwardFailed, Request: r.query.request.ID, Query: r.query.id, Leaf: r.peer.Address,
-		Cause: d.Kind.String() + ": " + d.Cause, Took: now - r.sent, Of: len(r.shards),
+		Cause: d.Kind.String() + ": " + d.Cause, Took: now - r.sent, Total: len(r.shards),
 	})
 }
 
--- a/share/router/forward_test.go
+++ b/share/router/forward_test.go
@@ -22,7 +22,7 @@
 		s := fmt.Sprintf("s%d", i)
 		leafs = append(leafs, leafOf(s, s+"-far", there), leafOf(s, s+"-far2", there))
 	}
-	r.handle(Facts{Table: table(7, merged(8)), Leafs: leafs})
+	r.handle(Facts{Table: table(7, merged(8)), Leaves: leafs})
 	r.handle(Peers{List: []Peer{{Address: helperAddress, Domain: there, Started: 1}}})
 	return r
 }
@@ -42,7 +42,7 @@
 	for _, s := range r.sends {
 		r.good(s)
 	}
-	r.handle(Done{Call: forward.Call, Kind: call.Answered, Worked: 20, Reply: &call.Reply{
+	r.handle(Done{Call: forward.Call, Kind: call.Answered, ProcessingTime: 20, Reply: &call.Reply{
 		Status: 200, Stamp: "a, b, c", Missing: []string{"s6"},
 	}})
 	m := r.answers[q].Merged
@@ -97,7 +97,7 @@
 // refused as not run: answering by the older one would undo the newer.
 func TestOlderHostRefusesAForward(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(6, merged(2)), Leafs: pairs(2)})
+	r.handle(Facts{Table: table(6, merged(2)), Leaves: pairs(2)})
 	ask := func(version uint64, shards ...string) Answer {
 		r.queries++
 		r.handle(Arrive{
@@ -117,7 +117,7 @@
 // shard is of use to the host that has the caller.
 func TestForwardedPartIsAnsweredInTime(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(6, merged(4)), Leafs: pairs(4)})
+	r.handle(Facts{Table: table(6, merged(4)), Leaves: pairs(4)})
 	r.queries++
 	r.handle(Arrive{
 		Query: 1, Wait: 1000, Forwarded: true, Version: 6, Shards: []string{"s0", "s1", "s2"}, Target: 100,
@@ -137,7 +137,7 @@
 	bound := merged(2)
 	bound.Regions = []string{"near"}
 	bound.MinShare = 0.5
-	r.handle(Facts{Table: table(1, bound), Leafs: []roster.Leaf{
+	r.handle(Facts{Table: table(1, bound), Leaves: []roster.Leaf{
 		leafOf("s0", "a", here), leafOf("s1", "b", there),
 	}})
 	r.handle(Peers{List: []Peer{{Address: helperAddress, Domain: there, Started: 1}}})
@@ -152,7 +152,7 @@
 // sent it ask the same leafs.
 func TestForwardedPartWaitsForRoom(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(6, merged(1)), Leafs: pairs(1)})
+	r.handle(Facts{Table: table(6, merged(1)), Leaves: pairs(1)})
 	for _, f := range r.engine.leafs {
 		f.limit = 0
 	}
@@ -172,7 +172,7 @@
 // answer and need not ask for all shards once more.
 func TestPartsThatAnotherHostLacksAreAskedForFromHere(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leafs: farLeaves(4)})
+	r.handle(Facts{Table: table(1, merged(4)), Leaves: farLeaves(4)})
 	r.handle(Peers{List: []Peer{{Address: helperAddress, Domain: there, Started: 1}}})
 	q := r.arrive("/all/x", 1500)
 	assert.Equal(t, len(r.forwards), 1)
@@ -191,7 +191,7 @@
 // of many hosts would find out by a query of its own that is late.
 func TestSuspectedHostGetsNoShards(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leafs: farLeaves(4)})
+	r.handle(Facts{Table: table(1, merged(4)), Leaves: farLeaves(4)})
 	other := "10.0.2.8:1"
 	r.handle(Peers{List: []Peer{{Address: helperAddress, Domain: there, Started: 1, Suspected: true}, {Address: other, Domain: there, Started: 1}}})
 	for range 3 {
--- a/share/router/hedge.go
+++ b/share/router/hedge.go
@@ -70,6 +70,6 @@
 	e.send(now, s, f)
 	e.do(Note{
 		Kind: kind, Request: q.request.ID, Query: q.id, Service: s.service, Leaf: f.ID,
-		Cause: cause, Took: age, Left: svc.budget.Tokens,
+		Cause: cause, Took: age, BudgetLeft: svc.budget.Tokens,
 	})
 }
--- a/share/router/late_test.go
+++ b/share/router/late_test.go
@@ -15,7 +15,7 @@
 func (r *rig) passed() clock.Milli {
 	for i := len(r.notes) - 1; i >= 0; i-- {
 		if r.notes[i].Kind == NoteAdmitted {
-			return r.notes[i].Passed
+			return r.notes[i].SinceFirstAttempt
 		}
 	}
 	r.t.Fatal("no request was admitted")
@@ -28,7 +28,7 @@
 // them must not pass for a full wait.
 func TestTimeoutTellsWhoComesBack(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(1)), Leafs: pairs(1)})
+	r.handle(Facts{Table: table(1, merged(1)), Leaves: pairs(1)})
 	for _, left := range []clock.Milli{400, 350, 480, 310} {
 		r.arrive("/all/x", left)
 		assert.Equal(t, r.passed(), 1500-left)
@@ -40,7 +40,7 @@
 // names it counts as one whose time has just begun.
 func TestCallersOwnWaitReplacesTheTimeout(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(1)), Leafs: pairs(1)})
+	r.handle(Facts{Table: table(1, merged(1)), Leaves: pairs(1)})
 	for range 30 {
 		r.arrive("/all/x", 900)
 		r.good(r.last())
@@ -53,7 +53,7 @@
 // their answers would leave a round trip too late.
 func TestFirstRequestsOnConnectionsDoNotCountAsFull(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(1)), Leafs: pairs(1)})
+	r.handle(Facts{Table: table(1, merged(1)), Leaves: pairs(1)})
 	for range 40 {
 		r.arrive("/all/x", 1493)
 		r.good(r.last())
@@ -70,7 +70,7 @@
 // That is no caller's wait, and callers here are not measured by it.
 func TestHandedOverPartsDoNotTeachWaits(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(1)), Leafs: pairs(1)})
+	r.handle(Facts{Table: table(1, merged(1)), Leaves: pairs(1)})
 	for range 80 {
 		r.queries++
 		r.handle(Arrive{
@@ -89,7 +89,7 @@
 func TestLateQueryLeavesRoom(t *testing.T) {
 	r := newRig(t)
 	near := []roster.Leaf{leafOf("s0", "only", here)}
-	r.handle(Facts{Table: table(1, merged(1)), Leafs: near})
+	r.handle(Facts{Table: table(1, merged(1)), Leaves: near})
 	r.arrive("/all/a", 1500)
 	late := r.arrive("/all/late", 400)
 	assert.Equal(t, len(r.sends), 1, "the late query took room")
@@ -108,7 +108,7 @@
 // make the answer less late, at the cost of those in time.
 func TestLateQueryIsNotHedged(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(1)), Leafs: pairs(1)})
+	r.handle(Facts{Table: table(1, merged(1)), Leaves: pairs(1)})
 	r.arrive("/all/late", 400)
 	r.pass(245)
 	assert.Equal(t, len(r.sends), 1)
@@ -123,8 +123,8 @@
 	r := newRig(t)
 	soon := r.arrive("/all/x", 1500)
 	assert.Equal(t, r.answers[soon].Refusal, NoConfig)
-	assert.Assert(t, r.answers[soon].Again <= 250, "%d", r.answers[soon].Again)
+	assert.Assert(t, r.answers[soon].RetryAfter <= 250, "%d", r.answers[soon].RetryAfter)
 	r.pass(5000)
 	late := r.arrive("/all/x", 1500)
-	assert.Assert(t, r.answers[late].Again >= 500, "%d", r.answers[late].Again)
+	assert.Assert(t, r.answers[late].RetryAfter >= 500, "%d", r.answers[late].RetryAfter)
 }
--- a/share/router/limit_test.go
+++ b/share/router/limit_test.go
@@ -24,13 +24,13 @@
 // then refused in the same way.
 func TestBeyondTheLimitCallersAreRefusedAtOnce(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leafs: pairs(4)})
+	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
 	r.engine.limiter = limited(20)
 	first := r.arrive("/all/x", 1500)
 	back := r.arrive("/all/x", 1200-againRoom)
 	for _, q := range []uint64{first, back} {
 		assert.Equal(t, r.answers[q].Refusal, NoRoom)
-		assert.Assert(t, r.answers[q].Again >= againRoom)
+		assert.Assert(t, r.answers[q].RetryAfter >= againRoom)
 	}
 	assert.Equal(t, len(r.sends), 0)
 	r.engine.limiter.InFlight = 0
@@ -42,7 +42,7 @@
 // the share of late answers, and one when it ended.
 func TestLimitIsToldOf(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leafs: pairs(4)})
+	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
 	for range 6 {
 		sent := len(r.sends)
 		for range 4 {
@@ -69,7 +69,7 @@
 // once would throw away the calls just made and fail the whole query.
 func TestForwardedLateShardsAreServedDespiteTheLimit(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leafs: pairs(4)})
+	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
 	r.engine.limiter = limited(20)
 	r.queries++
 	r.handle(Arrive{
--- a/share/router/news.go
+++ b/share/router/news.go
@@ -14,14 +14,14 @@
 // others ask another leaf at once. Only hosts of one failure domain tell each
 // other: they have the same way to the leaf, and are cut off from it together.
 
-// HeardOfLeafs is what another host has told.
-type HeardOfLeafs struct{ List []news.Leaf }
+// LeafReports is what another host has told.
+type LeafReports struct{ List []news.Leaf }
 
-// TellOfLeafs passes news on to the hosts of the own failure domain.
-type TellOfLeafs struct{ List []news.Leaf }
+// SendLeafReports passes news on to the hosts of the own failure domain.
+type SendLeafReports struct{ List []news.Leaf }
 
-func (HeardOfLeafs) event() {}
-func (TellOfLeafs) action() {}
+func (LeafReports) event()      {}
+func (SendLeafReports) action() {}
 
 const (
 	// ownFresh is how long this host's own calls tell more of a leaf than
@@ -50,7 +50,7 @@
 		return
 	}
 	f.told.Record(now, cost)
-	e.do(TellOfLeafs{List: []news.Leaf{n}})
+	e.do(SendLeafReports{List: []news.Leaf{n}})
 }
 
 // heardOfLeafs takes over what another host has told, where this host knows
@@ -69,7 +69,7 @@
 		f.dev = max(f.dev, f.lat/4)
 		f.fails, f.judged = n.FailureRatio, now
 		e.do(Note{
-			Kind: NoteLeafHeard, Leaf: f.ID, Service: f.Service, Took: n.ExtraLatency,
+			Kind: NoteLeafReport, Leaf: f.ID, Service: f.Service, Took: n.ExtraLatency,
 			Cause: fmt.Sprintf("%.0f of 100 calls fail", 100*n.FailureRatio),
 		})
 	}
--- a/share/router/news_test.go
+++ b/share/router/news_test.go
@@ -15,7 +15,7 @@
 // newsRig has two shards, each with a near leaf and a far one, and a neighbor.
 func newsRig(t *testing.T) *rig {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(1)), Leafs: pairs(1)})
+	r.handle(Facts{Table: table(1, merged(1)), Leaves: pairs(1)})
 	r.handle(Peers{List: []Peer{neighbor}})
 	return r
 }
@@ -26,12 +26,12 @@
 // the leaf is well.
 func TestSlowLeafIsAvoidedOnAnotherHostsWord(t *testing.T) {
 	r := newsRig(t)
-	r.handle(HeardOfLeafs{List: []news.Leaf{{ID: "s0-near", ExtraLatency: 300}}})
-	assert.Assert(t, r.noted(NoteLeafHeard))
+	r.handle(LeafReports{List: []news.Leaf{{ID: "s0-near", ExtraLatency: 300}}})
+	assert.Assert(t, r.noted(NoteLeafReport))
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, "s0-far")
 	r.good(r.last())
-	r.handle(HeardOfLeafs{List: []news.Leaf{{ID: "s0-near"}}})
+	r.handle(LeafReports{List: []news.Leaf{{ID: "s0-near"}}})
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, "s0-near")
 }
@@ -39,7 +39,7 @@
 // Another host's calls to a leaf fail; the same as for slow ones holds.
 func TestFailingLeafIsAvoidedOnAnotherHostsWord(t *testing.T) {
 	r := newsRig(t)
-	r.handle(HeardOfLeafs{List: []news.Leaf{{ID: "s0-near", FailureRatio: 0.6}}})
+	r.handle(LeafReports{List: []news.Leaf{{ID: "s0-near", FailureRatio: 0.6}}})
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, "s0-far")
 }
@@ -51,7 +51,7 @@
 	r.arrive("/all/x", 1500)
 	r.pass(10)
 	r.good(r.last())
-	r.handle(HeardOfLeafs{List: []news.Leaf{{ID: "s0-near", ExtraLatency: 300}}})
+	r.handle(LeafReports{List: []news.Leaf{{ID: "s0-near", ExtraLatency: 300}}})
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, "s0-near")
 }
--- a/share/router/overload_test.go
+++ b/share/router/overload_test.go
@@ -30,7 +30,7 @@
 			w.list[i].Slots = 2
 		}
 		for _, h := range w.hosts {
-			h.handle(Facts{Table: w.table, Leafs: w.list})
+			h.handle(Facts{Table: w.table, Leaves: w.list})
 		}
 		w.load(13000)
 		w.run(begin)
--- a/share/router/peer.go
+++ b/share/router/peer.go
@@ -60,13 +60,13 @@
 	}
 	e.setAggregators()
 	e.warm(known)
-	hosts := max(e.Policy.Hosts, len(list)+1)
+	hosts := max(e.Policy.MinHosts, len(list)+1)
 	if claims := e.mayClaim(now); hosts != e.hosts || claims != e.claims || e.tiered() {
 		e.hosts, e.claims = hosts, claims
 		e.share(now)
 	}
 	if len(known) != len(list) {
-		e.do(Note{Kind: NotePeers, Got: len(list), Of: hosts})
+		e.do(Note{Kind: NotePeers, Count: len(list), Total: hosts})
 	}
 }
 
@@ -78,7 +78,7 @@
 		}
 		for _, p := range peers[:min(len(peers), e.Policy.Aggregators)] {
 			if known[p.Address] == nil {
-				e.do(Warm{Address: p.Address})
+				e.do(Preconnect{Address: p.Address})
 			}
 		}
 	}
@@ -302,8 +302,8 @@
 	}
 	if d.Kind == call.Answered {
 		p.pause = 0
-		way := float64(now - r.sent - d.Worked)
-		if d.Worked > 0 && way > 0 {
+		way := float64(now - r.sent - d.ProcessingTime)
+		if d.ProcessingTime > 0 && way > 0 {
 			if p.way == 0 {
 				p.way = way
 			}
--- a/share/router/place.go
+++ b/share/router/place.go
@@ -46,7 +46,7 @@
 	s.waiting = false
 	s.sentAt = now
 	s.hedgeAt = now + e.slowAfter(now, s, f)
-	e.do(Send{Call: a.id, Request: q.request, Leaf: f.ID, Address: f.Address, Left: max(1, q.end-now), Watch: !q.route.Merged()})
+	e.do(Send{Call: a.id, Request: q.request, Leaf: f.ID, Address: f.Address, Timeout: max(1, q.end-now), Watch: !q.route.Merged()})
 }
 
 const (
@@ -87,7 +87,7 @@
 }
 
 // probed takes an unhealthy leaf's word on its health.
-func (e *Engine) probed(now clock.Milli, p Probed) {
+func (e *Engine) probed(now clock.Milli, p ProbeResult) {
 	f := e.leafs[p.Leaf]
 	if f == nil || !f.unhealthy {
 		return
--- a/share/router/policy.go
+++ b/share/router/policy.go
@@ -4,24 +4,24 @@
 
 // Policy holds what operators may tune; a zero field takes its default.
 type Policy struct {
-	// Ratio is how many second calls each request to a service earns.
-	Ratio float64
-	// Reserve is how many second calls to one service all hosts together may
+	// BudgetRatio is how many second calls each request to a service earns.
+	BudgetRatio float64
+	// BudgetReserve is how many second calls to one service all hosts together may
 	// save up.
-	Reserve float64
+	BudgetReserve float64
 	// Margin is how long before its target, less the way to the caller, an
 	// answer leaves, in ms: the turn of this process and its caller's.
 	Margin clock.Milli
-	// FarRegion is what a leaf in another region must be faster by, in ms.
-	FarRegion float64
-	// Hosts is the least number of hosts that are taken to share the leafs,
+	// FarRegionPenalty is what a leaf in another region must be faster by, in ms.
+	FarRegionPenalty float64
+	// MinHosts is the least number of hosts that are taken to share the leafs,
 	// until as many others are known.
-	Hosts int
+	MinHosts int
 	// Aggregators is how many hosts of a failure domain ask its leaves.
 	Aggregators int
-	// Patience is the longest wait for a free leaf, as a share of the route's
+	// MaxWaitShare is the longest wait for a free leaf, as a share of the route's
 	// target.
-	Patience float64
+	MaxWaitShare float64
 }
 
 // Defaults of Policy.
@@ -49,26 +49,26 @@
 )
 
 func (p Policy) filled() Policy {
-	if p.Ratio == 0 {
-		p.Ratio = defaultRatio
+	if p.BudgetRatio == 0 {
+		p.BudgetRatio = defaultRatio
 	}
-	if p.Reserve == 0 {
-		p.Reserve = defaultReserve
+	if p.BudgetReserve == 0 {
+		p.BudgetReserve = defaultReserve
 	}
 	if p.Margin == 0 {
 		p.Margin = defaultMargin
 	}
-	if p.FarRegion == 0 {
-		p.FarRegion = defaultFarRegion
+	if p.FarRegionPenalty == 0 {
+		p.FarRegionPenalty = defaultFarRegion
 	}
-	if p.Hosts == 0 {
-		p.Hosts = defaultHosts
+	if p.MinHosts == 0 {
+		p.MinHosts = defaultHosts
 	}
 	if p.Aggregators == 0 {
 		p.Aggregators = defaultAggregators
 	}
-	if p.Patience == 0 {
-		p.Patience = defaultPatience
+	if p.MaxWaitShare == 0 {
+		p.MaxWaitShare = defaultPatience
 	}
 	return p
 }
--- a/share/router/query.go
+++ b/share/router/query.go
@@ -99,11 +99,11 @@
 }
 
 // missing lists the shards that an answer lacks.
-func (q *query) missing() []Miss {
-	var list []Miss
+func (q *query) missing() []MissingShard {
+	var list []MissingShard
 	for _, s := range q.shards {
 		if !s.in {
-			list = append(list, Miss{Service: s.service, Leaf: s.last, Cause: s.state()})
+			list = append(list, MissingShard{Service: s.service, Leaf: s.last, Cause: s.state()})
 		}
 	}
 	return list
--- a/share/router/query_test.go
+++ b/share/router/query_test.go
@@ -15,7 +15,7 @@
 // still out is given up soon after.
 func TestPartialAnswerLeavesInTime(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leafs: pairs(4)})
+	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
 	q := r.arrive("/all/x", 1500)
 	calls := r.sends
 	assert.Equal(t, len(calls), 4)
@@ -37,7 +37,7 @@
 // is answered as soon as the third comes, late but whole enough.
 func TestTooFewShardsWaitOn(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leafs: pairs(4)})
+	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
 	q := r.arrive("/all/x", 1500)
 	r.good(r.sends[0])
 	r.good(r.sends[1])
@@ -53,7 +53,7 @@
 // sooner than for one that comes fresh.
 func TestReturningCallerIsAnsweredSooner(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leafs: pairs(4)})
+	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
 	for range 5 {
 		fresh := r.arrive("/all/x", 1500)
 		for _, s := range r.sends[len(r.sends)-4:] {
@@ -74,7 +74,7 @@
 // it; with the same margin for all, its partial answers came late.
 func TestFarCallerIsAnsweredSooner(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leafs: pairs(4)})
+	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
 	ask := func(wait clock.Milli) uint64 {
 		r.queries++
 		r.handle(Arrive{
@@ -108,7 +108,7 @@
 // leaf before any call to it has failed.
 func TestStalledLeafIsHedgedAndAvoided(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(1)), Leafs: []roster.Leaf{leafOf("s0", "a", here), leafOf("s0", "b", here)}})
+	r.handle(Facts{Table: table(1, merged(1)), Leaves: []roster.Leaf{leafOf("s0", "a", here), leafOf("s0", "b", here)}})
 	for range 20 {
 		r.arrive("/all/x", 1500)
 		r.pass(20)
@@ -130,9 +130,9 @@
 // within a fraction of a second, so that no leaf works for nobody.
 func TestWorkEndsWhenTheCallerLeaves(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leafs: pairs(4)})
+	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
 	q := r.arrive("/all/x", 1500)
-	r.handle(Gone{Query: q})
+	r.handle(CallerGone{Query: q})
 	r.pass(250)
 	assert.Equal(t, len(r.cancels), 4)
 	_, answered := r.answers[q]
@@ -146,8 +146,8 @@
 // what may be saved up.
 func TestSecondCallsStayWithinTheBudget(t *testing.T) {
 	r := newRig(t)
-	r.engine.Policy = Policy{Ratio: 0.19, Reserve: 40, Hosts: 6}
-	r.handle(Facts{Table: table(1, merged(1)), Leafs: pairs(1)})
+	r.engine.Policy = Policy{BudgetRatio: 0.19, BudgetReserve: 40, MinHosts: 6}
+	r.handle(Facts{Table: table(1, merged(1)), Leaves: pairs(1)})
 	type flying struct {
 		send Send
 		due  clock.Milli
@@ -196,7 +196,7 @@
 // all. Within a second most calls go the longer way.
 func TestLeafsThatTurnDownAreLeftForFarOnes(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(1)), Leafs: pairs(1)})
+	r.handle(Facts{Table: table(1, merged(1)), Leaves: pairs(1)})
 	far := 0
 	for i := range 60 {
 		r.arrive("/all/x", 1500)
@@ -224,10 +224,10 @@
 // with the shards that it began with; the next one has the new ones.
 func TestQueryKeepsItsConfiguration(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(2)), Leafs: pairs(3)})
+	r.handle(Facts{Table: table(1, merged(2)), Leaves: pairs(3)})
 	q := r.arrive("/all/x", 1500)
 	first := r.sends
-	r.handle(Facts{Table: table(2, merged(3)), Leafs: pairs(3)})
+	r.handle(Facts{Table: table(2, merged(3)), Leaves: pairs(3)})
 	for _, s := range first {
 		r.good(s)
 	}
@@ -235,7 +235,7 @@
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, len(r.sends), 5)
 	// An older version that arrives late changes nothing.
-	r.handle(Facts{Table: table(1, merged(2)), Leafs: pairs(3)})
+	r.handle(Facts{Table: table(1, merged(2)), Leaves: pairs(3)})
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, len(r.sends), 8)
 }
@@ -244,13 +244,13 @@
 // and does not wait for what cannot come.
 func TestShardWithoutLeafIsNotWaitedFor(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leafs: pairs(3)})
+	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(3)})
 	q := r.arrive("/all/x", 1500)
 	for _, s := range r.sends {
 		r.good(s)
 	}
 	assert.Equal(t, len(r.answers[q].Merged.Parts), 3)
-	r.handle(Facts{Leafs: []roster.Leaf{leafOf("s0", "a", here)}})
+	r.handle(Facts{Leaves: []roster.Leaf{leafOf("s0", "a", here)}})
 	q = r.arrive("/all/x", 1500)
 	assert.Equal(t, r.answers[q].Refusal, NoLeaf)
 }
@@ -260,8 +260,8 @@
 // is refused for want of a leaf, since every second try would have served it.
 func TestLeafsThatLoseAnswersAreStillAsked(t *testing.T) {
 	r := newRig(t)
-	r.engine.Policy = Policy{Ratio: 1, Reserve: 1000, Hosts: 1}
-	r.handle(Facts{Table: table(1, merged(4)), Leafs: pairs(4)})
+	r.engine.Policy = Policy{BudgetRatio: 1, BudgetReserve: 1000, MinHosts: 1}
+	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
 	good, calls := 0, 0
 	for range 100 {
 		seen := len(r.sends)
--- a/share/router/replay_test.go
+++ b/share/router/replay_test.go
@@ -172,7 +172,7 @@
 		}
 	}
 	for _, h := range w.hosts {
-		h.handle(Facts{Table: w.table, Leafs: list})
+		h.handle(Facts{Table: w.table, Leaves: list})
 	}
 }
 
--- a/share/router/replica.go
+++ b/share/router/replica.go
@@ -113,7 +113,7 @@
 		c += farDomain
 	}
 	if f.region != e.Self.Region {
-		c += e.Policy.FarRegion
+		c += e.Policy.FarRegionPenalty
 	}
 	if f.unhealthy {
 		c += unhealthyCost
--- a/share/router/router_test.go
+++ b/share/router/router_test.go
@@ -39,7 +39,7 @@
 func newRig(t *testing.T) *rig {
 	t.Helper()
 	r := &rig{t: t, now: 1000, answers: map[uint64]Answer{}}
-	r.engine.Self = Place{Domain: here, Region: "near"}
+	r.engine.Self = HostInfo{Domain: here, Region: "near"}
 	r.engine.Regions = map[string]string{here: "near", there: "far"}
 	return r
 }
@@ -59,9 +59,9 @@
 			_, twice := r.answers[a.Query]
 			assert.Assert(r.t, !twice, "query %d was answered twice", a.Query)
 			r.answers[a.Query] = a
-		case TellCrashes:
+		case SendCrashReports:
 			r.told = append(r.told, a.List...)
-		case TellOfLeafs:
+		case SendLeafReports:
 			r.leafNews = append(r.leafNews, a.List...)
 		case Note:
 			r.notes = append(r.notes, a)
@@ -163,7 +163,7 @@
 // caller gets its record.
 func TestBrokenCallIsTriedOnAnotherLeaf(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, single(true)), Leafs: []roster.Leaf{leafOf("s", "a", here), leafOf("s", "b", here)}})
+	r.handle(Facts{Table: table(1, single(true)), Leaves: []roster.Leaf{leafOf("s", "a", here), leafOf("s", "b", here)}})
 	q := r.arrive("/one/x", 4000)
 	first := r.last()
 	r.now += 2
--- a/share/router/single_test.go
+++ b/share/router/single_test.go
@@ -16,7 +16,7 @@
 // not that nothing was done.
 func TestUpdateThatMayHaveRunIsNotSentAgain(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, single(false)), Leafs: []roster.Leaf{leafOf("s", "a", here), leafOf("s", "b", here)}})
+	r.handle(Facts{Table: table(1, single(false)), Leaves: []roster.Leaf{leafOf("s", "a", here), leafOf("s", "b", here)}})
 	q := r.arrive("/one/x", 4000)
 	r.ends(r.last(), call.Broken)
 	r.pass(5000)
@@ -29,7 +29,7 @@
 // leaf was asked meanwhile.
 func TestSilentUpdateIsNotHedged(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, single(false)), Leafs: []roster.Leaf{leafOf("s", "a", here), leafOf("s", "b", here)}})
+	r.handle(Facts{Table: table(1, single(false)), Leaves: []roster.Leaf{leafOf("s", "a", here), leafOf("s", "b", here)}})
 	q := r.arrive("/one/x", 9000)
 	r.pass(3999)
 	_, answered := r.answers[q]
@@ -44,7 +44,7 @@
 // told truthfully that nothing has run and when to come back.
 func TestUpdateThatWasTurnedDownGoesElsewhere(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, single(false)), Leafs: []roster.Leaf{leafOf("s", "a", here), leafOf("s", "b", here)}})
+	r.handle(Facts{Table: table(1, single(false)), Leaves: []roster.Leaf{leafOf("s", "a", here), leafOf("s", "b", here)}})
 	q := r.arrive("/one/x", 4000)
 	first := r.last()
 	r.ends(first, call.Shed)
@@ -53,7 +53,7 @@
 	r.ends(r.last(), call.Shed)
 	a := r.answers[q]
 	assert.Equal(t, a.Refusal, NoLeaf)
-	assert.Assert(t, a.Again > 0)
+	assert.Assert(t, a.RetryAfter > 0)
 }
 
 // Before any configuration is known, and where no route matches, the answer
@@ -73,7 +73,7 @@
 // fails as well, its answer is handed on with its status.
 func TestLeafsOwnFailureIsHandedOnLast(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, single(true)), Leafs: []roster.Leaf{leafOf("s", "a", here), leafOf("s", "b", here)}})
+	r.handle(Facts{Table: table(1, single(true)), Leaves: []roster.Leaf{leafOf("s", "a", here), leafOf("s", "b", here)}})
 	q := r.arrive("/one/x", 4000)
 	fail := func() {
 		r.handle(Done{Call: r.last().Call, Kind: call.Answered, Reply: &call.Reply{Status: 500, Stamp: "x"}})
@@ -90,7 +90,7 @@
 func TestLeavingLeafsGetNothing(t *testing.T) {
 	leafs := []roster.Leaf{leafOf("s", "a", here), leafOf("s", "b", there), leafOf("s", "c", here)}
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, single(true)), Leafs: leafs})
+	r.handle(Facts{Table: table(1, single(true)), Leaves: leafs})
 	for range 40 {
 		r.arrive("/one/x", 4000)
 	}
@@ -98,7 +98,7 @@
 	assert.Assert(t, sent < 40, "some must wait for room")
 	drains := leafs[0]
 	drains.Draining = true
-	r.handle(Facts{Leafs: []roster.Leaf{drains, leafs[1]}, Out: map[string]bool{there: true}})
+	r.handle(Facts{Leaves: []roster.Leaf{drains, leafs[1]}, DomainsOut: map[string]bool{there: true}})
 	for _, s := range r.sends[:sent] {
 		r.good(s)
 	}
@@ -111,7 +111,7 @@
 	weighted := single(true)
 	weighted.Services = []route.WeightedService{{Service: "s", Weight: 3}, {Service: "t", Weight: 1}}
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, weighted), Leafs: []roster.Leaf{leafOf("s", "a", here), leafOf("t", "b", here)}})
+	r.handle(Facts{Table: table(1, weighted), Leaves: []roster.Leaf{leafOf("s", "a", here), leafOf("t", "b", here)}})
 	got := map[string]int{}
 	for range 400 {
 		r.arrive("/one/x", 4000)
@@ -126,7 +126,7 @@
 // is asked for its health meanwhile and gets work again when it is well.
 func TestRefusedConnectionMakesALeafSuspect(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, single(true)), Leafs: []roster.Leaf{leafOf("s", "a", here), leafOf("s", "b", here)}})
+	r.handle(Facts{Table: table(1, single(true)), Leaves: []roster.Leaf{leafOf("s", "a", here), leafOf("s", "b", here)}})
 	for _, f := range r.engine.leafs {
 		f.limit = 20
 	}
@@ -144,7 +144,7 @@
 		r.good(r.last())
 	}
 	assert.Assert(t, len(r.probes) == 1 && r.probes[0].Leaf == first.Leaf, "%v", r.probes)
-	r.handle(Probed{Leaf: first.Leaf, Healthy: true})
+	r.handle(ProbeResult{Leaf: first.Leaf, Healthy: true})
 	assert.Assert(t, r.noted(NoteLeafHealthy))
 	r.pass(4000)
 	seen := map[string]bool{}
@@ -163,7 +163,7 @@
 	config := table(1, single(true))
 	config.Services["s"] = route.Service{Name: "s", ColdRate: 10, Connections: 100}
 	r := newRig(t)
-	r.handle(Facts{Table: config, Leafs: []roster.Leaf{cold}})
+	r.handle(Facts{Table: config, Leaves: []roster.Leaf{cold}})
 	for range 100 {
 		r.pass(20)
 		r.arrive("/one/x", 4000)
@@ -204,7 +204,7 @@
 	bound.Regions = []string{"near"}
 	facts := func(version uint64, near, far string) Facts {
 		return Facts{
-			Table: table(version, bound), Leafs: []roster.Leaf{leafOf("s", "a", here), leafOf("s", "b", there)},
+			Table: table(version, bound), Leaves: []roster.Leaf{leafOf("s", "a", here), leafOf("s", "b", there)},
 			Regions: map[string]string{here: near, there: far},
 		}
 	}
@@ -229,14 +229,14 @@
 	}{"within the way there and back": {90, false}, "long after it": {250, true}} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			r.handle(Facts{Table: table(1, single(true)), Leafs: []roster.Leaf{leafOf("s", "a", there)}})
+			r.handle(Facts{Table: table(1, single(true)), Leaves: []roster.Leaf{leafOf("s", "a", there)}})
 			r.arrive("/one/", 2000)
 			r.pass(92)
 			r.good(r.last()) // the region's leafs take 92 ms
 			r.arrive("/one/", 2000)
 			s := r.last()
 			r.pass(c.took)
-			r.handle(Gone{Query: r.queries})
+			r.handle(CallerGone{Query: r.queries})
 			r.ends(s, call.Withdrawn)
 			assert.Equal(t, r.engine.leafs["a"].unhealthy, c.unhealthy)
 		})
@@ -256,10 +256,10 @@
 		}
 		return n
 	}
-	r.handle(Facts{Table: table(1, merged(8)), Leafs: pairs(8)})
-	assert.Equal(t, count(NoteLeafsKnown), 1)
+	r.handle(Facts{Table: table(1, merged(8)), Leaves: pairs(8)})
+	assert.Equal(t, count(NoteLeavesKnown), 1)
 	assert.Equal(t, count(NoteLeafNew), 0)
-	r.handle(Facts{Leafs: pairs(9)})
-	assert.Equal(t, count(NoteLeafsKnown), 1)
+	r.handle(Facts{Leaves: pairs(9)})
+	assert.Equal(t, count(NoteLeavesKnown), 1)
 	assert.Equal(t, count(NoteLeafNew), 2)
 }
--- a/share/router/types.go
+++ b/share/router/types.go
@@ -38,8 +38,8 @@
 	Late bool
 }
 
-// Gone says that a caller closed its connection.
-type Gone struct{ Query uint64 }
+// CallerGone says that a caller closed its connection.
+type CallerGone struct{ Query uint64 }
 
 // Done is the end of a call to a leaf.
 type Done struct {
@@ -50,17 +50,17 @@
 	Cause string
 	// Refusal is why another host has refused forwarded shards.
 	Refusal Refusal
-	// Worked is how long the other host of a forwarded request took, without
+	// ProcessingTime is how long the other host of a forwarded request took, without
 	// the way there and back.
-	Worked clock.Milli
+	ProcessingTime clock.Milli
 }
 
 // Facts replaces what is known of routes, leafs and failure domains.
 type Facts struct {
-	Table *route.Table
-	Leafs []roster.Leaf
-	// Out are the failure domains that get no new work.
-	Out map[string]bool
+	Table  *route.Table
+	Leaves []roster.Leaf
+	// DomainsOut are the failure domains that get no new work.
+	DomainsOut map[string]bool
 	// Regions maps failure domains to regions; nil leaves what is known.
 	Regions map[string]string
 }
@@ -81,26 +81,26 @@
 	Suspected bool
 }
 
-// Probed is what a leaf said of its health.
-type Probed struct {
+// ProbeResult is what a leaf said of its health.
+type ProbeResult struct {
 	Leaf    string
 	Healthy bool
 }
 
-// Absent says that nobody listens at a leaf's address.
-type Absent struct{ Leaf string }
+// ConnRefused says that nobody listens at a leaf's address.
+type ConnRefused struct{ Leaf string }
 
 // Tick says that the time of Next has come.
 type Tick struct{}
 
-func (Arrive) event() {}
-func (Gone) event()   {}
-func (Absent) event() {}
-func (Done) event()   {}
-func (Facts) event()  {}
-func (Peers) event()  {}
-func (Probed) event() {}
-func (Tick) event()   {}
+func (Arrive) event()      {}
+func (CallerGone) event()  {}
+func (ConnRefused) event() {}
+func (Done) event()        {}
+func (Facts) event()       {}
+func (Peers) event()       {}
+func (ProbeResult) event() {}
+func (Tick) event()        {}
 
 // Action is something for the program to do; one of the types below.
 type Action interface{ action() }
@@ -111,8 +111,8 @@
 	Request *call.Request
 	Leaf    string
 	Address string
-	// Left is how long the leaf may take.
-	Left clock.Milli
+	// Timeout is how long the leaf may take.
+	Timeout clock.Milli
 	// Watch has a new connection watched for a moment before the request is sent
 	// on it, so that the leaf can turn the connection away first.
 	Watch bool
@@ -125,14 +125,14 @@
 	Address string
 	Shards  []string
 	// Target is when the answer must leave there, and Left when all ends.
-	Target, Left clock.Milli
-	Version      uint64
+	Target, Timeout clock.Milli
+	Version         uint64
 	// Late says that the caller's target had passed when it came here.
 	Late bool
 }
 
-// Warm opens a connection ahead to another host.
-type Warm struct{ Address string }
+// Preconnect opens a connection ahead to another host.
+type Preconnect struct{ Address string }
 
 // Cancel gives up on a call by closing its connection.
 type Cancel struct{ Call uint64 }
@@ -161,8 +161,8 @@
 	Merged *Merged
 	// Refusal tells why there is neither.
 	Refusal Refusal
-	// Again is when to come back after a refusal.
-	Again clock.Milli
+	// RetryAfter is when to come back after a refusal.
+	RetryAfter clock.Milli
 }
 
 // Merged is a whole or partial answer of a query over shards.
@@ -208,8 +208,8 @@
 	return Refusal(max(0, slices.Index(refusalNames[:], name)))
 }
 
-// Ended tells of the end of a call to a leaf, for the counters.
-type Ended struct {
+// CallEnded tells of the end of a call to a leaf, for the counters.
+type CallEnded struct {
 	Service string
 	Domain  string
 	Kind    call.Kind
@@ -230,16 +230,16 @@
 	Refusal Refusal
 	// Took is the age of the request or call, in milliseconds.
 	Took clock.Milli
-	// Got and Of count shards; of the limiter, queries under way and their limit.
-	Got, Of int
+	// Count and Of count shards; of the limiter, queries under way and their limit.
+	Count, Total int
 	// Missing names the shards left out, each with the last thing that
 	// happened to it.
-	Missing []Miss
+	Missing []MissingShard
 	// Extra is how many calls beyond the first per shard were made.
 	Extra int
 	// Wait is how long the caller said it would wait, Passed what is taken to
 	// have passed since its first attempt, in ms.
-	Wait, Passed clock.Milli
+	Wait, SinceFirstAttempt clock.Milli
 	// Due is how long the answer may take to be in time, in ms.
 	Due    clock.Milli
 	Remote string
@@ -248,12 +248,12 @@
 	// Late says that no answer can be in time: the caller's target had passed
 	// when the request came, or has passed since.
 	Late bool
-	// Left is what the budget of second calls still holds.
-	Left float64
+	// BudgetLeft is what the budget of second calls still holds.
+	BudgetLeft float64
 }
 
-// Miss is one shard that an answer lacks.
-type Miss struct {
+// MissingShard is one shard that an answer lacks.
+type MissingShard struct {
 	Service string
 	Leaf    string
 	Cause   string
@@ -268,17 +268,17 @@
 	NoteAnswered
 	NotePartial
 	NoteRefused
-	NoteGone
+	NoteCallerGone
 	NoteHedged
 	NoteRetried
-	NoteHeld
+	NoteWithheld
 	NoteForwarded
 	NoteForwardFailed
 	NoteLeafUnhealthy
 	NoteLeafHealthy
 	NoteLeafNew
-	NoteLeafDrains
-	NoteLeafGone
+	NoteLeafDraining
+	NoteLeafRemoved
 	NoteTable
 	NoteDomainOut
 	NoteDomainBack
@@ -287,10 +287,10 @@
 	NoteCrash
 	NoteLimitSet
 	NoteLimitLifted
-	NoteLeafHeard
-	NoteLeafsKnown
-	NoteLeafsNew
-	NoteLeafsGone
+	NoteLeafReport
+	NoteLeavesKnown
+	NoteLeavesNew
+	NoteLeavesRemoved
 )
 
 var noteNames = [...]string{
@@ -307,18 +307,18 @@
 // full, or a changed belief; such notes are kept when others are dropped.
 func (k NoteKind) Failure() bool {
 	switch k {
-	case NoteAdmitted, NoteAnswered, NoteHedged, NoteForwarded, NoteLeafHeard:
+	case NoteAdmitted, NoteAnswered, NoteHedged, NoteForwarded, NoteLeafReport:
 		return false
 	}
 	return true
 }
 
-func (Ended) action()     {}
-func (Warm) action()      {}
-func (Forward) action()   {}
-func (Send) action()      {}
-func (Cancel) action()    {}
-func (Probe) action()     {}
-func (CheckConn) action() {}
-func (Answer) action()    {}
-func (Note) action()      {}
+func (CallEnded) action()  {}
+func (Preconnect) action() {}
+func (Forward) action()    {}
+func (Send) action()       {}
+func (Cancel) action()     {}
+func (Probe) action()      {}
+func (CheckConn) action()  {}
+func (Answer) action()     {}
+func (Note) action()       {}
--- a/share/router/wait_test.go
+++ b/share/router/wait_test.go
@@ -15,7 +15,7 @@
 // answer leaves at its target without the shard.
 func TestRoomGoesToThoseThatCanBeInTime(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(2)), Leafs: []roster.Leaf{leafOf("s0", "busy", here), leafOf("s1", "idle", here)}})
+	r.handle(Facts{Table: table(1, merged(2)), Leaves: []roster.Leaf{leafOf("s0", "busy", here), leafOf("s1", "idle", here)}})
 	var busy []Send
 	ask := func(path string) uint64 {
 		sent := len(r.sends)
@@ -56,7 +56,7 @@
 		only.Slots = slots
 		facts := table(1, merged(1))
 		facts.Services["s0"] = route.Service{Name: "s0", Connections: 30}
-		r.handle(Facts{Table: facts, Leafs: []roster.Leaf{only}})
+		r.handle(Facts{Table: facts, Leaves: []roster.Leaf{only}})
 		for range 6 {
 			r.arrive("/all/x", 1500)
 		}
--- a/share/router/world_test.go
+++ b/share/router/world_test.go
@@ -124,7 +124,7 @@
 type simHost struct {
 	w       *world
 	address string
-	place   Place
+	place   HostInfo
 	engine  *Engine
 	dark    bool
 	queries uint64
@@ -135,12 +135,12 @@
 
 // start begins a new process.
 func (h *simHost) start() {
-	h.engine = &Engine{Self: h.place, Regions: simRegions, Policy: Policy{Ratio: 0.19, Reserve: 39, Hosts: len(h.w.hosts), Aggregators: h.w.aggregators}}
+	h.engine = &Engine{Self: h.place, Regions: simRegions, Policy: Policy{BudgetRatio: 0.19, BudgetReserve: 39, MinHosts: len(h.w.hosts), Aggregators: h.w.aggregators}}
 	h.answers = map[uint64]func(Answer){}
 	h.calls = map[uint64]*simJob{}
 	h.dark = false
 	h.tick = 0
-	h.handle(Facts{Table: h.w.table, Leafs: h.w.list})
+	h.handle(Facts{Table: h.w.table, Leaves: h.w.list})
 	h.w.at(h.w.now+300, func() { h.meet() })
 }
 
@@ -191,7 +191,7 @@
 	w := h.w
 	switch a := a.(type) {
 	case Send:
-		j := &simJob{host: h, engine: engine, call: a.Call, leaf: w.leafs[a.Leaf], request: a.Request, until: w.now + a.Left}
+		j := &simJob{host: h, engine: engine, call: a.Call, leaf: w.leafs[a.Leaf], request: a.Request, until: w.now + a.Timeout}
 		h.calls[a.Call] = j
 		w.at(w.now+h.way(j.leaf.region), func() { j.leaf.take(j) })
 	case Cancel:
@@ -201,7 +201,7 @@
 		}
 	case Forward:
 		h.forward(engine, a)
-	case TellOfLeafs:
+	case SendLeafReports:
 		h.tell(a.List)
 	case Answer:
 		if answer := h.answers[a.Query]; answer != nil {
@@ -218,7 +218,7 @@
 func (h *simHost) tell(list []news.Leaf) {
 	for _, o := range h.w.hosts {
 		if !h.w.silent && o != h && o.place.Domain == h.place.Domain {
-			h.w.at(h.w.now+simNews, func() { o.handle(HeardOfLeafs{List: list}) })
+			h.w.at(h.w.now+simNews, func() { o.handle(LeafReports{List: list}) })
 		}
 	}
 }
@@ -262,10 +262,10 @@
 		}
 		came := w.now
 		arrive := Arrive{
-			Wait: a.Left, Request: a.Request, Forwarded: true, Shards: a.Shards, Target: a.Target, Version: a.Version, Remote: h.address, Late: a.Late,
+			Wait: a.Timeout, Request: a.Request, Forwarded: true, Shards: a.Shards, Target: a.Target, Version: a.Version, Remote: h.address, Late: a.Late,
 		}
 		other.arrive(arrive, func(ans Answer) {
-			d := Done{Call: a.Call, Kind: call.Answered, Worked: w.now - came}
+			d := Done{Call: a.Call, Kind: call.Answered, ProcessingTime: w.now - came}
 			if ans.Merged == nil {
 				d = Done{Call: a.Call, Kind: call.Shed, Refusal: ans.Refusal}
 			} else {
@@ -490,7 +490,7 @@
 	}
 	r.lastRefusal = a.Refusal
 	if a.Refusal != None {
-		wait := a.Again
+		wait := a.RetryAfter
 		if r.abuses {
 			wait = 0
 		}
@@ -562,7 +562,7 @@
 	domains := []string{"east-1", "west-1", "south-1"}
 	for i := range hosts {
 		d := domains[i%3]
-		w.hosts = append(w.hosts, &simHost{w: w, address: fmt.Sprintf("10.0.0.%d:1", i), place: Place{Host: fmt.Sprintf("h%d", i), Domain: d, Region: simRegions[d], Address: fmt.Sprintf("10.0.0.%d:1", i)}})
+		w.hosts = append(w.hosts, &simHost{w: w, address: fmt.Sprintf("10.0.0.%d:1", i), place: HostInfo{Host: fmt.Sprintf("h%d", i), Domain: d, Region: simRegions[d], Address: fmt.Sprintf("10.0.0.%d:1", i)}})
 	}
 	for _, h := range w.hosts {
 		h.start()
--- a/share/tier/callers.go
+++ b/share/tier/callers.go
@@ -130,7 +130,7 @@
 	select {
 	case answer = <-waiting:
 	case <-r.Context().Done():
-		t.post(router.Gone{Query: a.Query})
+		t.post(router.CallerGone{Query: a.Query})
 		return
 	}
 	if a.Forwarded {
@@ -258,8 +258,8 @@
 // refused tells the caller why there is no answer. 503 says that the request
 // has not run; the others leave it open.
 func (t *Server) refused(w http.ResponseWriter, a router.Answer) {
-	if a.Again > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(float64(a.Again)/float64(clock.Second), 'f', 3, 64))
+	if a.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(float64(a.RetryAfter)/float64(clock.Second), 'f', 3, 64))
 	}
 	switch a.Refusal {
 	case router.NoRoute:
--- a/share/tier/notes.go
+++ b/share/tier/notes.go
@@ -31,7 +31,7 @@
 		line.Int64("took-ms", int64(n.Took))
 	}
 	if n.Wait > 0 {
-		line.Int64("wait-ms", int64(n.Wait)).Int64("passed-ms", int64(n.Passed))
+		line.Int64("wait-ms", int64(n.Wait)).Int64("passed-ms", int64(n.SinceFirstAttempt))
 	}
 	if n.Due > 0 {
 		line.Int64("due-ms", int64(n.Due))
@@ -39,14 +39,14 @@
 	flag(line, "forwarded", n.Forwarded)
 	flag(line, "late", n.Late)
 	text(line, "remote", n.Remote)
-	if n.Of > 0 {
-		line.Int("got", n.Got).Int("of", n.Of)
+	if n.Total > 0 {
+		line.Int("got", n.Count).Int("of", n.Total)
 	}
 	if n.Extra > 0 {
 		line.Int("extra", n.Extra)
 	}
-	if n.Kind == router.NoteHedged || n.Kind == router.NoteRetried || n.Kind == router.NoteHeld {
-		line.Float64("budget-left", n.Left)
+	if n.Kind == router.NoteHedged || n.Kind == router.NoteRetried || n.Kind == router.NoteWithheld {
+		line.Float64("budget-left", n.BudgetLeft)
 	}
 	if len(n.Missing) > 0 {
 		line.Array("missing", misses(n.Missing[:min(len(n.Missing), mostNamed)]))
@@ -67,7 +67,7 @@
 	}
 }
 
-type misses []router.Miss
+type misses []router.MissingShard
 
 // MarshalZerologArray writes each shard as service, leaf and cause.
 func (m misses) MarshalZerologArray(a *zerolog.Array) {
@@ -91,7 +91,7 @@
 }
 
 // ended counts calls to leafs by where the leaf stands and how they ended.
-func (t *Server) ended(c router.Ended) {
+func (t *Server) ended(c router.CallEnded) {
 	domain := meter.Label{Name: "domain", Value: c.Domain}
 	t.Meter.Count("leaf_calls", 1, domain, meter.Label{Name: "end", Value: c.Kind.String()})
 	t.Meter.Latency("leaf_call_time", c.Took.Duration(), domain)
--- a/share/tier/peers.go
+++ b/share/tier/peers.go
@@ -126,10 +126,10 @@
 	p.mu.Unlock()
 	p.send(answers)
 	if len(packet.Crashes) > 0 {
-		p.tier.post(router.Crashes{List: packet.Crashes})
+		p.tier.post(router.CrashReports{List: packet.Crashes})
 	}
 	if len(packet.Leaves) > 0 {
-		p.tier.post(router.HeardOfLeafs{List: packet.Leaves})
+		p.tier.post(router.LeafReports{List: packet.Leaves})
 	}
 	if sooner {
 		p.wakeUp()
--- a/share/tier/peers_test.go
+++ b/share/tier/peers_test.go
@@ -61,13 +61,13 @@
 		tiers[i] = &Server{
 			Settings: Settings{
 				CallerAddress: "127.0.0.1:0", ForwardAddress: strings.Split(gossip[i], ":")[0] + ":0", GossipAddress: gossip[i], Seeds: gossip, Dialect: hop.DefaultDialect,
-				Self: router.Place{Domain: domains[i], Region: "r"}, Regions: map[string]string{"d": "r", "e": "r"},
+				Self: router.HostInfo{Domain: domains[i], Region: "r"}, Regions: map[string]string{"d": "r", "e": "r"},
 			},
 			Log: zerolog.New(&logs[i]), Clock: clock.Wall{},
 		}
 		assert.NilError(t, tiers[i].Start())
 		defer func() { assert.NilError(t, tiers[i].Close()) }()
-		tiers[i].SetFacts(router.Facts{Table: &route.Table{Version: 1}, Leafs: []roster.Leaf{leaf}})
+		tiers[i].SetFacts(router.Facts{Table: &route.Table{Version: 1}, Leaves: []roster.Leaf{leaf}})
 	}
 	reached := func(i int, text string) poll.Check {
 		return func(poll.LogT) poll.Result {
--- a/share/tier/tier.go
+++ b/share/tier/tier.go
@@ -31,7 +31,7 @@
 	Seeds []string
 	// SourceIP is the IP that connections to leafs are opened from.
 	SourceIP string
-	Self     router.Place
+	Self     router.HostInfo
 	// Regions maps failure domains to regions.
 	Regions map[string]string
 	Policy  router.Policy
@@ -137,9 +137,9 @@
 
 func (t *Server) report(d router.Done) { t.post(d) }
 
-func (t *Server) probed(p router.Probed) { t.post(p) }
+func (t *Server) probed(p router.ProbeResult) { t.post(p) }
 
-func (t *Server) absent(a router.Absent) { t.post(a) }
+func (t *Server) absent(a router.ConnRefused) { t.post(a) }
 
 func (t *Server) post(e router.Event) {
 	select {
@@ -197,7 +197,7 @@
 			t.pool.Cancel(a.Call)
 		case router.Forward:
 			t.pool.Forward(a)
-		case router.Warm:
+		case router.Preconnect:
 			t.pool.Preconnect(a.Address)
 		case router.Probe:
 			t.pool.Probe(a)
@@ -205,11 +205,11 @@
 			t.pool.CheckConn(a)
 		case router.Answer:
 			t.callers.answer(a)
-		case router.TellCrashes:
+		case router.SendCrashReports:
 			t.peers.tellCrashes(a.List)
-		case router.TellOfLeafs:
+		case router.SendLeafReports:
 			t.peers.tellLeafs(a.List)
-		case router.Ended:
+		case router.CallEnded:
 			t.ended(a)
 		case router.Note:
 			t.note(a)
--- a/share/tier/tier_test.go
+++ b/share/tier/tier_test.go
@@ -36,7 +36,7 @@
 func newRig(t *testing.T) *rig {
 	t.Helper()
 	r := &rig{t: t, tier: &Server{
-		Settings: Settings{CallerAddress: "127.0.0.1:0", Dialect: hop.DefaultDialect, Self: router.Place{Domain: "d", Region: "r"}, Regions: map[string]string{"d": "r"}},
+		Settings: Settings{CallerAddress: "127.0.0.1:0", Dialect: hop.DefaultDialect, Self: router.HostInfo{Domain: "d", Region: "r"}, Regions: map[string]string{"d": "r"}},
 		Log:      zerolog.Nop(), Clock: clock.Wall{},
 	}}
 	assert.NilError(t, r.tier.Start())
@@ -63,7 +63,7 @@
 
 // openWithin does so with the operators' limits.
 func (r *rig) openWithin(l route.Limits) {
-	r.tier.SetFacts(router.Facts{Leafs: r.leafs, Table: &route.Table{Version: 1, Limits: l, Routes: []route.Route{
+	r.tier.SetFacts(router.Facts{Leaves: r.leafs, Table: &route.Table{Version: 1, Limits: l, Routes: []route.Route{
 		{Name: "one", Host: "h", Prefix: "/one/", Idempotent: true, Attempts: 2, Timeout: 8000, Target: 500, Services: []route.WeightedService{{Service: "s0", Weight: 1}}},
 		{Name: "all", Host: "h", Prefix: "/all/", Idempotent: true, Attempts: 2, Timeout: 2000, Target: 500, Shards: []string{"s0", "s1"}, Top: 3, MinShare: 0.5},
 	}}})
