--- a/aggregator/core/codec.go
+++ b/aggregator/core/codec.go
@@ -2,8 +2,8 @@
 
 import (
 	"dandelionstile/share/clock"
-	"dandelionstile/share/gate"
 	"dandelionstile/share/query"
+	"dandelionstile/share/sched"
 	"dandelionstile/share/wire"
 )
 
@@ -14,7 +14,7 @@
 	}}}
 }
 
-func agesTo(list []gate.ServerAges) []*wire.ServerAges {
+func agesTo(list []sched.ServerAges) []*wire.ServerAges {
 	out := make([]*wire.ServerAges, len(list))
 	for i, s := range list {
 		out[i] = &wire.ServerAges{Server: s.Server, Granted: s.Granted}
@@ -25,12 +25,12 @@
 	return out
 }
 
-func agesFrom(list []*wire.ServerAges) []gate.ServerAges {
-	out := make([]gate.ServerAges, len(list))
+func agesFrom(list []*wire.ServerAges) []sched.ServerAges {
+	out := make([]sched.ServerAges, len(list))
 	for i, s := range list {
-		out[i] = gate.ServerAges{Server: s.GetServer(), Granted: s.GetGranted()}
+		out[i] = sched.ServerAges{Server: s.GetServer(), Granted: s.GetGranted()}
 		for _, l := range s.GetLeafs() {
-			out[i].Leafs = append(out[i].Leafs, gate.LeafAge{
+			out[i].Leafs = append(out[i].Leafs, sched.LeafAge{
 				Leaf: l.GetLeaf(), Age: clock.Milli(l.GetAgeMs()), Known: l.GetKnown(),
 			})
 		}
@@ -38,22 +38,24 @@
 	return out
 }
 
-func claimTo(a gate.Claim) *wire.Envelope {
+func claimTo(a sched.Claim) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_Claim{Claim: &wire.Claim{Id: a.ID, Servers: agesTo(a.Servers)}}}
 }
 
-func releaseTo(a gate.Release) *wire.Envelope {
+func releaseTo(a sched.Release) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_Claim{Claim: &wire.Claim{Servers: agesTo(a.Servers), Release: true}}}
 }
 
-func claimFrom(w *wire.Claim) (uint64, []gate.ServerAges) { return w.GetId(), agesFrom(w.GetServers()) }
+func claimFrom(w *wire.Claim) (uint64, []sched.ServerAges) {
+	return w.GetId(), agesFrom(w.GetServers())
+}
 
-func grantTo(a gate.Grant) *wire.Envelope {
+func grantTo(a sched.Grant) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_Grant{Grant: &wire.Grant{
 		Claim: a.ID, Servers: agesTo(a.Servers), SpanMs: uint32(a.Duration),
 	}}}
 }
 
-func grantFrom(w *wire.Grant) (uint64, []gate.ServerAges, clock.Milli) {
+func grantFrom(w *wire.Grant) (uint64, []sched.ServerAges, clock.Milli) {
 	return w.GetClaim(), agesFrom(w.GetServers()), clock.Milli(w.GetSpanMs())
 }
--- a/aggregator/core/core.go
+++ b/aggregator/core/core.go
@@ -10,19 +10,19 @@
 	"github.com/rs/zerolog"
 	"go.opentelemetry.io/otel/attribute"
 
-	"dandelionstile/aggregator/leafs"
+	"dandelionstile/aggregator/leaves"
+	"dandelionstile/share/admin"
+	"dandelionstile/share/assign"
 	"dandelionstile/share/clock"
+	"dandelionstile/share/deny"
 	"dandelionstile/share/fetch"
-	"dandelionstile/share/gate"
-	"dandelionstile/share/invent"
 	"dandelionstile/share/mesh"
 	"dandelionstile/share/meter"
 	"dandelionstile/share/node"
-	"dandelionstile/share/place"
-	"dandelionstile/share/poison"
 	"dandelionstile/share/query"
-	"dandelionstile/share/show"
+	"dandelionstile/share/sched"
 	"dandelionstile/share/spans"
+	"dandelionstile/share/topo"
 	"dandelionstile/share/wire"
 )
 
@@ -45,13 +45,13 @@
 
 	loop  node.Loop[any]
 	node  node.Node
-	gate  gate.Engine
-	pool  leafs.Pool
+	gate  sched.Engine
+	pool  leaves.Pool
 	http  fetch.Engine
 	links map[uint64]*mesh.Link
 	peers map[string]*mesh.Link // aggregators by host
 	addrs map[string]string     // leaf -> address
-	jobs  map[gate.Key]*open
+	jobs  map[sched.Key]*open
 }
 
 // open is a call that an entry waits for.
@@ -67,7 +67,7 @@
 	tick   struct{}
 	leave  struct{ done chan struct{} }
 	refuse struct{}
-	status struct{ reply chan show.Status }
+	status struct{ reply chan admin.Status }
 )
 
 // Start links up and begins to serve.
@@ -75,17 +75,17 @@
 	c.links = map[uint64]*mesh.Link{}
 	c.peers = map[string]*mesh.Link{}
 	c.addrs = map[string]string{}
-	c.jobs = map[gate.Key]*open{}
+	c.jobs = map[sched.Key]*open{}
 	c.loop.Clock = clock.Wall{}
 	c.http.Source = c.Settings.Listen.IP()
 	if err := c.http.Start(); err != nil {
 		return err
 	}
-	c.pool = leafs.Pool{
+	c.pool = leaves.Pool{
 		HTTP: &c.http, Clock: clock.Wall{}, Tracer: c.Tracer,
 		Report: func(m any) { c.loop.Post(m) },
 	}
-	c.gate = gate.Engine{Self: c.Settings.Host.Name, Domain: c.Settings.Host.Domain}
+	c.gate = sched.Engine{Self: c.Settings.Host.Name, Domain: c.Settings.Host.Domain}
 	c.node = node.Node{
 		Settings: c.Settings, Program: node.Aggregator, Incarnation: node.NewIncarnation(), Log: c.Log, Meter: c.Meter,
 		Delegate: owner{c}, HTTP: &c.http, Post: func(m node.Message) bool { return c.loop.Post(m) },
@@ -105,14 +105,14 @@
 	switch m := m.(type) {
 	case node.Message:
 		c.node.Handle(now, m)
-	case leafs.Finished:
+	case leaves.Finished:
 		if m.Result.ConnLost || m.Result.DialFailed {
 			c.pool.Shut(m.Result.Conn)
 		}
 		c.act(now, c.gate.CallDone(now, m.Result))
-	case leafs.Probed:
+	case leaves.Probed:
 		c.act(now, c.gate.ProbeDone(now, m.Leaf, m.Conn, m.Status, m.Err))
-	case leafs.Closed:
+	case leaves.Closed:
 		c.pool.Shut(m.Conn)
 		c.act(now, c.gate.ConnClosed(now, m.Leaf, m.Conn))
 	case begin:
@@ -140,33 +140,33 @@
 }
 
 // act carries out the gate's decisions.
-func (c *Core) act(now clock.Milli, actions []gate.Action) {
+func (c *Core) act(now clock.Milli, actions []sched.Action) {
 	replies := map[uint64]*wire.Outcomes{}
 	for _, a := range actions {
 		switch a := a.(type) {
-		case gate.Send:
+		case sched.Send:
 			c.pool.Send(c.addrs[a.Leaf], a)
-		case gate.Probe:
+		case sched.Probe:
 			c.pool.Probe(c.addrs[a.Leaf], a)
-		case gate.Abort:
+		case sched.Abort:
 			c.pool.Abort(c.addrs[a.Leaf], a)
-		case gate.CloseConn:
+		case sched.CloseConn:
 			c.pool.Shut(a.Conn)
-		case gate.Reply:
+		case sched.Reply:
 			c.reply(a, replies)
-		case gate.Publish:
+		case sched.Publish:
 			c.publish(a.Feedback)
-		case gate.Claim:
+		case sched.Claim:
 			c.sendTo(a.Host, claimTo(a))
-		case gate.Grant:
+		case sched.Grant:
 			c.sendTo(a.Host, grantTo(a))
-		case gate.Release:
+		case sched.Release:
 			c.sendTo(a.Host, releaseTo(a))
-		case gate.ShareStrike:
+		case sched.ShareStrike:
 			c.Log.Warn().Uint64("fingerprint", a.Strike.Fingerprint).Int("count", a.Strike.Count).
 				Msg("request crashed a backend server")
 			c.node.ShareStrike(now, a.Strike, nil)
-		case gate.LeafEvent:
+		case sched.LeafEvent:
 			c.Log.Info().Str("leaf", a.Leaf).Str("cause", a.Cause).Msg(a.Event)
 			c.Meter.Count("leaf_events", 1, meter.Label{Name: "event", Value: a.Event}, meter.Label{Name: "cause", Value: a.Cause})
 		}
@@ -179,7 +179,7 @@
 }
 
 // reply gathers outcomes by link; updates are answered one by one.
-func (c *Core) reply(a gate.Reply, replies map[uint64]*wire.Outcomes) {
+func (c *Core) reply(a sched.Reply, replies map[uint64]*wire.Outcomes) {
 	j := c.jobs[a.Key]
 	delete(c.jobs, a.Key)
 	if j == nil {
@@ -230,10 +230,10 @@
 	}
 }
 
-func (c *Core) shown(now clock.Milli) show.Status {
-	s := show.Status{Node: c.node.Status(now), Strikes: show.StrikesFrom(c.gate.Strikes(now))}
+func (c *Core) shown(now clock.Milli) admin.Status {
+	s := admin.Status{Node: c.node.Status(now), Strikes: admin.StrikesFrom(c.gate.Strikes(now))}
 	for _, l := range c.gate.State(now) {
-		s.Leaves = append(s.Leaves, show.Leaf{
+		s.Leaves = append(s.Leaves, admin.Leaf{
 			Leaf: l.Leaf, Server: l.Server, Service: l.Service, Primary: l.Primary, Exclusive: l.Exclusive,
 			Busy: l.Busy, Queued: l.Queued, Limit: l.Limit, Slots: l.Slots, Conns: l.Conns,
 			RampLeft: int64(l.RampLeft), Closed: string(l.ClosedReason),
@@ -243,16 +243,16 @@
 }
 
 // Show returns the state, or false when the loop has ended.
-func (c *Core) Show() (show.Status, bool) {
-	ask := status{reply: make(chan show.Status, 1)}
+func (c *Core) Show() (admin.Status, bool) {
+	ask := status{reply: make(chan admin.Status, 1)}
 	if !c.loop.Post(ask) {
-		return show.Status{}, false
+		return admin.Status{}, false
 	}
 	select {
 	case s := <-ask.reply:
 		return s, true
 	case <-time.After(time.Second):
-		return show.Status{}, false
+		return admin.Status{}, false
 	}
 }
 
@@ -275,7 +275,7 @@
 	}
 }
 
-func idle(s show.Status) bool {
+func idle(s admin.Status) bool {
 	for _, l := range s.Leaves {
 		if l.Busy > 0 || l.Queued > 0 {
 			return false
@@ -294,7 +294,7 @@
 // owner is what the node tells its program; see node.Program.
 type owner struct{ c *Core }
 
-func (o owner) Configure(now clock.Milli, cfg *invent.Config, hosts []invent.Host) {
+func (o owner) Configure(now clock.Milli, cfg *topo.Config, hosts []topo.Host) {
 	c := o.c
 	clear(c.addrs)
 	for _, s := range cfg.Inventory.Servers {
@@ -340,7 +340,7 @@
 
 func (o owner) PeerLeaving(clock.Milli, *mesh.Link, bool) {}
 
-func (o owner) MergeStrike(now clock.Milli, s poison.Strike) bool {
+func (o owner) MergeStrike(now clock.Milli, s deny.Strike) bool {
 	news, out := o.c.gate.MergeStrike(now, s)
 	o.c.act(now, out)
 	return news
@@ -360,9 +360,9 @@
 
 // LinkAddrs lists the aggregators to link to: all in a small fleet; in a large one
 // a few, and the other candidates of this host's servers.
-func (o owner) LinkAddrs(cfg *invent.Config, hosts []invent.Host) []string {
+func (o owner) LinkAddrs(cfg *topo.Config, hosts []topo.Host) []string {
 	self := o.c.Settings.Host
-	return place.Neighbours(place.Network{
+	return assign.Neighbours(assign.Network{
 		Self: self.Name, Domain: self.Domain, FullMeshMax: smallFleet, LocalLinks: neighbours, RemoteLinks: farNeighbours,
 	}, cfg, hosts)
 }
@@ -376,7 +376,7 @@
 		c.update(now, l, b.Update)
 	case *wire.Envelope_Cancel:
 		for _, id := range b.Cancel.GetCalls() {
-			c.act(now, c.gate.Cancel(now, gate.Key{Link: l.ID, ID: id}))
+			c.act(now, c.gate.Cancel(now, sched.Key{Link: l.ID, ID: id}))
 		}
 	case *wire.Envelope_Claim:
 		if b.Claim.GetRelease() {
@@ -396,15 +396,15 @@
 
 func (c *Core) batch(now clock.Milli, l *mesh.Link, b *wire.Batch) {
 	for _, w := range b.GetCalls() {
-		key := gate.Key{Link: l.ID, ID: w.GetId()}
+		key := sched.Key{Link: l.ID, ID: w.GetId()}
 		span := c.Tracer.Start(b.GetTrace(), "aggregate", attribute.String("leaf", w.GetLeaf()))
 		c.jobs[key] = &open{service: b.GetService(), span: span}
-		job := &leafs.Job{
+		job := &leaves.Job{
 			Attempt: c.attempt(key), Service: b.GetService(),
-			Pin:   invent.SnapshotID{Layout: b.GetLayout(), Version: b.GetSnapshot()},
+			Pin:   topo.SnapshotID{Layout: b.GetLayout(), Version: b.GetSnapshot()},
 			Shard: int(w.GetShard()), Text: b.GetText(), Limit: int(b.GetLimit()), Parent: span.Parent(),
 		}
-		c.act(now, c.gate.Submit(now, gate.Call{
+		c.act(now, c.gate.Submit(now, sched.Call{
 			Key: key, Leaf: w.GetLeaf(), Caller: b.GetCaller(), Deadline: now + clock.Milli(b.GetBudgetMs()),
 			Fingerprint: b.GetFingerprint(), Canary: w.GetCanary(), SecondCanary: w.GetAgain(), Pin: job.Pin, Request: job,
 		}))
@@ -412,19 +412,19 @@
 }
 
 func (c *Core) update(now clock.Milli, l *mesh.Link, u *wire.Update) {
-	key := gate.Key{Link: l.ID, ID: u.GetId()}
+	key := sched.Key{Link: l.ID, ID: u.GetId()}
 	c.jobs[key] = &open{update: true, service: u.GetService()}
-	job := &leafs.Job{
+	job := &leaves.Job{
 		Attempt: c.attempt(key), Service: u.GetService(), Parent: u.GetTrace(),
-		Update: &leafs.UpdateJob{ID: u.GetTicket(), Operation: u.GetOperation(), Key: u.GetKey(), Body: u.GetBody()},
+		Update: &leaves.UpdateJob{ID: u.GetTicket(), Operation: u.GetOperation(), Key: u.GetKey(), Body: u.GetBody()},
 	}
-	c.act(now, c.gate.Submit(now, gate.Call{
+	c.act(now, c.gate.Submit(now, sched.Call{
 		Key: key, Leaf: u.GetLeaf(), Deadline: now + clock.Milli(u.GetBudgetMs()),
 		Fingerprint: u.GetFingerprint(), Canary: true, Update: true, Request: job,
 	}))
 }
 
 // attempt names a call so that no other call of any host has the same name.
-func (c *Core) attempt(k gate.Key) string {
+func (c *Core) attempt(k sched.Key) string {
 	return fmt.Sprintf("%s.%x.%x.%x", c.Settings.Host.Name, c.node.Incarnation, k.Link, k.ID)
 }
--- a/aggregator/leafs/codec.go
+++ b/aggregator/leaves/codec.go
@@ -1,6 +1,6 @@
 // Package leafs speaks HTTP to the leafs of backend servers, each call over the
 // connection that the gate chose for it.
-package leafs
+package leaves
 
 import (
 	"encoding/json"
@@ -12,9 +12,9 @@
 
 	"dandelionstile/share/clock"
 	"dandelionstile/share/fetch"
-	"dandelionstile/share/gate"
-	"dandelionstile/share/invent"
 	"dandelionstile/share/query"
+	"dandelionstile/share/sched"
+	"dandelionstile/share/topo"
 )
 
 // Header names of the leaf's protocol, see docs/PROTOCOLS.md.
@@ -33,7 +33,7 @@
 	// Attempt differs between all calls of all hosts.
 	Attempt string
 	Service string
-	Pin     invent.SnapshotID
+	Pin     topo.SnapshotID
 	Shard   int
 	Text    string
 	Limit   int
@@ -155,12 +155,12 @@
 }
 
 // sign reads what the headers tell of the leaf.
-func sign(h http.Header) gate.LeafStatus {
-	s := gate.LeafStatus{Draining: h.Get(headerState) == stateDraining}
+func sign(h http.Header) sched.LeafStatus {
+	s := sched.LeafStatus{Draining: h.Get(headerState) == stateDraining}
 	s.Incarnation, _ = strconv.ParseUint(h.Get(headerIncarnation), 10, 64) // 0 is "not told"
 	if text := h.Get(headerSnapshots); text != "" {
 		for _, one := range strings.Split(text, ",") {
-			if p, ok := invent.ParseSnapshotID(strings.TrimSpace(one)); ok {
+			if p, ok := topo.ParseSnapshotID(strings.TrimSpace(one)); ok {
 				s.Holds = append(s.Holds, p)
 			}
 		}
--- a/aggregator/leafs/codec_test.go
+++ b/aggregator/leaves/codec_test.go
@@ -1,4 +1,4 @@
-package leafs
+package leaves
 
 import (
 	"net/http"
@@ -8,12 +8,12 @@
 	"gotest.tools/v3/assert"
 
 	"dandelionstile/share/fetch"
-	"dandelionstile/share/invent"
 	"dandelionstile/share/query"
+	"dandelionstile/share/topo"
 )
 
 func job() *Job {
-	return &Job{Attempt: "a1", Service: "s", Pin: invent.SnapshotID{Layout: 1, Version: 2}, Shard: 3}
+	return &Job{Attempt: "a1", Service: "s", Pin: topo.SnapshotID{Layout: 1, Version: 2}, Shard: 3}
 }
 
 const goodReply = `{"attempt":"a1","snapshot":"1-2","shards":[3],"rows":[{"key":"k","score":1,"text":"t"}]}`
--- a/aggregator/leafs/pool.go
+++ b/aggregator/leaves/pool.go
@@ -1,4 +1,4 @@
-package leafs
+package leaves
 
 import (
 	"net/http"
@@ -10,26 +10,26 @@
 
 	"dandelionstile/share/clock"
 	"dandelionstile/share/fetch"
-	"dandelionstile/share/gate"
 	"dandelionstile/share/query"
+	"dandelionstile/share/sched"
 	"dandelionstile/share/spans"
 )
 
 // Finished reports a call's result to the control loop.
-type Finished struct{ Result gate.Result }
+type Finished struct{ Result sched.Result }
 
 // Probed reports a probe's result to the control loop.
 type Probed struct {
 	Leaf   string
-	Conn   gate.ConnID
-	Status gate.LeafStatus
+	Conn   sched.ConnID
+	Status sched.LeafStatus
 	Err    error
 }
 
 // Closed reports to the control loop that a connection was closed.
 type Closed struct {
 	Leaf string
-	Conn gate.ConnID
+	Conn sched.ConnID
 }
 
 // Pool holds the connections to leafs. Its methods are called from the control
@@ -42,18 +42,18 @@
 	Report func(any)
 
 	mu     sync.Mutex
-	conns  map[gate.ConnID]*fetch.Conn
+	conns  map[sched.ConnID]*fetch.Conn
 	closed bool
 	wait   sync.WaitGroup
 }
 
-func (p *Pool) conn(id gate.ConnID, address, leaf string) *fetch.Conn {
+func (p *Pool) conn(id sched.ConnID, address, leaf string) *fetch.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c, ok := p.conns[id]
 	if !ok {
 		if p.conns == nil {
-			p.conns = map[gate.ConnID]*fetch.Conn{}
+			p.conns = map[sched.ConnID]*fetch.Conn{}
 		}
 		c = &fetch.Conn{Engine: p.HTTP, Address: address, OnClose: func() {
 			go p.Report(Closed{Leaf: leaf, Conn: id})
@@ -64,7 +64,7 @@
 }
 
 // Send makes a call.
-func (p *Pool) Send(address string, s gate.Send) {
+func (p *Pool) Send(address string, s sched.Send) {
 	job, ok := s.Call.Request.(*Job)
 	if !ok {
 		return
@@ -73,7 +73,7 @@
 	budget := s.Call.Deadline - p.Clock.Now()
 	span := p.Tracer.Start(job.Parent, "leaf-call",
 		attribute.String("leaf", s.Leaf), attribute.Bool("canary", s.Call.Canary))
-	result := gate.Result{Leaf: s.Leaf, Conn: s.Conn, Key: s.Call.Key}
+	result := sched.Result{Leaf: s.Leaf, Conn: s.Conn, Key: s.Call.Key}
 	r, err := job.request(address, s.Leaf, budget)
 	if err != nil {
 		result.Outcome = query.Outcome{Kind: query.NotRun, Reason: query.ReasonLeafError}
@@ -99,7 +99,7 @@
 // verify looks whether the server behind a broken connection is down. One that
 // still answers has only lost the connection; the gate compares its incarnation
 // to find one that went down and is back already.
-func (p *Pool) verify(r gate.Result, address string) gate.Result {
+func (p *Pool) verify(r sched.Result, address string) sched.Result {
 	reply, err := fetch.Get(p.HTTP, address, "/v1/leafs/"+r.Leaf+"/state", verifyTimeout)
 	if err != nil {
 		return r
@@ -130,14 +130,14 @@
 	})
 }
 
-func (p *Pool) finish(span spans.Span, r gate.Result) {
+func (p *Pool) finish(span spans.Span, r sched.Result) {
 	span.Set(attribute.String("outcome", r.Outcome.Kind.String()), attribute.String("reason", string(r.Outcome.Reason)))
 	span.End()
 	p.Report(Finished{r})
 }
 
 // complete turns a reply or error into a result.
-func (j *Job) complete(r gate.Result, reply fetch.Reply, err error) gate.Result {
+func (j *Job) complete(r sched.Result, reply fetch.Reply, err error) sched.Result {
 	switch {
 	case errors.Is(err, fetch.ErrNotOpened):
 		r.DialFailed = true
@@ -160,12 +160,12 @@
 }
 
 // Probe asks for a leaf's state.
-func (p *Pool) Probe(address string, a gate.Probe) {
+func (p *Pool) Probe(address string, a sched.Probe) {
 	p.probe(address, http.MethodGet, "/v1/leafs/"+a.Leaf+"/state", a.Leaf, a.Conn)
 }
 
 // Abort asks a leaf to stop working on a call.
-func (p *Pool) Abort(address string, a gate.Abort) {
+func (p *Pool) Abort(address string, a sched.Abort) {
 	if job, ok := a.Call.Request.(*Job); ok {
 		p.probe(address, http.MethodDelete, "/v1/leafs/"+a.Leaf+"/attempts/"+job.Attempt, a.Leaf, a.Conn)
 	}
@@ -174,7 +174,7 @@
 // ErrStatus means that a probe was answered with an error.
 var ErrStatus = errors.New("probe was refused")
 
-func (p *Pool) probe(address, method, path, leaf string, id gate.ConnID) {
+func (p *Pool) probe(address, method, path, leaf string, id sched.ConnID) {
 	c := p.conn(id, address, leaf)
 	r, err := fetch.Request(method, address, path, nil)
 	if err != nil {
@@ -190,7 +190,7 @@
 }
 
 // Shut closes a connection.
-func (p *Pool) Shut(id gate.ConnID) {
+func (p *Pool) Shut(id sched.ConnID) {
 	p.mu.Lock()
 	c := p.conns[id]
 	delete(p.conns, id)
@@ -204,7 +204,7 @@
 func (p *Pool) Close() error {
 	p.mu.Lock()
 	p.closed = true
-	ids := make([]gate.ConnID, 0, len(p.conns))
+	ids := make([]sched.ConnID, 0, len(p.conns))
 	for id := range p.conns {
 		ids = append(ids, id)
 	}
--- a/bench/deploy/deploy.go
+++ b/bench/deploy/deploy.go
@@ -6,7 +6,7 @@
 	"fmt"
 
 	"dandelionstile/share/clock"
-	"dandelionstile/share/invent"
+	"dandelionstile/share/topo"
 )
 
 // Service describes one service at its size.
@@ -28,7 +28,7 @@
 // Deployment is one user's installation.
 type Deployment struct {
 	Name    string
-	Domains []invent.Domain
+	Domains []topo.Domain
 	// Region and Caller are one-way latencies between regions, and to callers,
 	// in ms.
 	Region   clock.Milli
@@ -41,7 +41,7 @@
 func Himal() Deployment {
 	return Deployment{
 		Name: "himal",
-		Domains: []invent.Domain{
+		Domains: []topo.Domain{
 			{Name: "kathmandu", Region: "bagmati"}, {Name: "pokhara", Region: "gandaki"}, {Name: "biratnagar", Region: "koshi"},
 		},
 		Region: 20, Caller: 1, Hosts: 7,
@@ -58,7 +58,7 @@
 func Kumomaru() Deployment {
 	return Deployment{
 		Name: "kumomaru",
-		Domains: []invent.Domain{
+		Domains: []topo.Domain{
 			{Name: "sapporo", Region: "hokkaido"}, {Name: "sendai", Region: "tohoku"}, {Name: "osaka", Region: "kansai"},
 		},
 		Region: 8, Caller: 3, Hosts: 7,
@@ -95,16 +95,16 @@
 
 // Config builds the inventory. The replicas of a shard lie in different failure
 // domains as far as they go.
-func (d Deployment) Config(version uint64, rules invent.Rules) *invent.Config {
-	cfg := &invent.Config{Version: version, Rules: rules}
+func (d Deployment) Config(version uint64, rules topo.Rules) *topo.Config {
+	cfg := &topo.Config{Version: version, Rules: rules}
 	cfg.Inventory.Domains = d.Domains
 	for _, v := range d.Services {
-		cfg.Inventory.Services = append(cfg.Inventory.Services, invent.Service{
-			Name: v.Name, Layouts: []invent.Layout{{ID: 1, Shards: v.Shards()}, {ID: 2, Shards: v.reshaped()}},
+		cfg.Inventory.Services = append(cfg.Inventory.Services, topo.Service{
+			Name: v.Name, Layouts: []topo.Layout{{ID: 1, Shards: v.Shards()}, {ID: 2, Shards: v.reshaped()}},
 			WarmUp: Warm, Deadline: Deadline, Patience: v.Patience,
 		})
 		for i := range v.Instances {
-			s := invent.Server{
+			s := topo.Server{
 				Name: fmt.Sprintf("%s-%d", v.Name, i), Service: v.Name,
 				Domain: d.Domains[i%len(d.Domains)].Name, Address: "127.0.0.1:1",
 			}
@@ -113,9 +113,9 @@
 				// leafs hold different shards.
 				slot := j*v.Instances + i
 				shard := slot / v.Replicas % v.Shards()
-				s.Leaves = append(s.Leaves, invent.Leaf{
+				s.Leaves = append(s.Leaves, topo.Leaf{
 					Name: fmt.Sprintf("%s-%d-%d", v.Name, i, j), Slots: v.Slots, Connections: v.Connections,
-					Holds: []invent.Hold{{Layout: 1, Shard: shard}, {Layout: 2, Shard: shard % v.reshaped()}},
+					Holds: []topo.Hold{{Layout: 1, Shard: shard}, {Layout: 2, Shard: shard % v.reshaped()}},
 				})
 			}
 			cfg.Inventory.Servers = append(cfg.Inventory.Servers, s)
@@ -125,10 +125,10 @@
 }
 
 // HostList spreads the hosts over the failure domains.
-func (d Deployment) HostList() []invent.Host {
-	hosts := make([]invent.Host, d.Hosts)
+func (d Deployment) HostList() []topo.Host {
+	hosts := make([]topo.Host, d.Hosts)
 	for i := range hosts {
-		hosts[i] = invent.Host{Name: fmt.Sprintf("host-%d", i), Domain: d.Domains[i%len(d.Domains)].Name}
+		hosts[i] = topo.Host{Name: fmt.Sprintf("host-%d", i), Domain: d.Domains[i%len(d.Domains)].Name}
 	}
 	return hosts
 }
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -9,10 +9,10 @@
 	"slices"
 	"sort"
 
+	"dandelionstile/share/assign"
 	"dandelionstile/share/clock"
-	"dandelionstile/share/invent"
-	"dandelionstile/share/place"
-	"dandelionstile/share/spread"
+	"dandelionstile/share/syncer"
+	"dandelionstile/share/topo"
 )
 
 // Sizes of messages on a link, in bytes, with framing.
@@ -56,9 +56,9 @@
 	// Backwards lists every time that a host's version went back.
 	Backwards []string
 
-	config   *spread.Set
-	first    *spread.Set
-	hostSets map[string]*spread.Set
+	config   *syncer.Set
+	first    *syncer.Set
+	hostSets map[string]*syncer.Set
 	waiting  []waiting
 	cut      map[[2]string]bool
 	changed  int
@@ -76,7 +76,7 @@
 	f      *Fleet
 	Name   string
 	Domain string
-	Engine *spread.Engine
+	Engine *syncer.Engine
 	links  map[string]bool
 	// Bytes is what it sent and received.
 	Bytes  int
@@ -85,7 +85,7 @@
 	// Cut off from the platform.
 	Isolated bool
 	backlog  []func()
-	highest  spread.Stamp
+	highest  syncer.Stamp
 	inForce  map[uint64]clock.Milli
 }
 
@@ -96,22 +96,22 @@
 func (f *Fleet) Start() {
 	f.Random = rand.New(rand.NewPCG(f.Seed, 0xf1ee7))
 	f.cut = map[[2]string]bool{}
-	f.hostSets = map[string]*spread.Set{}
+	f.hostSets = map[string]*syncer.Set{}
 	f.config = f.makeConfig(1)
 	f.first = f.config
-	var list []invent.Host
+	var list []topo.Host
 	for i := range f.Hosts {
-		list = append(list, invent.Host{Name: fmt.Sprintf("h%04d", i), Domain: fmt.Sprintf("d%02d", i%f.Domains)})
+		list = append(list, topo.Host{Name: fmt.Sprintf("h%04d", i), Domain: fmt.Sprintf("d%02d", i%f.Domains)})
 	}
 	for d := range f.Domains {
 		domain := fmt.Sprintf("d%02d", d)
-		var items []spread.Item
+		var items []syncer.Item
 		for _, h := range list {
 			if h.Domain == domain {
-				items = append(items, spread.Item{Name: h.Name, Body: []byte(h.Name + h.Domain + "127.0.0.1:7001 127.0.0.1:7002")})
+				items = append(items, syncer.Item{Name: h.Name, Body: []byte(h.Name + h.Domain + "127.0.0.1:7001 127.0.0.1:7002")})
 			}
 		}
-		f.hostSets["hosts/"+domain] = spread.NewSet(1, items)
+		f.hostSets["hosts/"+domain] = syncer.NewSet(1, items)
 	}
 	for _, h := range list {
 		n := &Node{f: f, Name: h.Name, Domain: h.Domain, links: map[string]bool{}, inForce: map[uint64]clock.Milli{}}
@@ -124,16 +124,16 @@
 	}
 }
 
-func (n *Node) boot(list []invent.Host) {
-	n.Engine = &spread.Engine{WatchKeys: []string{configKey, "hosts/" + n.Domain}, Rank: -1}
-	n.highest = spread.Stamp{}
-	var domain []invent.Host
+func (n *Node) boot(list []topo.Host) {
+	n.Engine = &syncer.Engine{WatchKeys: []string{configKey, "hosts/" + n.Domain}, Rank: -1}
+	n.highest = syncer.Stamp{}
+	var domain []topo.Host
 	for _, h := range list {
 		if h.Domain == n.Domain {
 			domain = append(domain, h)
 		}
 	}
-	for i, h := range place.Owners(domain, n.Domain, "watch", len(domain)) {
+	for i, h := range assign.Owners(domain, n.Domain, "watch", len(domain)) {
 		if h.Name == n.Name {
 			n.Engine.Rank = i
 		}
@@ -141,14 +141,14 @@
 }
 
 // link joins the hosts as the programs do.
-func (f *Fleet) link(list []invent.Host) {
+func (f *Fleet) link(list []topo.Host) {
 	for i := range list {
 		list[i].Aggregator = list[i].Name
 	}
-	empty := &invent.Config{}
+	empty := &topo.Config{}
 	for _, n := range f.Nodes {
-		network := place.Network{Self: n.Name, Domain: n.Domain, FullMeshMax: 16, LocalLinks: 3, RemoteLinks: 2}
-		for _, peer := range place.Neighbours(network, empty, list) {
+		network := assign.Network{Self: n.Name, Domain: n.Domain, FullMeshMax: 16, LocalLinks: 3, RemoteLinks: 2}
+		for _, peer := range assign.Neighbours(network, empty, list) {
 			if peer != n.Name {
 				n.links[peer] = true
 				f.Node(peer).links[n.Name] = true
@@ -163,12 +163,12 @@
 	return f.Nodes[i]
 }
 
-func (f *Fleet) makeConfig(version uint64) *spread.Set {
-	items := make([]spread.Item, f.Parts)
+func (f *Fleet) makeConfig(version uint64) *syncer.Set {
+	items := make([]syncer.Item, f.Parts)
 	for i := range items {
-		items[i] = spread.Item{Name: fmt.Sprintf("p%04d", i), Body: make([]byte, f.PartBytes)}
+		items[i] = syncer.Item{Name: fmt.Sprintf("p%04d", i), Body: make([]byte, f.PartBytes)}
 	}
-	return spread.NewSet(version, items)
+	return syncer.NewSet(version, items)
 }
 
 // loop lets a host tick and beat, each at a phase of its own.
@@ -210,9 +210,9 @@
 
 // Restart starts a host anew, with nothing.
 func (n *Node) Restart() {
-	var list []invent.Host
+	var list []topo.Host
 	for _, o := range n.f.Nodes {
-		list = append(list, invent.Host{Name: o.Name, Domain: o.Domain})
+		list = append(list, topo.Host{Name: o.Name, Domain: o.Domain})
 	}
 	n.boot(list)
 	n.Down = false
@@ -272,26 +272,26 @@
 	})
 }
 
-func (n *Node) act(actions []spread.Action) {
+func (n *Node) act(actions []syncer.Action) {
 	f := n.f
 	for _, a := range actions {
 		switch a := a.(type) {
-		case spread.SendPull:
+		case syncer.SendPull:
 			n.send(a.Peer, stampBytes, func(to *Node) { to.act(to.Engine.HandlePull(f.Clock.Now(), n.Name, a.Key, a.Have)) })
-		case spread.SendDelta:
+		case syncer.SendDelta:
 			n.send(a.Peer, a.Delta.Size()/packing+headerBytes, func(to *Node) { to.act(to.Engine.HandleDelta(f.Clock.Now(), n.Name, a.Delta)) })
-		case spread.SendStamps:
+		case syncer.SendStamps:
 			n.send(a.Peer, headerBytes+stampBytes*len(a.Stamps), func(to *Node) { to.act(to.Engine.HandleStamps(f.Clock.Now(), n.Name, a.Stamps)) })
-		case spread.ReadPlatform:
+		case syncer.ReadPlatform:
 			n.read(a)
-		case spread.Adopt:
+		case syncer.Adopt:
 			n.adopt(a)
-		case spread.Refuse:
+		case syncer.Refuse:
 		}
 	}
 }
 
-func (n *Node) adopt(a spread.Adopt) {
+func (n *Node) adopt(a syncer.Adopt) {
 	if a.Key != configKey {
 		return
 	}
@@ -303,12 +303,12 @@
 }
 
 // read asks the fake platform. A part that has changed is one more read.
-func (n *Node) read(a spread.ReadPlatform) {
+func (n *Node) read(a syncer.ReadPlatform) {
 	f := n.f
 	f.Reads++
 	if n.Isolated || f.Down {
 		f.Clock.After(readTime, func() {
-			n.do(func() { n.act(n.Engine.HandleRead(f.Clock.Now(), spread.ReadResult{Key: a.Key, Err: errDown})) })
+			n.do(func() { n.act(n.Engine.HandleRead(f.Clock.Now(), syncer.ReadResult{Key: a.Key, Err: errDown})) })
 		})
 		return
 	}
@@ -319,7 +319,7 @@
 		f.Clock.After(watchTime, func() {
 			if !done {
 				done = true
-				n.do(func() { n.act(n.Engine.HandleRead(f.Clock.Now(), spread.ReadResult{Key: a.Key})) })
+				n.do(func() { n.act(n.Engine.HandleRead(f.Clock.Now(), syncer.ReadResult{Key: a.Key})) })
 			}
 		})
 		return
@@ -327,7 +327,7 @@
 	f.answer(n, a.Key, set)
 }
 
-func (f *Fleet) value(key string) *spread.Set {
+func (f *Fleet) value(key string) *syncer.Set {
 	if key == configKey {
 		if f.Stale {
 			return f.first
@@ -337,12 +337,12 @@
 	return f.hostSets[key]
 }
 
-func (f *Fleet) answer(n *Node, key string, set *spread.Set) {
+func (f *Fleet) answer(n *Node, key string, set *syncer.Set) {
 	if key == configKey && n.Engine.Set(configKey) != nil {
 		f.Reads += max(1, f.changed) // the changed parts
 	}
 	f.Clock.After(readTime, func() {
-		n.do(func() { n.act(n.Engine.HandleRead(f.Clock.Now(), spread.ReadResult{Key: key, Set: set})) })
+		n.do(func() { n.act(n.Engine.HandleRead(f.Clock.Now(), syncer.ReadResult{Key: key, Set: set})) })
 	})
 }
 
@@ -353,7 +353,7 @@
 	body := append([]byte(nil), items[i].Body...)
 	body[f.Random.IntN(len(body))]++
 	items[i].Body = body
-	f.config = spread.NewSet(f.config.Version+1, items)
+	f.config = syncer.NewSet(f.config.Version+1, items)
 	f.changed = 1
 	woken := f.waiting
 	f.waiting = nil
--- a/bench/scene/domains.go
+++ b/bench/scene/domains.go
@@ -3,7 +3,7 @@
 import (
 	"dandelionstile/bench/deploy"
 	"dandelionstile/share/clock"
-	"dandelionstile/share/invent"
+	"dandelionstile/share/topo"
 )
 
 // spreadTime is the most that a rule takes to reach a host here; the real
@@ -30,11 +30,11 @@
 	steady := r.calls(r.W.Now()-4*clock.Second, 4)
 	domain := r.D.Domains[0].Name
 	out := r.W.Now()
-	r.W.Publish(invent.Rules{DomainsOut: []string{domain}}, spreadTime)
+	r.W.Publish(topo.Rules{DomainsOut: []string{domain}}, spreadTime)
 	r.run(10 * clock.Second)
 	r.set("last-work-s", float64(r.W.Stats.LastWork(domain)-out)/1000)
 	r.set("worst-complete-share-out", r.worstSecond())
-	r.W.Publish(invent.Rules{}, spreadTime)
+	r.W.Publish(topo.Rules{}, spreadTime)
 	back := r.W.Now()
 	r.run(2*deploy.Warm + 2*clock.Second)
 	r.set("peak-over-steady", r.peak(back)/steady)
--- a/bench/scene/scene.go
+++ b/bench/scene/scene.go
@@ -11,7 +11,7 @@
 	"dandelionstile/bench/virt"
 	"dandelionstile/share/clock"
 	"dandelionstile/share/fanout"
-	"dandelionstile/share/gate"
+	"dandelionstile/share/sched"
 )
 
 // Figure is one measured number.
@@ -65,9 +65,9 @@
 		{Name: "no-hedge", Policies: virt.Policies{Fanout: fanout.Policy{NoHedge: true}}},
 		{Name: "hedge-99", Policies: virt.Policies{Fanout: fanout.Policy{HedgeQuantile: 99}}},
 		{Name: "budget-10", Policies: virt.Policies{Fanout: fanout.Policy{BudgetPercent: 10}}},
-		{Name: "oldest-first", Policies: virt.Policies{Gate: gate.Policy{Order: gate.OrderOldest}}},
-		{Name: "newest-first", Policies: virt.Policies{Gate: gate.Policy{Order: gate.OrderNewest}}},
-		{Name: "long-queue", Policies: virt.Policies{Gate: gate.Policy{QueuePerSlot: 32}}},
+		{Name: "oldest-first", Policies: virt.Policies{Gate: sched.Policy{Order: sched.OrderOldest}}},
+		{Name: "newest-first", Policies: virt.Policies{Gate: sched.Policy{Order: sched.OrderNewest}}},
+		{Name: "long-queue", Policies: virt.Policies{Gate: sched.Policy{QueuePerSlot: 32}}},
 		{Name: "open-door", Policies: virt.Policies{Fanout: fanout.Policy{NoBackpressure: true}}},
 	}
 }
--- a/bench/slope/measure.go
+++ b/bench/slope/measure.go
@@ -8,9 +8,9 @@
 	"dandelionstile/bench/fleet"
 	"dandelionstile/share/clock"
 	"dandelionstile/share/fanout"
-	"dandelionstile/share/gate"
-	"dandelionstile/share/invent"
 	"dandelionstile/share/query"
+	"dandelionstile/share/sched"
+	"dandelionstile/share/topo"
 	"dandelionstile/share/wire"
 )
 
@@ -18,8 +18,8 @@
 const domains = 14
 
 // mustParse parses files that this package wrote itself.
-func mustParse(leafs int) *invent.Config {
-	cfg, err := invent.Parse(1, inventory(leafs, domains))
+func mustParse(leafs int) *topo.Config {
+	cfg, err := topo.Parse(1, inventory(leafs, domains))
 	if err != nil {
 		panic(err)
 	}
@@ -76,12 +76,12 @@
 		l.Points = append(l.Points, Point{float64(leafs), microseconds(func() {
 			id++
 			*now++
-			for _, a := range e.Submit(*now, gate.Call{
-				Key: gate.Key{Link: 1, ID: id}, Leaf: names[id%uint64(len(names))], Caller: "c",
+			for _, a := range e.Submit(*now, sched.Call{
+				Key: sched.Key{Link: 1, ID: id}, Leaf: names[id%uint64(len(names))], Caller: "c",
 				Deadline: *now + 1000, Fingerprint: id,
 			}) {
-				if s, ok := a.(gate.Send); ok {
-					e.CallDone(*now, gate.Result{Leaf: s.Leaf, Conn: s.Conn, Key: s.Call.Key, Outcome: query.Outcome{Kind: query.OK}})
+				if s, ok := a.(sched.Send); ok {
+					e.CallDone(*now, sched.Result{Leaf: s.Leaf, Conn: s.Conn, Key: s.Call.Key, Outcome: query.Outcome{Kind: query.OK}})
 				}
 			}
 		})})
@@ -107,12 +107,12 @@
 }
 
 // owner builds an aggregator alone in its failure domain.
-func owner(leafs int) (*gate.Engine, []string, *clock.Milli) {
-	cfg, err := invent.Parse(1, inventory(leafs, 1))
+func owner(leafs int) (*sched.Engine, []string, *clock.Milli) {
+	cfg, err := topo.Parse(1, inventory(leafs, 1))
 	if err != nil {
 		panic(err)
 	}
-	e := &gate.Engine{Self: "h0000", Domain: "d00"}
+	e := &sched.Engine{Self: "h0000", Domain: "d00"}
 	e.Configure(0, cfg, hostList(1, 1))
 	now := clock.Milli(0)
 	for now < 12000 {
@@ -129,10 +129,10 @@
 	return e, names, &now
 }
 
-func probeAll(e *gate.Engine, now clock.Milli, actions []gate.Action) {
+func probeAll(e *sched.Engine, now clock.Milli, actions []sched.Action) {
 	for _, a := range actions {
-		if p, ok := a.(gate.Probe); ok {
-			e.ProbeDone(now, p.Leaf, p.Conn, gate.LeafStatus{Incarnation: 1, Holds: []invent.SnapshotID{{Layout: 1, Version: 1}}}, nil)
+		if p, ok := a.(sched.Probe); ok {
+			e.ProbeDone(now, p.Leaf, p.Conn, sched.LeafStatus{Incarnation: 1, Holds: []topo.SnapshotID{{Layout: 1, Version: 1}}}, nil)
 		}
 	}
 }
@@ -146,7 +146,7 @@
 	for _, n := range sizes {
 		parts := inventory(n, domains)
 		l.Points = append(l.Points, Point{float64(n), once(func() {
-			var p invent.Parser
+			var p topo.Parser
 			if _, err := p.Parse(1, parts); err != nil {
 				panic(err)
 			}
@@ -160,7 +160,7 @@
 	l := Line{Name: "config: read one change", Unit: "ms", Per: "leaf in the inventory"}
 	for _, n := range sizes {
 		parts := inventory(n, domains)
-		var p invent.Parser
+		var p topo.Parser
 		if _, err := p.Parse(1, parts); err != nil {
 			panic(err)
 		}
@@ -195,7 +195,7 @@
 	hosts := hostList(5600, domains)
 	for _, n := range sizes {
 		cfg := mustParse(n)
-		e := &gate.Engine{Self: "h0000", Domain: "d00"}
+		e := &sched.Engine{Self: "h0000", Domain: "d00"}
 		l.Points = append(l.Points, Point{float64(n), microseconds(func() { e.Configure(1, cfg, hosts) }) / 1000})
 	}
 	return fit(l)
@@ -219,7 +219,7 @@
 	for _, n := range sizes {
 		l.Points = append(l.Points, Point{float64(n), megabytes(func() any {
 			parts := inventory(n, domains)
-			p := &invent.Parser{}
+			p := &topo.Parser{}
 			cfg, err := p.Parse(1, parts)
 			if err != nil {
 				panic(err)
@@ -247,7 +247,7 @@
 	for i := range calls {
 		o := query.Outcome{
 			Call: uint64(1e6 + i), Kind: query.OK, Took: 9,
-			Feedback: &query.Feedback{Leaf: "s00001-1", Busy: 1, Limit: 2, Holds: []invent.SnapshotID{{Layout: 1, Version: 7}}, CallTime: 9},
+			Feedback: &query.Feedback{Leaf: "s00001-1", Busy: 1, Limit: 2, Holds: []topo.SnapshotID{{Layout: 1, Version: 7}}, CallTime: 9},
 		}
 		for range 3 {
 			o.Rows = append(o.Rows, query.Row{Key: "garment-0001234", Score: 0.5, Text: "a row with some hundred bytes of text, as a search result has, more or less as long as this one here is"})
--- a/bench/slope/world.go
+++ b/bench/slope/world.go
@@ -5,8 +5,8 @@
 	"strings"
 
 	"dandelionstile/share/fanout"
-	"dandelionstile/share/invent"
 	"dandelionstile/share/query"
+	"dandelionstile/share/topo"
 )
 
 // Sizes of what is built to measure.
@@ -19,7 +19,7 @@
 
 // inventory builds the operators' files for a number of leafs in some failure
 // domains.
-func inventory(leafs, domains int) []invent.Part {
+func inventory(leafs, domains int) []topo.Part {
 	servers := leafs / leafsPerServer
 	services := max(1, leafs/(shardsPerLayout*replicas))
 	var base strings.Builder
@@ -31,7 +31,7 @@
 	for v := range services {
 		fmt.Fprintf(&base, "  - {name: v%03d, layouts: [{id: 1, shards: %d}]}\n", v, shardsPerLayout)
 	}
-	parts := []invent.Part{{Name: "base.yaml", Body: []byte(base.String())}}
+	parts := []topo.Part{{Name: "base.yaml", Body: []byte(base.String())}}
 	var b strings.Builder
 	for s := range servers {
 		if s%serversPerPart == 0 {
@@ -44,7 +44,7 @@
 			fmt.Fprintf(&b, "      - {name: s%05d-%d, slots: 2, connections: 25, holds: [{layout: 1, shard: %d}]}\n", s, l, shard)
 		}
 		if s%serversPerPart == serversPerPart-1 || s == servers-1 {
-			parts = append(parts, invent.Part{Name: fmt.Sprintf("p%04d.yaml", len(parts)), Body: []byte(b.String())})
+			parts = append(parts, topo.Part{Name: fmt.Sprintf("p%04d.yaml", len(parts)), Body: []byte(b.String())})
 			b.Reset()
 		}
 	}
@@ -52,10 +52,10 @@
 }
 
 // hostList spreads hosts over failure domains.
-func hostList(n, domains int) []invent.Host {
-	hosts := make([]invent.Host, n)
+func hostList(n, domains int) []topo.Host {
+	hosts := make([]topo.Host, n)
 	for i := range hosts {
-		hosts[i] = invent.Host{
+		hosts[i] = topo.Host{
 			Name: fmt.Sprintf("h%04d", i), Domain: fmt.Sprintf("d%02d", i%domains),
 			Entry: "127.0.0.1:7001", Aggregator: "127.0.0.1:7002",
 		}
@@ -64,17 +64,17 @@
 }
 
 // entry builds an entry that knows all leafs and has all hosts linked.
-func entry(cfg *invent.Config, hosts []invent.Host, policy fanout.Policy) *fanout.Engine {
+func entry(cfg *topo.Config, hosts []topo.Host, policy fanout.Policy) *fanout.Engine {
 	e := &fanout.Engine{Self: hosts[0].Name, Domain: hosts[0].Domain, Policy: policy}
 	e.Configure(cfg, hosts)
 	for _, h := range hosts {
 		e.HostUp(h.Name)
 		e.RecordRTT(h.Name, 1)
 	}
-	pin := invent.SnapshotID{Layout: 1, Version: 1}
+	pin := topo.SnapshotID{Layout: 1, Version: 1}
 	for _, s := range cfg.Inventory.Servers {
 		for _, l := range s.Leaves {
-			e.SetFeedback(query.Feedback{Leaf: l.Name, Limit: 2, Holds: []invent.SnapshotID{pin}, CallTime: 10})
+			e.SetFeedback(query.Feedback{Leaf: l.Name, Limit: 2, Holds: []topo.SnapshotID{pin}, CallTime: 10})
 		}
 	}
 	return e
--- a/bench/virt/host.go
+++ b/bench/virt/host.go
@@ -4,10 +4,10 @@
 	"math/rand/v2"
 
 	"dandelionstile/share/clock"
+	"dandelionstile/share/deny"
 	"dandelionstile/share/fanout"
-	"dandelionstile/share/gate"
-	"dandelionstile/share/invent"
-	"dandelionstile/share/poison"
+	"dandelionstile/share/sched"
+	"dandelionstile/share/topo"
 )
 
 // Host is one entry host: its entry's and its aggregator's decisions.
@@ -18,8 +18,8 @@
 	Domain string
 
 	Fan  *fanout.Engine
-	Gate *gate.Engine
-	cfg  *invent.Config
+	Gate *sched.Engine
+	cfg  *topo.Config
 
 	incarnation uint64
 	down        bool
@@ -41,7 +41,7 @@
 		Random: rand.New(rand.NewPCG(w.Seed, uint64(h.Index)<<8|h.incarnation)),
 	}
 	h.Fan.SetIncarnation(h.incarnation)
-	h.Gate = &gate.Engine{Self: h.Name, Domain: h.Domain, Policy: w.Policies.Gate}
+	h.Gate = &sched.Engine{Self: h.Name, Domain: h.Domain, Policy: w.Policies.Gate}
 	h.configure(w.Config)
 	w.Clock.After(1, h.relinkAll)
 }
@@ -121,7 +121,7 @@
 // Serves tells whether the balancer sends callers here.
 func (h *Host) Serves() bool { return !h.down && !h.leaving && !h.paused }
 
-func (h *Host) configure(cfg *invent.Config) {
+func (h *Host) configure(cfg *topo.Config) {
 	h.cfg = cfg
 	now := h.World.Now()
 	hosts := h.World.live()
@@ -191,7 +191,7 @@
 			to := w.host(a.Host)
 			w.deliver(h.Domain, to, func() {
 				for _, id := range a.Calls {
-					to.actGate(to.Gate.Cancel(w.Now(), gate.Key{Link: uint64(h.Index), ID: id}))
+					to.actGate(to.Gate.Cancel(w.Now(), sched.Key{Link: uint64(h.Index), ID: id}))
 				}
 			})
 		case fanout.Answered:
@@ -217,13 +217,13 @@
 }
 
 // share tells all reachable hosts of a strike.
-func (h *Host) share(s poison.Strike) {
+func (h *Host) share(s deny.Strike) {
 	for _, other := range h.World.Hosts {
 		h.World.deliver(h.Domain, other, func() { other.strike(s) })
 	}
 }
 
-func (h *Host) strike(s poison.Strike) {
+func (h *Host) strike(s deny.Strike) {
 	now := h.World.Now()
 	h.Fan.MergeStrike(now, s)
 	_, out := h.Gate.MergeStrike(now, s)
@@ -234,7 +234,7 @@
 type job struct {
 	entry  *Host
 	query  uint64
-	pin    invent.SnapshotID
+	pin    topo.SnapshotID
 	shard  int
 	text   string
 	update *fanout.SendUpdate
@@ -243,8 +243,8 @@
 func (h *Host) batch(from *Host, a fanout.SendBatch, budget clock.Milli) {
 	now := h.World.Now()
 	for _, c := range a.Calls {
-		h.actGate(h.Gate.Submit(now, gate.Call{
-			Key: gate.Key{Link: uint64(from.Index), ID: c.ID}, Leaf: c.Leaf, Caller: a.Caller,
+		h.actGate(h.Gate.Submit(now, sched.Call{
+			Key: sched.Key{Link: uint64(from.Index), ID: c.ID}, Leaf: c.Leaf, Caller: a.Caller,
 			Deadline: now + budget, Fingerprint: a.Fingerprint, Canary: c.Canary, SecondCanary: c.SecondCanary, Pin: a.Pin,
 			Request: job{entry: from, query: a.Query, pin: a.Pin, shard: c.Shard, text: a.Text},
 		}))
@@ -253,8 +253,8 @@
 
 func (h *Host) update(from *Host, a fanout.SendUpdate, budget clock.Milli) {
 	now := h.World.Now()
-	h.actGate(h.Gate.Submit(now, gate.Call{
-		Key: gate.Key{Link: uint64(from.Index), ID: a.Call}, Leaf: a.Leaf,
+	h.actGate(h.Gate.Submit(now, sched.Call{
+		Key: sched.Key{Link: uint64(from.Index), ID: a.Call}, Leaf: a.Leaf,
 		Deadline: now + budget, Fingerprint: a.Fingerprint, Canary: true, Update: true,
 		Request: job{entry: from, update: &a, text: a.Update.Body},
 	}))
@@ -280,49 +280,49 @@
 }
 
 // actGate carries out the aggregator's decisions.
-func (h *Host) actGate(actions []gate.Action) {
+func (h *Host) actGate(actions []sched.Action) {
 	w := h.World
 	for _, a := range actions {
 		switch a := a.(type) {
-		case gate.Send:
+		case sched.Send:
 			w.Leafs[a.Leaf].send(h, a)
-		case gate.Probe:
+		case sched.Probe:
 			w.Leafs[a.Leaf].probe(h, a.Conn, a.NewConn)
-		case gate.Abort:
+		case sched.Abort:
 			w.Leafs[a.Leaf].abort(h, a)
-		case gate.CloseConn:
+		case sched.CloseConn:
 			w.Leafs[a.Leaf].shut(connKey{h.Index, h.incarnation, a.Conn})
-		case gate.Reply:
+		case sched.Reply:
 			h.reply(a)
-		case gate.Publish:
+		case sched.Publish:
 			for _, e := range w.Hosts {
 				w.deliver(h.Domain, e, func() { e.Fan.SetFeedback(a.Feedback) })
 			}
-		case gate.Claim:
+		case sched.Claim:
 			if to := w.host(a.Host); to != nil {
 				w.deliver(h.Domain, to, func() {
 					to.actGate(to.Gate.ClaimReceived(w.Now(), h.Name, a.ID, a.Servers))
 				})
 			}
-		case gate.Grant:
+		case sched.Grant:
 			if to := w.host(a.Host); to != nil {
 				w.deliver(h.Domain, to, func() {
 					to.actGate(to.Gate.GrantReceived(w.Now(), h.Name, a.ID, a.Servers, a.Duration))
 				})
 			}
-		case gate.Release:
+		case sched.Release:
 			if to := w.host(a.Host); to != nil {
 				w.deliver(h.Domain, to, func() { to.Gate.ReleaseReceived(w.Now(), h.Name, a.Servers) })
 			}
-		case gate.ShareStrike:
+		case sched.ShareStrike:
 			h.share(a.Strike)
-		case gate.LeafEvent:
+		case sched.LeafEvent:
 			w.Stats.Notes[a.Event+": "+a.Cause]++
 		}
 	}
 }
 
-func (h *Host) reply(a gate.Reply) {
+func (h *Host) reply(a sched.Reply) {
 	w := h.World
 	entry := w.Hosts[a.Key.Link]
 	born := entry.incarnation
--- a/bench/virt/leaf.go
+++ b/bench/virt/leaf.go
@@ -6,9 +6,9 @@
 
 	"dandelionstile/bench/deploy"
 	"dandelionstile/share/clock"
-	"dandelionstile/share/gate"
-	"dandelionstile/share/invent"
 	"dandelionstile/share/query"
+	"dandelionstile/share/sched"
+	"dandelionstile/share/topo"
 )
 
 // Model is how the virtual leafs behave.
@@ -39,19 +39,19 @@
 type attemptKey struct {
 	host        int
 	incarnation uint64
-	key         gate.Key
+	key         sched.Key
 }
 
 type connKey struct {
 	host        int
 	incarnation uint64
-	conn        gate.ConnID
+	conn        sched.ConnID
 }
 
 // Leaf is a virtual leaf. It counts what is sent to it beyond what it bears.
 type Leaf struct {
 	w       *World
-	spec    invent.Leaf
+	spec    topo.Leaf
 	server  string
 	service string
 	domain  string
@@ -65,7 +65,7 @@
 	warming     bool
 	unseen      bool // cold with no sign of it yet
 	straggle    float64
-	holds       []invent.SnapshotID
+	holds       []topo.SnapshotID
 	conns       map[connKey]bool // false: silent
 	running     map[attemptKey]func()
 	mostConns   int
@@ -77,17 +77,17 @@
 	lastUse clock.Milli
 }
 
-func newLeaf(w *World, s invent.Server, l invent.Leaf, v deploy.Service) *Leaf {
+func newLeaf(w *World, s topo.Server, l topo.Leaf, v deploy.Service) *Leaf {
 	f := &Leaf{
 		w: w, spec: l, server: s.Name, service: s.Service, domain: s.Domain, connect: v.Connect,
 		incarnation: 1, straggle: 1, conns: map[connKey]bool{}, running: map[attemptKey]func(){},
 	}
-	f.holds = []invent.SnapshotID{{Layout: 1, Version: 1}}
+	f.holds = []topo.SnapshotID{{Layout: 1, Version: 1}}
 	return f
 }
 
 // SetSnapshots changes what a leaf holds.
-func (f *Leaf) SetSnapshots(pins ...invent.SnapshotID) { f.holds = pins }
+func (f *Leaf) SetSnapshots(pins ...topo.SnapshotID) { f.holds = pins }
 
 // bears is how many requests the leaf can have at once now.
 func (f *Leaf) bears() int {
@@ -111,13 +111,13 @@
 	return f.straggle * (1 + (f.w.Model.ColdFactor-1)*max(0, 1-share))
 }
 
-func (f *Leaf) sign() gate.LeafStatus {
-	return gate.LeafStatus{Incarnation: f.incarnation, Draining: f.draining, Holds: f.holds}
+func (f *Leaf) sign() sched.LeafStatus {
+	return sched.LeafStatus{Incarnation: f.incarnation, Draining: f.draining, Holds: f.holds}
 }
 
 // reach opens the connection if it is fresh, and passes the way there. It tells
 // through then what became of it.
-func (f *Leaf) reach(h *Host, id gate.ConnID, fresh bool, then func(opened bool)) {
+func (f *Leaf) reach(h *Host, id sched.ConnID, fresh bool, then func(opened bool)) {
 	w := f.w
 	key := connKey{h.Index, h.incarnation, id}
 	wait := w.delay(h.Domain, f.domain)
@@ -149,7 +149,7 @@
 
 // back runs f at the host after the way back, unless the connection is gone or
 // silent by then.
-func (f *Leaf) back(h *Host, id gate.ConnID, run func()) {
+func (f *Leaf) back(h *Host, id sched.ConnID, run func()) {
 	born := h.incarnation
 	f.w.Clock.After(f.w.delay(h.Domain, f.domain), func() {
 		if f.w.cut(h.Domain, f.domain) || h.incarnation != born || !f.conns[connKey{h.Index, born, id}] {
@@ -177,7 +177,7 @@
 }
 
 // abort stops a query under way; an update runs to its end.
-func (f *Leaf) abort(h *Host, a gate.Abort) {
+func (f *Leaf) abort(h *Host, a sched.Abort) {
 	attempt := attemptKey{h.Index, h.incarnation, a.Call.Key}
 	f.w.Clock.After(f.w.delay(h.Domain, f.domain), func() {
 		if stop, ok := f.running[attempt]; ok && !a.Call.Update {
@@ -188,13 +188,13 @@
 	f.probe(h, a.Conn, a.NewConn)
 }
 
-func (f *Leaf) probe(h *Host, id gate.ConnID, fresh bool) {
+func (f *Leaf) probe(h *Host, id sched.ConnID, fresh bool) {
 	born := h.incarnation
 	f.reach(h, id, fresh, func(opened bool) {
 		if !opened {
 			h.do(func() {
 				if h.incarnation == born {
-					h.actGate(h.Gate.ProbeDone(f.w.Now(), f.spec.Name, id, gate.LeafStatus{}, errRefused))
+					h.actGate(h.Gate.ProbeDone(f.w.Now(), f.spec.Name, id, sched.LeafStatus{}, errRefused))
 				}
 			})
 			return
@@ -207,9 +207,9 @@
 }
 
 // send runs a call.
-func (f *Leaf) send(h *Host, s gate.Send) {
+func (f *Leaf) send(h *Host, s sched.Send) {
 	born := h.incarnation
-	result := gate.Result{Leaf: f.spec.Name, Conn: s.Conn, Key: s.Call.Key}
+	result := sched.Result{Leaf: f.spec.Name, Conn: s.Conn, Key: s.Call.Key}
 	f.reach(h, s.Conn, s.NewConn, func(opened bool) {
 		if !opened {
 			h.do(func() {
@@ -225,14 +225,14 @@
 	})
 }
 
-func (f *Leaf) finish(h *Host, s gate.Send, r gate.Result, o query.Outcome) {
+func (f *Leaf) finish(h *Host, s sched.Send, r sched.Result, o query.Outcome) {
 	f.back(h, s.Conn, func() {
 		r.Outcome, r.Status = o, f.sign()
 		h.actGate(h.Gate.CallDone(f.w.Now(), r))
 	})
 }
 
-func (f *Leaf) run(h *Host, s gate.Send, r gate.Result) {
+func (f *Leaf) run(h *Host, s sched.Send, r sched.Result) {
 	j, ok := s.Call.Request.(job)
 	if !ok {
 		return
@@ -296,7 +296,7 @@
 	})
 }
 
-func (f *Leaf) has(pin invent.SnapshotID, shard int) bool {
+func (f *Leaf) has(pin topo.SnapshotID, shard int) bool {
 	if mine, ok := f.spec.Shard(pin.Layout); !ok || mine != shard {
 		return false
 	}
@@ -400,10 +400,10 @@
 
 // connLost tells the gate that a connection broke: a call on it is lost, an
 // idle one is just closed.
-func (h *Host) connLost(f *Leaf, id gate.ConnID) {
+func (h *Host) connLost(f *Leaf, id sched.ConnID) {
 	now := h.World.Now()
 	if key, busy := h.Gate.CallOnConn(f.spec.Name, id); busy {
-		h.actGate(h.Gate.CallDone(now, gate.Result{
+		h.actGate(h.Gate.CallDone(now, sched.Result{
 			Leaf: f.spec.Name, Conn: id, Key: key, ConnLost: true,
 			Outcome: query.Outcome{Kind: query.Died, Reason: query.ReasonReset},
 		}))
--- a/bench/virt/property_test.go
+++ b/bench/virt/property_test.go
@@ -11,10 +11,10 @@
 
 	"dandelionstile/bench/deploy"
 	"dandelionstile/share/clock"
+	"dandelionstile/share/dedup"
 	"dandelionstile/share/fanout"
-	"dandelionstile/share/invent"
 	"dandelionstile/share/query"
-	"dandelionstile/share/ticket"
+	"dandelionstile/share/topo"
 )
 
 // TestMain fixes the seed, so that CI gives the same verdict each time. Other
@@ -63,7 +63,7 @@
 
 // sent is an update with what its callers were told.
 type sent struct {
-	id      ticket.ID
+	id      dedup.ID
 	body    string
 	results *[]query.Kind
 }
@@ -110,7 +110,7 @@
 	case 9:
 		c.switchSnapshots()
 	case 10:
-		var rules invent.Rules
+		var rules topo.Rules
 		if rapid.Bool().Draw(c.t, "out") {
 			rules.DomainsOut = []string{c.domain()}
 		}
@@ -129,7 +129,7 @@
 	for _, f := range c.w.order {
 		old := f.holds
 		c.w.Clock.After(clock.Milli(c.w.Random.IntN(2000)), func() {
-			next := []invent.SnapshotID{{Layout: layout, Version: version}}
+			next := []topo.SnapshotID{{Layout: layout, Version: version}}
 			if keep && len(old) > 0 {
 				next = append(next, old[0])
 			}
@@ -249,9 +249,9 @@
 			w.Drain(s.Name, false)
 		}
 		for _, f := range w.order {
-			f.SetSnapshots(invent.SnapshotID{Layout: 1, Version: 9})
+			f.SetSnapshots(topo.SnapshotID{Layout: 1, Version: 9})
 		}
-		w.Publish(invent.Rules{}, 200)
+		w.Publish(topo.Rules{}, 200)
 		w.Clock.Run(w.Now() + 14*clock.Second)
 		w.Stats.Reset()
 		w.Clock.Run(w.Now() + 3*clock.Second)
--- a/bench/virt/stats.go
+++ b/bench/virt/stats.go
@@ -10,8 +10,8 @@
 
 	"dandelionstile/share/clock"
 	"dandelionstile/share/fanout"
-	"dandelionstile/share/invent"
 	"dandelionstile/share/query"
+	"dandelionstile/share/topo"
 )
 
 // errRefused is what a probe meets at a server that is down.
@@ -138,7 +138,7 @@
 	return float64(n) / float64(s.Asked)
 }
 
-func rowKey(service string, pin invent.SnapshotID, shard int) string {
+func rowKey(service string, pin topo.SnapshotID, shard int) string {
 	return fmt.Sprintf("%s/%s/%d", service, pin, shard)
 }
 
--- a/bench/virt/update.go
+++ b/bench/virt/update.go
@@ -2,25 +2,25 @@
 
 import (
 	"dandelionstile/share/clock"
+	"dandelionstile/share/dedup"
 	"dandelionstile/share/fanout"
-	"dandelionstile/share/ticket"
 )
 
 // Mint gets an id for an update from a host.
-func (w *World) Mint(h *Host) (ticket.ID, bool) {
+func (w *World) Mint(h *Host) (dedup.ID, bool) {
 	if h.down || h.paused {
-		return ticket.ID{}, false
+		return dedup.ID{}, false
 	}
 	ids, err := h.Fan.Mint(w.Now(), 1)
 	if err != nil {
-		return ticket.ID{}, false
+		return dedup.ID{}, false
 	}
 	return ids[0], true
 }
 
 // Update sends an update to a host. Done is called when, and if, it is
 // answered.
-func (w *World) Update(h *Host, id ticket.ID, service, body string, budget clock.Milli, done func(fanout.UpdateResult)) {
+func (w *World) Update(h *Host, id dedup.ID, service, body string, budget clock.Milli, done func(fanout.UpdateResult)) {
 	w.nextID++
 	number := w.nextID
 	w.Stats.onUpdate[number] = done
--- a/bench/virt/world.go
+++ b/bench/virt/world.go
@@ -10,14 +10,14 @@
 	"dandelionstile/bench/deploy"
 	"dandelionstile/share/clock"
 	"dandelionstile/share/fanout"
-	"dandelionstile/share/gate"
-	"dandelionstile/share/invent"
+	"dandelionstile/share/sched"
+	"dandelionstile/share/topo"
 )
 
 // Policies are the settings under test.
 type Policies struct {
 	Fanout fanout.Policy
-	Gate   gate.Policy
+	Gate   sched.Policy
 }
 
 // Baseline is what the product is compared with: a random replica, three fixed
@@ -27,7 +27,7 @@
 		Fanout: fanout.Policy{
 			Choose: fanout.ChooseRandom, FixedRetries: 3, NoHedge: true, NoCanary: true, NoBackpressure: true,
 		},
-		Gate: gate.Policy{NoRamp: true, NoFairness: true, Order: gate.OrderOldest, QueuePerSlot: 64},
+		Gate: sched.Policy{NoRamp: true, NoFairness: true, Order: sched.OrderOldest, QueuePerSlot: 64},
 	}
 }
 
@@ -50,7 +50,7 @@
 
 	Clock  clock.Virtual
 	Random *rand.Rand
-	Config *invent.Config
+	Config *topo.Config
 	Hosts  []*Host
 	Leafs  map[string]*Leaf
 	order  []*Leaf
@@ -69,7 +69,7 @@
 	w.cuts = map[pair]bool{}
 	w.Executed = map[string]int{}
 	w.Stats.init()
-	w.Config = w.Deployment.Config(1, invent.Rules{})
+	w.Config = w.Deployment.Config(1, topo.Rules{})
 	w.Leafs = map[string]*Leaf{}
 	for _, s := range w.Config.Inventory.Servers {
 		v, _ := w.Deployment.Service(s.Service)
@@ -119,18 +119,18 @@
 }
 
 // live lists the hosts that are up, as a host list.
-func (w *World) live() []invent.Host {
-	var list []invent.Host
+func (w *World) live() []topo.Host {
+	var list []topo.Host
 	for _, h := range w.Hosts {
 		if !h.down {
-			list = append(list, invent.Host{Name: h.Name, Domain: h.Domain, Leaving: h.leaving})
+			list = append(list, topo.Host{Name: h.Name, Domain: h.Domain, Leaving: h.leaving})
 		}
 	}
 	return list
 }
 
 // Publish puts rules in force on all hosts, each after a delay of its own.
-func (w *World) Publish(rules invent.Rules, most clock.Milli) {
+func (w *World) Publish(rules topo.Rules, most clock.Milli) {
 	w.Config = w.Deployment.Config(w.Config.Version+1, rules)
 	cfg := w.Config
 	for _, h := range w.Hosts {
--- a/entry/core/admin.go
+++ b/entry/core/admin.go
@@ -3,13 +3,13 @@
 import (
 	"net/http"
 
+	"dandelionstile/share/admin"
 	"dandelionstile/share/clock"
 	"dandelionstile/share/httpd"
-	"dandelionstile/share/show"
 )
 
-func (c *Core) shown(now clock.Milli) show.Status {
-	s := show.Status{Node: c.node.Status(now), Strikes: show.StrikesFrom(c.fan.Strikes(now))}
+func (c *Core) shown(now clock.Milli) admin.Status {
+	s := admin.Status{Node: c.node.Status(now), Strikes: admin.StrikesFrom(c.fan.Strikes(now))}
 	if cfg := c.fan.Config(); cfg != nil {
 		for _, v := range cfg.Inventory.Services {
 			s.Services = append(s.Services, c.shownService(v.Name))
@@ -18,10 +18,10 @@
 	return s
 }
 
-func (c *Core) shownService(name string) show.Service {
+func (c *Core) shownService(name string) admin.Service {
 	reach := c.fan.Coverage(name)
-	v := show.Service{
-		Service: name, Shards: reach.Shards, Answered: reach.Answered, Missing: show.MissingFrom(reach.Missing),
+	v := admin.Service{
+		Service: name, Shards: reach.Shards, Answered: reach.Answered, Missing: admin.MissingFrom(reach.Missing),
 	}
 	if pin, ok := c.fan.Pin(name); ok {
 		v.Snapshot = pin.String()
@@ -30,10 +30,10 @@
 }
 
 // Show returns the state, or false when the loop has ended.
-func (c *Core) Show() (show.Status, bool) { return inLoop(c, c.shown) }
+func (c *Core) Show() (admin.Status, bool) { return inLoop(c, c.shown) }
 
 // Explain returns what is kept of an answered query.
-func (c *Core) Explain(id string) (show.Query, bool) {
+func (c *Core) Explain(id string) (admin.Query, bool) {
 	type found struct {
 		query Explained
 		ok    bool
@@ -43,17 +43,17 @@
 		return found{e, ok}
 	})
 	if !ok || !got.ok {
-		return show.Query{}, false
+		return admin.Query{}, false
 	}
 	e := got.query
-	s := show.Query{
+	s := admin.Query{
 		ID: e.ID, Service: e.Service, Snapshot: e.Answer.Pin.String(), Took: int64(e.Answered - e.Arrived),
 		Shards: e.Answer.Coverage.Shards, Answered: e.Answer.Coverage.Answered, Calls: e.Answer.Calls,
-		Extra: e.Answer.Extra, Refused: string(e.Answer.Refused), Steps: []show.Step{},
-		Missing: show.MissingFrom(e.Answer.Coverage.Missing),
+		Extra: e.Answer.Extra, Refused: string(e.Answer.Refused), Steps: []admin.Step{},
+		Missing: admin.MissingFrom(e.Answer.Coverage.Missing),
 	}
 	for _, t := range e.Trail {
-		s.Steps = append(s.Steps, show.Step{
+		s.Steps = append(s.Steps, admin.Step{
 			At: int64(t.At - e.Arrived), Event: string(t.Event), Shard: t.Shard,
 			Leaf: t.Leaf, Host: t.Host, Cause: string(t.Cause),
 		})
--- a/entry/core/core.go
+++ b/entry/core/core.go
@@ -15,12 +15,12 @@
 	"dandelionstile/share/clock"
 	"dandelionstile/share/fanout"
 	"dandelionstile/share/fetch"
-	"dandelionstile/share/invent"
 	"dandelionstile/share/mesh"
 	"dandelionstile/share/meter"
 	"dandelionstile/share/node"
 	"dandelionstile/share/query"
 	"dandelionstile/share/spans"
+	"dandelionstile/share/topo"
 	"dandelionstile/share/wire"
 )
 
@@ -35,7 +35,7 @@
 	Tracer   *spans.Tracer
 	// Configured is told of each configuration that comes in force; it may be
 	// nil. It is called in the control loop and must not wait for it.
-	Configured func(*invent.Config)
+	Configured func(*topo.Config)
 
 	loop    node.Loop[any]
 	node    node.Node
@@ -313,8 +313,8 @@
 }
 
 // Config returns the configuration in force, or nil.
-func (c *Core) Config() *invent.Config {
-	got, _ := inLoop(c, func(clock.Milli) *invent.Config { return c.fan.Config() })
+func (c *Core) Config() *topo.Config {
+	got, _ := inLoop(c, func(clock.Milli) *topo.Config { return c.fan.Config() })
 	return got
 }
 
--- a/entry/core/links.go
+++ b/entry/core/links.go
@@ -3,20 +3,20 @@
 import (
 	"time"
 
+	"dandelionstile/share/assign"
 	"dandelionstile/share/clock"
+	"dandelionstile/share/deny"
 	"dandelionstile/share/fanout"
-	"dandelionstile/share/invent"
 	"dandelionstile/share/mesh"
 	"dandelionstile/share/node"
-	"dandelionstile/share/place"
-	"dandelionstile/share/poison"
+	"dandelionstile/share/topo"
 	"dandelionstile/share/wire"
 )
 
 // owner is what the node tells its program; see node.Program.
 type owner struct{ c *Core }
 
-func (o owner) Configure(_ clock.Milli, cfg *invent.Config, hosts []invent.Host) {
+func (o owner) Configure(_ clock.Milli, cfg *topo.Config, hosts []topo.Host) {
 	o.c.fan.Configure(cfg, hosts)
 	if o.c.Configured != nil && cfg != nil {
 		o.c.Configured(cfg)
@@ -81,7 +81,7 @@
 	}
 }
 
-func (o owner) MergeStrike(now clock.Milli, s poison.Strike) bool { return o.c.fan.MergeStrike(now, s) }
+func (o owner) MergeStrike(now clock.Milli, s deny.Strike) bool { return o.c.fan.MergeStrike(now, s) }
 
 func (o owner) VersionsConfirmed(clock.Milli) {}
 
@@ -94,9 +94,9 @@
 	farLinks  = 8
 )
 
-func (o owner) LinkAddrs(cfg *invent.Config, hosts []invent.Host) []string {
+func (o owner) LinkAddrs(cfg *topo.Config, hosts []topo.Host) []string {
 	self := o.c.Settings.Host
-	return place.Neighbours(place.Network{
+	return assign.Neighbours(assign.Network{
 		Self: self.Name, Domain: self.Domain, FullMeshMax: smallFleet, LocalLinks: nearLinks, RemoteLinks: farLinks,
 	}, cfg, hosts)
 }
--- a/entry/core/updates.go
+++ b/entry/core/updates.go
@@ -4,12 +4,12 @@
 	"go.opentelemetry.io/otel/attribute"
 
 	"dandelionstile/share/clock"
+	"dandelionstile/share/dedup"
 	"dandelionstile/share/fanout"
 	"dandelionstile/share/mesh"
 	"dandelionstile/share/meter"
 	"dandelionstile/share/query"
 	"dandelionstile/share/spans"
-	"dandelionstile/share/ticket"
 	"dandelionstile/share/wire"
 )
 
@@ -27,7 +27,7 @@
 
 // Minted is the answer to Mint.
 type Minted struct {
-	IDs []ticket.ID
+	IDs []dedup.ID
 	Err error
 }
 
@@ -38,7 +38,7 @@
 		m.budget = c.deadline(m.req.Service)
 	}
 	m.req.Deadline = now + m.budget
-	if m.req.ID == (ticket.ID{}) {
+	if m.req.ID == (dedup.ID{}) {
 		ids, err := c.fan.Mint(now, 1)
 		if err != nil {
 			m.reply <- fanout.UpdateResult{Kind: query.NotRun, Reason: query.ReasonNotReady}
@@ -124,7 +124,7 @@
 // forwarded takes an update whose id this host is said to have minted. It is
 // never forwarded again.
 func (c *Core) forwarded(now clock.Milli, l *mesh.Link, w *wire.Update) {
-	id, err := ticket.Parse(w.GetTicket())
+	id, err := dedup.Parse(w.GetTicket())
 	if err != nil || id.Host != c.Settings.Host.Name {
 		c.node.Send(l, updateReplyTo(w.GetId(), fanout.UpdateResult{Kind: query.Unknown, Reason: query.ReasonOwnerGone}))
 		return
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -12,11 +12,11 @@
 
 	"dandelionstile/entry/core"
 	"dandelionstile/share/clock"
+	"dandelionstile/share/dedup"
 	"dandelionstile/share/fanout"
 	"dandelionstile/share/httpd"
 	"dandelionstile/share/meter"
 	"dandelionstile/share/query"
-	"dandelionstile/share/ticket"
 )
 
 // Limits of a request.
@@ -322,7 +322,7 @@
 	writeUpdated(w, u.ID, got)
 }
 
-func (f *Front) checkUpdate(u wireUpdate) (id ticket.ID, field, why string) {
+func (f *Front) checkUpdate(u wireUpdate) (id dedup.ID, field, why string) {
 	switch {
 	case u.Service == "":
 		return id, "service", "missing"
@@ -335,7 +335,7 @@
 	case u.ID == "":
 		return id, "id", "missing: get one from /v1/ids"
 	}
-	id, err := ticket.Parse(u.ID)
+	id, err := dedup.Parse(u.ID)
 	if err != nil {
 		return id, "id", "not an id from /v1/ids"
 	}
--- a/entry/routed/routed.go
+++ b/entry/routed/routed.go
@@ -11,14 +11,14 @@
 	"go.opentelemetry.io/otel/attribute"
 
 	"dandelionstile/share/clock"
-	"dandelionstile/share/hop"
-	"dandelionstile/share/invent"
+	"dandelionstile/share/httpc"
 	"dandelionstile/share/meter"
 	"dandelionstile/share/node"
+	"dandelionstile/share/proxy"
 	"dandelionstile/share/roster"
 	"dandelionstile/share/router"
 	"dandelionstile/share/spans"
-	"dandelionstile/share/tier"
+	"dandelionstile/share/topo"
 )
 
 // Routed serves routes where the settings name an address for them, and does
@@ -29,7 +29,7 @@
 	Meter    *meter.Meter
 	Tracer   *spans.Tracer
 
-	tier tier.Server
+	tier proxy.Server
 }
 
 func (r *Routed) on() bool { return r.Settings.Routes.Listen != "" }
@@ -40,10 +40,10 @@
 		return nil
 	}
 	s := r.Settings.Routes
-	r.tier = tier.Server{
-		Settings: tier.Settings{
+	r.tier = proxy.Server{
+		Settings: proxy.Settings{
 			CallerAddress: s.Listen, GossipAddress: s.Gossip, ForwardAddress: s.Relay, Seeds: s.Seeds,
-			SourceIP: r.Settings.Listen.IP(), Dialect: hop.DefaultDialect,
+			SourceIP: r.Settings.Listen.IP(), Dialect: httpc.DefaultDialect,
 			Self:   router.HostInfo{Host: r.Settings.Host.Name, Domain: r.Settings.Host.Domain, Address: s.Relay},
 			Policy: router.Policy{BudgetRatio: s.SecondCalls.Ratio, BudgetReserve: s.SecondCalls.Reserve},
 		},
@@ -60,7 +60,7 @@
 func (r *Routed) traced(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		span := r.Tracer.Start(q.Header.Get(headerTrace), "routed",
-			attribute.String("request", q.Header.Get(hop.DefaultDialect.RequestID)), attribute.String("path", q.URL.Path))
+			attribute.String("request", q.Header.Get(httpc.DefaultDialect.RequestID)), attribute.String("path", q.URL.Path))
 		defer span.End()
 		if parent := span.Parent(); parent != "" {
 			q.Header.Set(headerTrace, parent)
@@ -70,7 +70,7 @@
 }
 
 // Configure puts a configuration in force.
-func (r *Routed) Configure(cfg *invent.Config) {
+func (r *Routed) Configure(cfg *topo.Config) {
 	if r.on() {
 		r.tier.SetFacts(facts(cfg))
 	}
@@ -104,7 +104,7 @@
 
 // facts is a configuration as the tier goes by it. A backend server is one leaf
 // there: an opaque request names none of the server's own.
-func facts(cfg *invent.Config) router.Facts {
+func facts(cfg *topo.Config) router.Facts {
 	f := router.Facts{
 		Table:      cfg.RouteTable(),
 		DomainsOut: make(map[string]bool, len(cfg.Rules.DomainsOut)),
@@ -129,7 +129,7 @@
 
 // slots is how many requests a server works on at once, with each of its leafs
 // held to the operators' cap; 0 caps nothing.
-func slots(s invent.Server, most int) int {
+func slots(s topo.Server, most int) int {
 	if most == 0 {
 		return s.Slots()
 	}
--- a/entry/routed/routed_test.go
+++ b/entry/routed/routed_test.go
@@ -12,10 +12,10 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/poll"
 
-	"dandelionstile/share/hop"
-	"dandelionstile/share/invent"
+	"dandelionstile/share/httpc"
 	"dandelionstile/share/node"
 	"dandelionstile/share/spans"
+	"dandelionstile/share/topo"
 )
 
 const inventory = `failure-domains:
@@ -39,7 +39,7 @@
 
 func TestFactsOfAConfiguration(t *testing.T) {
 	t.Parallel()
-	cfg, err := invent.Parse(4, []invent.Part{{Name: "a.yaml", Body: []byte(inventory)}})
+	cfg, err := topo.Parse(4, []topo.Part{{Name: "a.yaml", Body: []byte(inventory)}})
 	assert.NilError(t, err)
 	f := facts(cfg)
 	assert.Equal(t, f.Table.Version, uint64(4))
@@ -59,8 +59,8 @@
 	got := make(chan string, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		got <- q.Header.Get(headerTrace)
-		w.Header().Set(hop.DefaultDialect.RequestID, q.Header.Get(hop.DefaultDialect.RequestID))
-		w.Header().Set(hop.DefaultDialect.Stamp, "s")
+		w.Header().Set(httpc.DefaultDialect.RequestID, q.Header.Get(httpc.DefaultDialect.RequestID))
+		w.Header().Set(httpc.DefaultDialect.Stamp, "s")
 	}))
 	defer server.Close()
 	file := filepath.Join(t.TempDir(), "spans.json")
@@ -73,7 +73,7 @@
 	}}
 	assert.NilError(t, r.Start())
 	text := strings.NewReplacer("127.0.0.1:81", server.Listener.Addr().String()).Replace(inventory)
-	cfg, err := invent.Parse(1, []invent.Part{{Name: "a.yaml", Body: []byte(text)}})
+	cfg, err := topo.Parse(1, []topo.Part{{Name: "a.yaml", Body: []byte(text)}})
 	assert.NilError(t, err)
 	r.Configure(cfg)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -86,7 +86,7 @@
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+r.Addr()+"/file/x", nil)
 	assert.NilError(t, err)
 	q.Host = "h"
-	q.Header.Set(hop.DefaultDialect.RequestID, "q1")
+	q.Header.Set(httpc.DefaultDialect.RequestID, "q1")
 	q.Header.Set(headerTrace, caller)
 	res, err := http.DefaultClient.Do(q)
 	assert.NilError(t, err)
@@ -106,7 +106,7 @@
 	t.Parallel()
 	var r Routed
 	assert.NilError(t, r.Start())
-	r.Configure(&invent.Config{})
+	r.Configure(&topo.Config{})
 	assert.Assert(t, r.Ready())
 	r.Leave()
 	assert.NilError(t, r.Close())
--- a/fakes/backend.go
+++ b/fakes/backend.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"dandelionstile/fakes/leaf"
-	"dandelionstile/share/invent"
+	"dandelionstile/share/topo"
 )
 
 // backendCommand serves the backend servers of an inventory at their addresses.
@@ -25,15 +25,15 @@
 }
 
 func (c *backendCommand) run() error {
-	var parts []invent.Part
+	var parts []topo.Part
 	for _, f := range c.Inventory {
 		body, err := os.ReadFile(f)
 		if err != nil {
 			return err
 		}
-		parts = append(parts, invent.Part{Name: filepath.Base(f), Body: body})
+		parts = append(parts, topo.Part{Name: filepath.Base(f), Body: body})
 	}
-	cfg, err := invent.Parse(1, parts)
+	cfg, err := topo.Parse(1, parts)
 	if err != nil {
 		return err
 	}
--- a/fakes/lab/client.go
+++ b/fakes/lab/client.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 
 	"dandelionstile/fakes/leaf"
-	"dandelionstile/share/invent"
+	"dandelionstile/share/topo"
 )
 
 // Client asks entries as a caller does.
@@ -138,7 +138,7 @@
 // Check verifies an answer row by row: one snapshot, its own text, all rows of
 // each answered shard and none of a missing one, and a coverage that adds up.
 func (a Answer) Check(service, text string) error {
-	pin, ok := invent.ParseSnapshotID(a.Snapshot)
+	pin, ok := topo.ParseSnapshotID(a.Snapshot)
 	if !ok {
 		return errors.Newf("snapshot %q", a.Snapshot)
 	}
--- a/fakes/lab/lab.go
+++ b/fakes/lab/lab.go
@@ -15,7 +15,7 @@
 	"dandelionstile/fakes/plat"
 	"dandelionstile/fakes/ports"
 	"dandelionstile/fakes/relay"
-	"dandelionstile/share/invent"
+	"dandelionstile/share/topo"
 )
 
 // Lab is a running deployment on loopback. Fields above the line are set before
@@ -35,7 +35,7 @@
 
 	Platform plat.Platform
 	Servers  map[string]*leaf.Server
-	Specs    []invent.Server
+	Specs    []topo.Server
 	Hosts    []*Host
 	Version  uint64
 	platform string
@@ -163,10 +163,10 @@
 func (l *Lab) PublishHosts() {
 	version := uint64(time.Now().UnixNano())
 	for _, d := range l.Layout.Domains {
-		list := invent.HostList{Version: version}
+		list := topo.HostList{Version: version}
 		for _, h := range l.Hosts {
 			if h.Domain == d && !h.gone {
-				list.Hosts = append(list.Hosts, invent.Host{
+				list.Hosts = append(list.Hosts, topo.Host{
 					Name: h.Name, Domain: d, Entry: h.entryPublic, Aggregator: h.aggPublic,
 				})
 			}
--- a/fakes/lab/lab_test.go
+++ b/fakes/lab/lab_test.go
@@ -15,7 +15,7 @@
 	"dandelionstile/fakes/leaf"
 	"dandelionstile/fakes/plat"
 	"dandelionstile/fakes/relay"
-	"dandelionstile/share/invent"
+	"dandelionstile/share/topo"
 )
 
 // binaries is where TestMain built the programs.
@@ -340,12 +340,12 @@
 	d := startLoad(t, l, 4)
 	for version := uint64(2); version <= 4; version++ {
 		for _, s := range l.Specs {
-			l.Servers[s.Name].SetSnapshots(invent.SnapshotID{Layout: 1, Version: version - 1}, invent.SnapshotID{Layout: 1, Version: version})
+			l.Servers[s.Name].SetSnapshots(topo.SnapshotID{Layout: 1, Version: version - 1}, topo.SnapshotID{Layout: 1, Version: version})
 			time.Sleep(10 * time.Millisecond)
 		}
 		d.awaitMore(200)
 		for _, s := range l.Specs {
-			l.Servers[s.Name].SetSnapshots(invent.SnapshotID{Layout: 1, Version: version})
+			l.Servers[s.Name].SetSnapshots(topo.SnapshotID{Layout: 1, Version: version})
 		}
 	}
 	d.awaitMore(200)
--- a/fakes/lab/layout.go
+++ b/fakes/lab/layout.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"strings"
 
-	"dandelionstile/share/invent"
+	"dandelionstile/share/topo"
 )
 
 // Service describes one service of a layout.
@@ -50,21 +50,21 @@
 
 // Servers lists the backend servers of a layout. Address gives each its IP and
 // port. The leafs of one shard lie in different domains as far as they go.
-func (l Layout) Servers(address func(name string) string) []invent.Server {
-	var list []invent.Server
+func (l Layout) Servers(address func(name string) string) []topo.Server {
+	var list []topo.Server
 	for _, v := range l.Services {
 		leaf := 0
 		for i := range v.Servers {
-			s := invent.Server{
+			s := topo.Server{
 				Name: fmt.Sprintf("%s-%d", v.Name, i), Service: v.Name, Domain: l.Domains[i%len(l.Domains)],
 			}
 			s.Address = address(s.Name)
 			for j := range v.LeafsPer {
 				// Replicas of one shard follow each other over the domains.
 				shard := (i/len(l.Domains)*v.LeafsPer + j) % v.Shards
-				s.Leaves = append(s.Leaves, invent.Leaf{
+				s.Leaves = append(s.Leaves, topo.Leaf{
 					Name: fmt.Sprintf("%s-%d-%d", v.Name, i, j), Slots: v.Slots, Connections: v.Connections,
-					Holds: []invent.Hold{{Layout: 1, Shard: shard}},
+					Holds: []topo.Hold{{Layout: 1, Shard: shard}},
 				})
 				leaf++
 			}
@@ -76,7 +76,7 @@
 
 // Parts writes a layout as the operators' files: one for the domains and
 // services, one for each service's servers, one for the rules.
-func (l Layout) Parts(servers []invent.Server, rules string) []invent.Part {
+func (l Layout) Parts(servers []topo.Server, rules string) []topo.Part {
 	var b strings.Builder
 	b.WriteString("failure-domains:\n")
 	for i, d := range l.Domains {
@@ -90,17 +90,17 @@
 			fmt.Fprintf(&b, "    patience-percent: %d\n", v.Patience)
 		}
 	}
-	parts := []invent.Part{{Name: "base.yaml", Body: []byte(b.String())}}
+	parts := []topo.Part{{Name: "base.yaml", Body: []byte(b.String())}}
 	for _, v := range l.Services {
-		parts = append(parts, invent.Part{Name: "servers-" + v.Name + ".yaml", Body: []byte(serversYAML(v.Name, servers))})
+		parts = append(parts, topo.Part{Name: "servers-" + v.Name + ".yaml", Body: []byte(serversYAML(v.Name, servers))})
 	}
 	if rules != "" {
-		parts = append(parts, invent.Part{Name: "rules.yaml", Body: []byte(rules)})
+		parts = append(parts, topo.Part{Name: "rules.yaml", Body: []byte(rules)})
 	}
 	return parts
 }
 
-func serversYAML(service string, servers []invent.Server) string {
+func serversYAML(service string, servers []topo.Server) string {
 	var b strings.Builder
 	b.WriteString("servers:\n")
 	for _, s := range servers {
--- a/fakes/lab/routes_test.go
+++ b/fakes/lab/routes_test.go
@@ -14,7 +14,7 @@
 	"gotest.tools/v3/assert"
 
 	"dandelionstile/fakes/leaf"
-	"dandelionstile/share/hop"
+	"dandelionstile/share/httpc"
 )
 
 const routeRules = `routes:
@@ -38,15 +38,15 @@
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+path, nil)
 	assert.NilError(t, err)
 	r.Host = "find.example"
-	r.Header.Set(hop.DefaultDialect.RequestID, id)
-	r.Header.Set(hop.DefaultDialect.Deadline, "2000")
+	r.Header.Set(httpc.DefaultDialect.RequestID, id)
+	r.Header.Set(httpc.DefaultDialect.Deadline, "2000")
 	res, err := http.DefaultClient.Do(r)
 	assert.NilError(t, err)
 	body, err := io.ReadAll(res.Body)
 	assert.NilError(t, err)
 	assert.NilError(t, res.Body.Close())
-	a := routedAnswer{status: res.StatusCode, body: body, stamp: res.Header.Get(hop.DefaultDialect.Stamp), missing: res.Header.Get(hop.DefaultDialect.MissingShards)}
-	if parts := res.Header.Get(hop.DefaultDialect.PartStamps); parts != "" {
+	a := routedAnswer{status: res.StatusCode, body: body, stamp: res.Header.Get(httpc.DefaultDialect.Stamp), missing: res.Header.Get(httpc.DefaultDialect.MissingShards)}
+	if parts := res.Header.Get(httpc.DefaultDialect.PartStamps); parts != "" {
 		a.parts = strings.Split(parts, ", ")
 	}
 	return a
--- a/fakes/leaf/control.go
+++ b/fakes/leaf/control.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"net/http"
 
-	"dandelionstile/share/invent"
+	"dandelionstile/share/topo"
 )
 
 // Control drives many servers over HTTP.
@@ -69,9 +69,9 @@
 	case "fault":
 		s.SetFault(cmd.Leaf, cmd.Fault)
 	case "snapshots":
-		var pins []invent.SnapshotID
+		var pins []topo.SnapshotID
 		for _, text := range cmd.Snapshots {
-			if p, ok := invent.ParseSnapshotID(text); ok {
+			if p, ok := topo.ParseSnapshotID(text); ok {
 				pins = append(pins, p)
 			}
 		}
--- a/fakes/leaf/leaf.go
+++ b/fakes/leaf/leaf.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"dandelionstile/share/invent"
+	"dandelionstile/share/topo"
 )
 
 // Model is how leafs behave.
@@ -53,13 +53,13 @@
 
 // Leaf is one leaf's state.
 type Leaf struct {
-	spec      invent.Leaf
+	spec      topo.Leaf
 	active    int
 	conns     map[string]bool
 	cold      time.Time // start of the warm-up; zero when warm
 	straggle  float64
 	fault     Fault
-	snapshots []invent.SnapshotID
+	snapshots []topo.SnapshotID
 
 	// Calls counts the queries that started; Excess those beyond what the leaf
 	// could bear; Refused the connections over the limit.
@@ -74,7 +74,7 @@
 // Server is a backend server with its leafs.
 type Server struct {
 	mu          sync.Mutex
-	spec        invent.Server
+	spec        topo.Server
 	model       Model
 	random      *rand.Rand
 	incarnation uint64
@@ -95,7 +95,7 @@
 
 // New returns a server that is not listening yet. Its leafs hold the snapshot
 // with version 1 of their newest layout, and are warm.
-func New(spec invent.Server, model Model) *Server {
+func New(spec topo.Server, model Model) *Server {
 	s := &Server{
 		spec: spec, model: model, incarnation: 1,
 		random: rand.New(rand.NewPCG(model.Seed, hash(spec.Name))),
@@ -105,7 +105,7 @@
 	for _, l := range spec.Leaves {
 		f := &Leaf{spec: l, conns: map[string]bool{}, straggle: 1}
 		for _, h := range l.Holds {
-			f.snapshots = append(f.snapshots, invent.SnapshotID{Layout: h.Layout, Version: 1})
+			f.snapshots = append(f.snapshots, topo.SnapshotID{Layout: h.Layout, Version: 1})
 		}
 		s.leafs[l.Name] = f
 	}
@@ -121,7 +121,7 @@
 }
 
 // Key is the row key that a shard of a service has under a snapshot.
-func Key(service string, pin invent.SnapshotID, shard, row int) string {
+func Key(service string, pin topo.SnapshotID, shard, row int) string {
 	return fmt.Sprintf("%s/%s/%d/%d", service, pin, shard, row)
 }
 
@@ -166,7 +166,7 @@
 }
 
 // SetSnapshots changes what all leafs hold.
-func (s *Server) SetSnapshots(pins ...invent.SnapshotID) {
+func (s *Server) SetSnapshots(pins ...topo.SnapshotID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range s.leafs {
@@ -295,7 +295,7 @@
 	}
 }
 
-func (s *Server) holds(f *Leaf, pin invent.SnapshotID) bool {
+func (s *Server) holds(f *Leaf, pin topo.SnapshotID) bool {
 	for _, p := range f.snapshots {
 		if p == pin {
 			return true
--- a/fakes/leaf/opaque.go
+++ b/fakes/leaf/opaque.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"dandelionstile/share/hop"
+	"dandelionstile/share/httpc"
 )
 
 // recordBytes is the size of a record of a merged answer.
@@ -28,10 +28,10 @@
 
 // opaque answers a routed request in the project's own dialect.
 func (s *Server) opaque(w http.ResponseWriter, r *http.Request) {
-	id := r.Header.Get(hop.DefaultDialect.RequestID)
-	w.Header().Set(hop.DefaultDialect.RequestID, id)
-	if want := r.Header.Get(hop.DefaultDialect.ExpectLeaf); want != "" && want != s.spec.Name {
-		w.Header().Set(hop.DefaultDialect.NotRun, "another leaf is meant")
+	id := r.Header.Get(httpc.DefaultDialect.RequestID)
+	w.Header().Set(httpc.DefaultDialect.RequestID, id)
+	if want := r.Header.Get(httpc.DefaultDialect.ExpectLeaf); want != "" && want != s.spec.Name {
+		w.Header().Set(httpc.DefaultDialect.NotRun, "another leaf is meant")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -39,12 +39,12 @@
 		return // the caller has broken off
 	}
 	time.Sleep(s.model.Service)
-	w.Header().Set(hop.DefaultDialect.Stamp, s.spec.Name+"."+id)
+	w.Header().Set(httpc.DefaultDialect.Stamp, s.spec.Name+"."+id)
 	_, _ = w.Write(Records(s.spec.Name, r.URL.Path)) // the caller may be gone
 }
 
 // health tells that the server is well.
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
-	w.Header().Set(hop.DefaultDialect.LeafID, s.spec.Name)
+	w.Header().Set(httpc.DefaultDialect.LeafID, s.spec.Name)
 	w.WriteHeader(http.StatusOK)
 }
--- a/fakes/leaf/serve.go
+++ b/fakes/leaf/serve.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"dandelionstile/share/invent"
+	"dandelionstile/share/topo"
 )
 
 type connKey struct{}
@@ -245,7 +245,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	pin, _ := invent.ParseSnapshotID(q.Snapshot)
+	pin, _ := topo.ParseSnapshotID(q.Snapshot)
 	s.mu.Lock()
 	held := s.holds(f, pin)
 	shard, _ := f.spec.Shard(pin.Layout)
@@ -288,7 +288,7 @@
 	}
 }
 
-func (s *Server) reply(w http.ResponseWriter, f *Leaf, q wireRequest, pin invent.SnapshotID) {
+func (s *Server) reply(w http.ResponseWriter, f *Leaf, q wireRequest, pin topo.SnapshotID) {
 	s.mu.Lock()
 	fault := f.fault
 	s.mu.Unlock()
@@ -304,7 +304,7 @@
 	case FaultFewer:
 		out.Shards, out.Rows = nil, nil
 	case FaultSnapshot:
-		out.Snapshot = invent.SnapshotID{Layout: pin.Layout, Version: pin.Version + 1}.String()
+		out.Snapshot = topo.SnapshotID{Layout: pin.Layout, Version: pin.Version + 1}.String()
 	case FaultEmpty:
 		w.WriteHeader(http.StatusOK)
 		return
--- a/fakes/plat/plat.go
+++ b/fakes/plat/plat.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"dandelionstile/share/invent"
+	"dandelionstile/share/topo"
 )
 
 // Value is one version of a key.
@@ -68,15 +68,15 @@
 }
 
 // PutConfig publishes a configuration: its parts, then the manifest.
-func (p *Platform) PutConfig(version uint64, parts []invent.Part) {
+func (p *Platform) PutConfig(version uint64, parts []topo.Part) {
 	for _, part := range parts {
 		p.Put("part/"+part.Hash(), Value{Version: 1, Body: part.Body})
 	}
-	p.Put("manifest", Value{Version: version, Body: invent.NewManifest(version, parts).Encode()})
+	p.Put("manifest", Value{Version: version, Body: topo.NewManifest(version, parts).Encode()})
 }
 
 // PutHosts publishes a failure domain's host list.
-func (p *Platform) PutHosts(domain string, list invent.HostList) {
+func (p *Platform) PutHosts(domain string, list topo.HostList) {
 	p.Put("hosts/"+domain, Value{Version: list.Version, Body: list.Encode()})
 }
 
@@ -192,8 +192,8 @@
 }
 
 func (p *Platform) controlPut(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, invent.MaxPartBytes+1))
-	if err != nil || len(body) > invent.MaxPartBytes {
+	body, err := io.ReadAll(io.LimitReader(r.Body, topo.MaxPartBytes+1))
+	if err != nil || len(body) > topo.MaxPartBytes {
 		http.Error(w, "value over a megabyte", http.StatusRequestEntityTooLarge)
 		return
 	}
--- a/fakes/platform.go
+++ b/fakes/platform.go
@@ -8,7 +8,7 @@
 	"syscall"
 
 	"dandelionstile/fakes/plat"
-	"dandelionstile/share/invent"
+	"dandelionstile/share/topo"
 )
 
 // platformCommand serves a configuration and host lists from files.
@@ -21,13 +21,13 @@
 
 func (c *platformCommand) run() error {
 	var p plat.Platform
-	parts := make([]invent.Part, 0, len(c.Files))
+	parts := make([]topo.Part, 0, len(c.Files))
 	for _, f := range c.Files {
 		body, err := os.ReadFile(f)
 		if err != nil {
 			return err
 		}
-		parts = append(parts, invent.Part{Name: filepath.Base(f), Body: body})
+		parts = append(parts, topo.Part{Name: filepath.Base(f), Body: body})
 	}
 	if len(parts) > 0 {
 		p.PutConfig(c.Version, parts)
@@ -54,7 +54,7 @@
 		if err != nil {
 			return err
 		}
-		list, err := invent.ParseHosts(body)
+		list, err := topo.ParseHosts(body)
 		if err != nil {
 			return err
 		}
--- a/share/show/show.go
+++ b/share/admin/show.go
@@ -1,11 +1,11 @@
 // Package show holds the bodies of the programs' admin endpoints, as the
 // programs write them and `stile` reads them.
-package show
+package admin
 
 import (
 	"fmt"
 
-	"dandelionstile/share/poison"
+	"dandelionstile/share/deny"
 	"dandelionstile/share/query"
 )
 
@@ -128,7 +128,7 @@
 }
 
 // StrikesFrom maps the strikes of a table.
-func StrikesFrom(list []poison.Strike) []Strike {
+func StrikesFrom(list []deny.Strike) []Strike {
 	out := make([]Strike, len(list))
 	for i, s := range list {
 		out[i] = Strike{Fingerprint: fmt.Sprintf("%016x", s.Fingerprint), Count: s.Count, Left: int64(s.TimeLeft)}
--- a/share/place/place.go
+++ b/share/assign/place.go
@@ -1,7 +1,7 @@
 // Package place assigns leafs to aggregators by rendezvous hashing. Every host
 // that has the same host list finds the same owners without exchanging a
 // message, and a host that comes or goes moves only its own share.
-package place
+package assign
 
 import (
 	"slices"
@@ -9,7 +9,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dandelionstile/share/invent"
+	"dandelionstile/share/topo"
 )
 
 // MaxOwners is how many hosts may ever serve one backend server under one host
@@ -20,14 +20,14 @@
 // hosts in the server's own failure domain qualify, so that a domain that has
 // been cut off still owns what it can reach. Leaving hosts come after all
 // others, so they hand over before they go.
-func Owners(hosts []invent.Host, domain, server string, n int) []invent.Host {
+func Owners(hosts []topo.Host, domain, server string, n int) []topo.Host {
 	best := make([]ranked, 0, n+1)
 	for _, h := range hosts {
 		if h.Domain == domain {
 			best = insert(best, ranked{host: h, weight: weight(h.Name, server)}, n)
 		}
 	}
-	owners := make([]invent.Host, len(best))
+	owners := make([]topo.Host, len(best))
 	for i := range owners {
 		owners[i] = best[i].host
 	}
@@ -35,7 +35,7 @@
 }
 
 type ranked struct {
-	host   invent.Host
+	host   topo.Host
 	weight uint64
 }
 
@@ -69,29 +69,29 @@
 // them all anew for each change of configuration would take seconds. The zero
 // value is ready.
 type OwnerCache struct {
-	hosts  map[string][]invent.Host
-	owners map[string]map[string][]invent.Host // by domain, then server
+	hosts  map[string][]topo.Host
+	owners map[string]map[string][]topo.Host // by domain, then server
 }
 
 // SetHosts takes a new host list.
-func (t *OwnerCache) SetHosts(hosts []invent.Host) {
-	byDomain := map[string][]invent.Host{}
+func (t *OwnerCache) SetHosts(hosts []topo.Host) {
+	byDomain := map[string][]topo.Host{}
 	for _, h := range hosts {
 		byDomain[h.Domain] = append(byDomain[h.Domain], h)
 	}
-	kept := map[string]map[string][]invent.Host{}
+	kept := map[string]map[string][]topo.Host{}
 	for d, list := range byDomain {
 		if slices.Equal(list, t.hosts[d]) && t.owners[d] != nil {
 			kept[d] = t.owners[d]
 		} else {
-			kept[d] = map[string][]invent.Host{}
+			kept[d] = map[string][]topo.Host{}
 		}
 	}
 	t.hosts, t.owners = byDomain, kept
 }
 
 // Owners returns the candidates for a server.
-func (t *OwnerCache) Owners(domain, server string) []invent.Host {
+func (t *OwnerCache) Owners(domain, server string) []topo.Host {
 	known := t.owners[domain]
 	if known == nil {
 		return nil // no host in the domain
@@ -153,7 +153,7 @@
 // Neighbours lists the link addresses of the aggregators to keep links to. In a
 // large fleet each host picks its own few by rendezvous, which makes a random
 // graph: news crosses it in a few steps, and every host has about as many links.
-func Neighbours(n Network, cfg *invent.Config, hosts []invent.Host) []string {
+func Neighbours(n Network, cfg *topo.Config, hosts []topo.Host) []string {
 	picked := map[string]string{}
 	if len(hosts) <= n.FullMeshMax {
 		for _, h := range hosts {
@@ -171,7 +171,7 @@
 	return addrs
 }
 
-func (n Network) pick(picked map[string]string, hosts []invent.Host) {
+func (n Network) pick(picked map[string]string, hosts []topo.Host) {
 	var near, far []ranked
 	for _, h := range hosts {
 		if h.Name == n.Self {
@@ -197,7 +197,7 @@
 
 // partners adds the other candidates of the servers that this host may serve:
 // the two have leases to exchange.
-func (n Network) partners(picked map[string]string, cfg *invent.Config, hosts []invent.Host) {
+func (n Network) partners(picked map[string]string, cfg *topo.Config, hosts []topo.Host) {
 	var t OwnerCache
 	t.SetHosts(hosts)
 	for _, s := range cfg.Inventory.Servers {
--- a/share/ticket/ticket.go
+++ b/share/dedup/ticket.go
@@ -2,7 +2,7 @@
 // shared state. A host mints ids that name it and its incarnation; only that
 // incarnation ever runs them, and it remembers what it ran. When it is gone,
 // its ids are answered "unknown" and run nowhere.
-package ticket
+package dedup
 
 import (
 	"strconv"
--- a/share/ticket/ticket_test.go
+++ b/share/dedup/ticket_test.go
@@ -1,4 +1,4 @@
-package ticket
+package dedup
 
 import (
 	"testing"
--- a/share/poison/poison.go
+++ b/share/deny/poison.go
@@ -1,7 +1,7 @@
 // Package poison remembers requests that brought down backend servers. A
 // request that crashes every server that runs it would otherwise take down a
 // fleet, one resend after the other.
-package poison
+package deny
 
 import (
 	"github.com/cespare/xxhash/v2"
--- a/share/poison/proven.go
+++ b/share/deny/proven.go
@@ -1,4 +1,4 @@
-package poison
+package deny
 
 // ProvenSet remembers requests that a leaf survived, in two generations, so that
 // the memory is bounded and the recent ones stay. The zero value is empty.
--- a/share/loops/loops.go
+++ b/share/evloop/loops.go
@@ -1,7 +1,7 @@
 // Package loops makes sure that an engine's event loops run before it is stopped.
 // A loop clears its stop flag when it begins; an engine that is stopped earlier
 // never ends.
-package loops
+package evloop
 
 import (
 	"net"
--- a/share/loops/loops_test.go
+++ b/share/evloop/loops_test.go
@@ -1,4 +1,4 @@
-package loops
+package evloop
 
 import (
 	"fmt"
--- a/share/fanout/canary.go
+++ b/share/fanout/canary.go
@@ -2,7 +2,7 @@
 
 import (
 	"dandelionstile/share/clock"
-	"dandelionstile/share/poison"
+	"dandelionstile/share/deny"
 	"dandelionstile/share/query"
 )
 
@@ -11,8 +11,8 @@
 const maxCanaries = 2
 
 // proof names the query on the snapshot that it is pinned to.
-func (q *running) proof() poison.ProvenKey {
-	return poison.ProvenKey{Fingerprint: q.fingerprint, Layout: q.pin.Layout, Version: q.pin.Version}
+func (q *running) proof() deny.ProvenKey {
+	return deny.ProvenKey{Fingerprint: q.fingerprint, Layout: q.pin.Layout, Version: q.pin.Version}
 }
 
 // sendCanary sends the query to one leaf before all others see it.
@@ -74,7 +74,7 @@
 	if q.deaths >= maxCanaries && strike.Count < maxCanaries {
 		// Each server's aggregator counts one crash and cannot know of the
 		// other's.
-		strike.Count, strike.TimeLeft = maxCanaries, poison.QuarantineTime
+		strike.Count, strike.TimeLeft = maxCanaries, deny.QuarantineTime
 		e.strikes.Merge(now, strike)
 	}
 	if strike.Count < maxCanaries && len(q.flying) > 0 {
@@ -88,7 +88,7 @@
 // died takes a crash report. The aggregators count; an entry only learns, or one
 // crash would count twice.
 func (e *Engine) died(now clock.Milli, fingerprint uint64, strikes int, left clock.Milli) {
-	e.strikes.Merge(now, poison.Strike{Fingerprint: fingerprint, Count: max(1, strikes), TimeLeft: left})
+	e.strikes.Merge(now, deny.Strike{Fingerprint: fingerprint, Count: max(1, strikes), TimeLeft: left})
 	e.good.Drop(fingerprint)
 }
 
--- a/share/fanout/engine.go
+++ b/share/fanout/engine.go
@@ -10,11 +10,11 @@
 	"math/rand/v2"
 	"slices"
 
+	"dandelionstile/share/assign"
 	"dandelionstile/share/clock"
-	"dandelionstile/share/invent"
-	"dandelionstile/share/place"
-	"dandelionstile/share/poison"
+	"dandelionstile/share/deny"
 	"dandelionstile/share/query"
+	"dandelionstile/share/topo"
 )
 
 // Action is something for the program to do; one of the types below.
@@ -37,7 +37,7 @@
 	Service     string
 	Text        string
 	Caller      string
-	Pin         invent.SnapshotID
+	Pin         topo.SnapshotID
 	Limit       int
 	Deadline    clock.Milli
 	Fingerprint uint64
@@ -61,7 +61,7 @@
 // Shared when they have it.
 type ShareStrike struct {
 	Query  uint64
-	Strike poison.Strike
+	Strike deny.Strike
 }
 
 func (SendBatch) action()   {}
@@ -149,7 +149,7 @@
 	// Random must be seeded by the program, or with a fixed seed in tests.
 	Random *rand.Rand
 
-	cfg      *invent.Config
+	cfg      *topo.Config
 	services map[string]*service
 	leafs    map[string]*leaf
 	early    map[string]query.Feedback // of leafs not in the inventory yet
@@ -157,22 +157,22 @@
 	queries  map[uint64]*running
 	order    []*running // in order of arrival; may hold finished ones
 	attempts map[uint64]*attempt
-	strikes  poison.Table
-	good     poison.ProvenSet
+	strikes  deny.Table
+	good     deny.ProvenSet
 	lastCall uint64
-	owners   place.OwnerCache
+	owners   assign.OwnerCache
 	updates  updates
 	now      clock.Milli // time of the event in hand
 }
 
 // service is everything known of one service.
 type service struct {
-	invent.Service
+	topo.Service
 	shards map[uint32][][]*leaf // by layout, then shard
 	timing timing
 	budget budget
 	door   door
-	pin    invent.SnapshotID
+	pin    topo.SnapshotID
 	pinned bool
 	dirty  bool // the pin has to be chosen again
 }
@@ -194,7 +194,7 @@
 
 // Configure puts a configuration and a host list in force. Queries that run
 // keep their pin.
-func (e *Engine) Configure(cfg *invent.Config, hosts []invent.Host) {
+func (e *Engine) Configure(cfg *topo.Config, hosts []topo.Host) {
 	e.init()
 	e.cfg = cfg
 	services := map[string]*service{}
@@ -251,7 +251,7 @@
 // maxEarly bounds what is kept of leafs that no configuration names yet.
 const maxEarly = 100000
 
-func outOf(cfg *invent.Config, carry map[string]invent.ServerLimit, s invent.Server) query.Reason {
+func outOf(cfg *topo.Config, carry map[string]topo.ServerLimit, s topo.Server) query.Reason {
 	if cfg.DomainOut(s.Domain) {
 		return query.ReasonDomainOut
 	}
@@ -276,7 +276,7 @@
 }
 
 // Config returns the configuration in force, or nil.
-func (e *Engine) Config() *invent.Config { return e.cfg }
+func (e *Engine) Config() *topo.Config { return e.cfg }
 
 // SetFeedback takes what an aggregator knows of a leaf.
 func (e *Engine) SetFeedback(fb query.Feedback) {
@@ -298,10 +298,10 @@
 }
 
 // MergeStrike takes a strike from another host and tells whether it was news.
-func (e *Engine) MergeStrike(now clock.Milli, s poison.Strike) bool { return e.strikes.Merge(now, s) }
+func (e *Engine) MergeStrike(now clock.Milli, s deny.Strike) bool { return e.strikes.Merge(now, s) }
 
 // Strikes lists the requests refused now.
-func (e *Engine) Strikes(now clock.Milli) []poison.Strike { return e.strikes.Active(now) }
+func (e *Engine) Strikes(now clock.Milli) []deny.Strike { return e.strikes.Active(now) }
 
 // cancelActions lists cancellations by host, in order, so that runs repeat.
 func cancelActions(byHost map[string][]uint64) []Action {
--- a/share/fanout/engine_test.go
+++ b/share/fanout/engine_test.go
@@ -7,30 +7,30 @@
 	"gotest.tools/v3/assert"
 
 	"dandelionstile/share/clock"
-	"dandelionstile/share/invent"
 	"dandelionstile/share/query"
+	"dandelionstile/share/topo"
 )
 
 // pin is the snapshot that test leafs hold unless a test says otherwise.
-var pin = invent.SnapshotID{Layout: 1, Version: 1}
+var pin = topo.SnapshotID{Layout: 1, Version: 1}
 
 // testConfig has one service of two shards with two replicas each, in two
 // failure domains, and one host in each.
-func testConfig() (*invent.Config, []invent.Host) {
-	leaf := func(name string, shard int) invent.Leaf {
-		return invent.Leaf{Name: name, Slots: 2, Connections: 8, Holds: []invent.Hold{{Layout: 1, Shard: shard}}}
+func testConfig() (*topo.Config, []topo.Host) {
+	leaf := func(name string, shard int) topo.Leaf {
+		return topo.Leaf{Name: name, Slots: 2, Connections: 8, Holds: []topo.Hold{{Layout: 1, Shard: shard}}}
 	}
-	cfg := &invent.Config{Version: 1, Inventory: invent.Inventory{
-		Domains: []invent.Domain{{Name: "a", Region: "r"}, {Name: "b", Region: "r"}},
-		Services: []invent.Service{{
-			Name: "search", Layouts: []invent.Layout{{ID: 1, Shards: 2}}, WarmUp: 1000, Deadline: 1000, Patience: 100,
+	cfg := &topo.Config{Version: 1, Inventory: topo.Inventory{
+		Domains: []topo.Domain{{Name: "a", Region: "r"}, {Name: "b", Region: "r"}},
+		Services: []topo.Service{{
+			Name: "search", Layouts: []topo.Layout{{ID: 1, Shards: 2}}, WarmUp: 1000, Deadline: 1000, Patience: 100,
 		}},
-		Servers: []invent.Server{
-			{Name: "s-a", Service: "search", Domain: "a", Address: "127.0.0.1:1", Leaves: []invent.Leaf{leaf("a0", 0), leaf("a1", 1)}},
-			{Name: "s-b", Service: "search", Domain: "b", Address: "127.0.0.1:2", Leaves: []invent.Leaf{leaf("b0", 0), leaf("b1", 1)}},
+		Servers: []topo.Server{
+			{Name: "s-a", Service: "search", Domain: "a", Address: "127.0.0.1:1", Leaves: []topo.Leaf{leaf("a0", 0), leaf("a1", 1)}},
+			{Name: "s-b", Service: "search", Domain: "b", Address: "127.0.0.1:2", Leaves: []topo.Leaf{leaf("b0", 0), leaf("b1", 1)}},
 		},
 	}}
-	return cfg, []invent.Host{{Name: "host-a", Domain: "a"}, {Name: "host-b", Domain: "b"}}
+	return cfg, []topo.Host{{Name: "host-a", Domain: "a"}, {Name: "host-b", Domain: "b"}}
 }
 
 func testEngine(policy Policy) *Engine {
@@ -43,7 +43,7 @@
 	}
 	e.RecordRTT("host-b", 1)
 	for _, name := range []string{"a0", "a1", "b0", "b1"} {
-		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Holds: []invent.SnapshotID{pin}})
+		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Holds: []topo.SnapshotID{pin}})
 	}
 	return e
 }
@@ -84,7 +84,7 @@
 	e.HostUp("host-a")
 	e.HostUp("host-b")
 	for _, name := range []string{"a0", "a1", "b0", "b1"} {
-		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Holds: []invent.SnapshotID{pin}})
+		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Holds: []topo.SnapshotID{pin}})
 	}
 	cfg, hosts := testConfig()
 	e.Configure(cfg, hosts)
@@ -142,9 +142,9 @@
 	e := proven()
 	sent := calls(ask(e, 1, 1))
 	e.CallDone(2, ok(sent[0].ID, "old"))
-	next := invent.SnapshotID{Layout: 1, Version: 2}
+	next := topo.SnapshotID{Layout: 1, Version: 2}
 	for _, name := range []string{"a0", "a1", "b0", "b1"} {
-		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Holds: []invent.SnapshotID{next}})
+		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Holds: []topo.SnapshotID{next}})
 	}
 	out := e.CallDone(3, query.Outcome{Call: sent[1].ID, Kind: query.NotRun, Reason: query.ReasonSnapshot})
 	again := calls(out)
@@ -181,11 +181,11 @@
 	e := proven()
 	sent := calls(ask(e, 1, 1))
 	for _, name := range []string{"a0", "a1", "b0", "b1"} {
-		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Busy: 2, Holds: []invent.SnapshotID{pin}})
+		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Busy: 2, Holds: []topo.SnapshotID{pin}})
 	}
 	assert.Equal(t, len(calls(e.Tick(1+hedgeUnknown))), 0)
 	for _, name := range []string{"a0", "a1", "b0", "b1"} {
-		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Holds: []invent.SnapshotID{pin}})
+		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Holds: []topo.SnapshotID{pin}})
 	}
 	hedges := calls(e.Tick(2 + hedgeUnknown))
 	assert.Equal(t, len(hedges), 2)
--- a/share/fanout/pick.go
+++ b/share/fanout/pick.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 
+	"dandelionstile/share/assign"
 	"dandelionstile/share/clock"
-	"dandelionstile/share/place"
 )
 
 // candidate is a leaf that may be asked now, through a host.
@@ -151,7 +151,7 @@
 			}
 		}
 	}
-	i := place.BestIndex(names, q.key)
+	i := assign.BestIndex(names, q.key)
 	if i < 0 {
 		return candidate{}, 0, false
 	}
--- a/share/fanout/pins.go
+++ b/share/fanout/pins.go
@@ -3,12 +3,12 @@
 import (
 	"slices"
 
-	"dandelionstile/share/invent"
 	"dandelionstile/share/query"
+	"dandelionstile/share/topo"
 )
 
 // usable tells whether a leaf may get new work for a pin.
-func (e *Engine) usable(f *leaf, pin invent.SnapshotID) bool {
+func (e *Engine) usable(f *leaf, pin topo.SnapshotID) bool {
 	if f.out != query.ReasonNone || !f.known || f.fb.Closed || !slices.Contains(f.fb.Holds, pin) {
 		return false
 	}
@@ -17,15 +17,15 @@
 
 // choosePin picks the newest snapshot that all shards have somewhere in reach,
 // or else the one that covers most. An answer rests on this one snapshot alone.
-func (e *Engine) choosePin(s *service) (invent.SnapshotID, bool) {
+func (e *Engine) choosePin(s *service) (topo.SnapshotID, bool) {
 	if !s.dirty {
 		return s.pin, s.pinned
 	}
 	s.dirty = false
-	covered := map[invent.SnapshotID]int{}
+	covered := map[topo.SnapshotID]int{}
 	for layout, shards := range s.shards {
 		for _, replicas := range shards {
-			seen := map[invent.SnapshotID]bool{}
+			seen := map[topo.SnapshotID]bool{}
 			for _, f := range replicas {
 				for _, p := range f.fb.Holds {
 					if p.Layout == layout && !seen[p] && e.usable(f, p) {
@@ -48,10 +48,10 @@
 }
 
 // Pin returns the snapshot that a new query of a service would be pinned to.
-func (e *Engine) Pin(name string) (invent.SnapshotID, bool) {
+func (e *Engine) Pin(name string) (topo.SnapshotID, bool) {
 	s := e.services[name]
 	if s == nil {
-		return invent.SnapshotID{}, false
+		return topo.SnapshotID{}, false
 	}
 	return e.choosePin(s)
 }
@@ -83,7 +83,7 @@
 	return c
 }
 
-func (e *Engine) anyUsable(replicas []*leaf, pin invent.SnapshotID) bool {
+func (e *Engine) anyUsable(replicas []*leaf, pin topo.SnapshotID) bool {
 	for _, f := range replicas {
 		if e.usable(f, pin) {
 			return true
--- a/share/fanout/query.go
+++ b/share/fanout/query.go
@@ -4,9 +4,9 @@
 	"strconv"
 
 	"dandelionstile/share/clock"
-	"dandelionstile/share/invent"
-	"dandelionstile/share/poison"
+	"dandelionstile/share/deny"
 	"dandelionstile/share/query"
+	"dandelionstile/share/topo"
 )
 
 // Request is a caller's query.
@@ -27,7 +27,7 @@
 	key         string // the fingerprint as a placement key
 	arrived     clock.Milli
 	until       clock.Milli // when it is answered with what is there
-	pin         invent.SnapshotID
+	pin         topo.SnapshotID
 	pins        int // how often it was pinned
 	shards      []shard
 	open        int // shards without a result or reason
@@ -84,7 +84,7 @@
 	if s == nil {
 		return refused(r.ID, query.ReasonNotReady, lonelyAdvice)
 	}
-	fingerprint := poison.Fingerprint(r.Service, r.Text)
+	fingerprint := deny.Fingerprint(r.Service, r.Text)
 	if left, blocked := e.strikes.Blocked(now, fingerprint); blocked {
 		return refused(r.ID, query.ReasonQuarantined, left)
 	}
@@ -130,7 +130,7 @@
 	return []Action{Answered{Query: id, Answer: query.Answer{Refused: why, RetryAfter: wait}}}
 }
 
-func (q *running) pinTo(pin invent.SnapshotID, shards int) {
+func (q *running) pinTo(pin topo.SnapshotID, shards int) {
 	q.past, _ = q.load()
 	q.pin = pin
 	q.pins++
--- a/share/fanout/retry.go
+++ b/share/fanout/retry.go
@@ -2,7 +2,7 @@
 
 import (
 	"dandelionstile/share/clock"
-	"dandelionstile/share/poison"
+	"dandelionstile/share/deny"
 	"dandelionstile/share/query"
 )
 
@@ -25,7 +25,7 @@
 		// Its own first canary's death was heard of there before the second ran.
 		return e.canaryFailed(now, q, o)
 	case o.Reason == query.ReasonQuarantined:
-		left := max(o.RetryAfter, e.strikes.Get(now, q.fingerprint).TimeLeft, poison.SuspectTime)
+		left := max(o.RetryAfter, e.strikes.Get(now, q.fingerprint).TimeLeft, deny.SuspectTime)
 		return e.answerRefused(now, q, query.ReasonQuarantined, left)
 	case q.canary:
 		return e.canaryFailed(now, q, o)
--- a/share/fanout/update.go
+++ b/share/fanout/update.go
@@ -5,18 +5,18 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"dandelionstile/share/assign"
 	"dandelionstile/share/clock"
-	"dandelionstile/share/place"
-	"dandelionstile/share/poison"
+	"dandelionstile/share/dedup"
+	"dandelionstile/share/deny"
 	"dandelionstile/share/query"
-	"dandelionstile/share/ticket"
 )
 
 // Update is a caller's change on one leaf.
 type Update struct {
 	// RequestID is this entry's own name for the request.
 	RequestID uint64
-	ID        ticket.ID
+	ID        dedup.ID
 	Service   string
 	Operation string
 	Key       string
@@ -72,9 +72,9 @@
 
 // updates holds the updates under way on this host.
 type updates struct {
-	book    ticket.Registry[UpdateResult]
+	book    dedup.Registry[UpdateResult]
 	running map[uint64]*runningUpdate // by call
-	byID    map[ticket.ID]*runningUpdate
+	byID    map[dedup.ID]*runningUpdate
 	away    map[uint64]*forwarded // by number
 }
 
@@ -93,7 +93,7 @@
 
 func (u *updates) init() {
 	u.running = map[uint64]*runningUpdate{}
-	u.byID = map[ticket.ID]*runningUpdate{}
+	u.byID = map[dedup.ID]*runningUpdate{}
 	u.away = map[uint64]*forwarded{}
 }
 
@@ -108,7 +108,7 @@
 }
 
 // Mint returns new ids for updates.
-func (e *Engine) Mint(now clock.Milli, n int) ([]ticket.ID, error) {
+func (e *Engine) Mint(now clock.Milli, n int) ([]dedup.ID, error) {
 	e.init()
 	return e.updates.book.Mint(now, n)
 }
@@ -127,23 +127,23 @@
 	}
 	verdict, result := book.Begin(now, u.ID, u.content())
 	switch verdict {
-	case ticket.Run:
+	case dedup.Run:
 		return e.runUpdate(now, u)
-	case ticket.Join:
+	case dedup.Join:
 		r := e.updates.byID[u.ID]
 		r.waiting = append(r.waiting, u.RequestID)
 		return nil
-	case ticket.Done:
+	case dedup.Done:
 		return answerUpdate(u.RequestID, result)
-	case ticket.Reused, ticket.NeverMinted:
+	case dedup.Reused, dedup.NeverMinted:
 		return answerUpdate(u.RequestID, UpdateResult{Kind: query.NotRun, Reason: query.ReasonReused})
-	case ticket.Foreign, ticket.Unknown:
+	case dedup.Foreign, dedup.Unknown:
 	}
 	return answerUpdate(u.RequestID, UpdateResult{Kind: query.Unknown, Reason: query.ReasonOwnerGone})
 }
 
 func fingerprintOf(u Update) uint64 {
-	return poison.Fingerprint(u.Service, u.Operation+"\x00"+u.Key+"\x00"+u.Body)
+	return deny.Fingerprint(u.Service, u.Operation+"\x00"+u.Key+"\x00"+u.Body)
 }
 
 func answerUpdate(number uint64, r UpdateResult) []Action {
@@ -202,7 +202,7 @@
 			list = append(list, c)
 		}
 	}
-	i := place.BestIndex(names, r.Key)
+	i := assign.BestIndex(names, r.Key)
 	if i < 0 {
 		return candidate{}, false
 	}
--- a/share/fetch/fetch.go
+++ b/share/fetch/fetch.go
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/lesismal/nbio/nbhttp"
 
-	"dandelionstile/share/loops"
+	"dandelionstile/share/evloop"
 	_ "dandelionstile/share/netio" // sets up the library
 )
 
@@ -50,7 +50,7 @@
 	Source string
 
 	engine *nbhttp.Engine
-	loops  loops.Prober
+	loops  evloop.Prober
 	done   chan struct{}
 }
 
--- a/share/hop/dialect.go
+++ b/share/httpc/dialect.go
@@ -5,7 +5,7 @@
 // a reply by closing, break off, answer before it has read a body, or send
 // bytes that belong to no request, and each of these must be told apart on a
 // connection that stays in this package's hands.
-package hop
+package httpc
 
 // Dialect names the headers that the tier and its leafs speak.
 type Dialect struct {
--- a/share/hop/pool.go
+++ b/share/httpc/pool.go
@@ -1,4 +1,4 @@
-package hop
+package httpc
 
 import (
 	"context"
--- a/share/httpd/httpd.go
+++ b/share/httpd/httpd.go
@@ -19,7 +19,7 @@
 	"github.com/lesismal/nbio/nbhttp"
 
 	"dandelionstile/share/clock"
-	"dandelionstile/share/loops"
+	"dandelionstile/share/evloop"
 	_ "dandelionstile/share/netio" // sets up the library
 )
 
@@ -66,8 +66,8 @@
 
 	engine  *nbhttp.Engine
 	addr    net.Addr
-	accept  *loops.Listener
-	loops   loops.Prober
+	accept  *evloop.Listener
+	loops   evloop.Prober
 	active  sync.WaitGroup
 	conns   conns
 	limits  atomic.Pointer[Limits]
@@ -92,7 +92,7 @@
 		return errors.Wrapf(err, "listen on %s", s.Address)
 	}
 	s.addr = ln.Addr()
-	s.accept = loops.NewListener(ln)
+	s.accept = evloop.NewListener(ln)
 	s.engine = nbhttp.NewEngine(nbhttp.Config{
 		Name: "httpd", Network: "tcp", Addrs: []string{s.addr.String()},
 		MaxLoad: conns, MaxHTTPBodySize: readLimit, ReadLimit: readLimit,
--- a/share/member/codec.go
+++ b/share/member/codec.go
@@ -10,7 +10,7 @@
 
 	"dandelionstile/share/clock"
 	"dandelionstile/share/crash"
-	"dandelionstile/share/news"
+	"dandelionstile/share/report"
 	"dandelionstile/share/wire"
 )
 
@@ -96,7 +96,7 @@
 		p.Crashes = append(p.Crashes, crash.Report{Fingerprint: c.GetFingerprint(), Leaf: c.GetLeaf(), Age: clock.Milli(c.GetAgeMs())})
 	}
 	for _, n := range g.GetLeaves() {
-		p.Leaves = append(p.Leaves, news.Leaf{
+		p.Leaves = append(p.Leaves, report.Leaf{
 			ID: n.GetLeaf(), ExtraLatency: clock.Milli(n.GetLateMs()), FailureRatio: min(1, float64(n.GetFailing())/thousand),
 		})
 	}
--- a/share/member/member.go
+++ b/share/member/member.go
@@ -20,8 +20,8 @@
 
 	"dandelionstile/share/clock"
 	"dandelionstile/share/crash"
-	"dandelionstile/share/news"
 	"dandelionstile/share/rank"
+	"dandelionstile/share/report"
 )
 
 // Host is one process of the system.
@@ -103,7 +103,7 @@
 	Checksum uint32
 	// Crashes and Leafs pass through: they are the caller's.
 	Crashes []crash.Report
-	Leaves  []news.Leaf
+	Leaves  []report.Leaf
 }
 
 // Change is a host that has come or gone, for the log.
--- a/share/member/member_test.go
+++ b/share/member/member_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"dandelionstile/share/clock"
-	"dandelionstile/share/news"
+	"dandelionstile/share/report"
 )
 
 // full adds the largest fleets, which take minutes and gigabytes.
@@ -277,7 +277,7 @@
 // Guards against reports of leaves that change on their way, and against nonsense
 // in them.
 func TestLeafReportsTravel(t *testing.T) {
-	sent := []news.Leaf{{ID: "i-1", ExtraLatency: 170, FailureRatio: 0.25}, {ID: "i-2"}, {ID: "i-3", ExtraLatency: -5, FailureRatio: 3}}
+	sent := []report.Leaf{{ID: "i-1", ExtraLatency: 170, FailureRatio: 0.25}, {ID: "i-2"}, {ID: "i-3", ExtraLatency: -5, FailureRatio: 3}}
 	body, err := Encode(Packet{Sender: Update{Host: Host{GossipAddress: "10.0.0.1:1"}}, Leaves: sent})
 	assert.NilError(t, err)
 	p, err := Decode(body)
--- a/share/node/codec.go
+++ b/share/node/codec.go
@@ -11,22 +11,22 @@
 	"google.golang.org/protobuf/proto"
 
 	"dandelionstile/share/clock"
-	"dandelionstile/share/poison"
-	"dandelionstile/share/spread"
+	"dandelionstile/share/deny"
+	"dandelionstile/share/syncer"
 	"dandelionstile/share/wire"
 )
 
 func itoa(n uint64) string { return strconv.FormatUint(n, 10) }
 
-func stampTo(key string, s spread.Stamp) *wire.Stamp {
+func stampTo(key string, s syncer.Stamp) *wire.Stamp {
 	return &wire.Stamp{Key: key, Version: s.Version, Digest: s.Digest}
 }
 
-func stampFrom(w *wire.Stamp) spread.Stamp {
-	return spread.Stamp{Version: w.GetVersion(), Digest: w.GetDigest()}
+func stampFrom(w *wire.Stamp) syncer.Stamp {
+	return syncer.Stamp{Version: w.GetVersion(), Digest: w.GetDigest()}
 }
 
-func stampsTo(stamps map[string]spread.Stamp) *wire.Envelope {
+func stampsTo(stamps map[string]syncer.Stamp) *wire.Envelope {
 	w := &wire.Stamps{}
 	for key, s := range stamps {
 		w.Stamps = append(w.Stamps, stampTo(key, s))
@@ -35,21 +35,21 @@
 	return &wire.Envelope{Body: &wire.Envelope_Stamps{Stamps: w}}
 }
 
-func stampsFrom(w *wire.Stamps) map[string]spread.Stamp {
-	stamps := make(map[string]spread.Stamp, len(w.GetStamps()))
+func stampsFrom(w *wire.Stamps) map[string]syncer.Stamp {
+	stamps := make(map[string]syncer.Stamp, len(w.GetStamps()))
 	for _, s := range w.GetStamps() {
 		stamps[s.GetKey()] = stampFrom(s)
 	}
 	return stamps
 }
 
-func pullTo(a spread.SendPull) *wire.Envelope {
+func pullTo(a syncer.SendPull) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_Pull{Pull: &wire.Pull{Have: stampTo(a.Key, a.Have)}}}
 }
 
 // deltaTo maps a delta. Its items are compressed: the operators' files are text
 // that repeats itself, and each change goes to every host.
-func deltaTo(d spread.Delta) *wire.Envelope {
+func deltaTo(d syncer.Delta) *wire.Envelope {
 	w := &wire.Delta{Key: d.Key, From: stampTo("", d.From), To: stampTo("", d.To), Removed: d.Removed}
 	items := &wire.Items{}
 	for _, it := range d.Changed {
@@ -87,8 +87,8 @@
 	return items, errors.Wrap(proto.Unmarshal(plain, items), "read delta")
 }
 
-func deltaFrom(w *wire.Delta) (spread.Delta, error) {
-	d := spread.Delta{
+func deltaFrom(w *wire.Delta) (syncer.Delta, error) {
+	d := syncer.Delta{
 		Key: w.GetKey(), From: stampFrom(w.GetFrom()), To: stampFrom(w.GetTo()), Removed: w.GetRemoved(),
 	}
 	items, err := unpack(w.GetPacked())
@@ -96,19 +96,19 @@
 		return d, err
 	}
 	for _, it := range items.GetItems() {
-		d.Changed = append(d.Changed, spread.Item{Name: it.GetName(), Body: it.GetBody()})
+		d.Changed = append(d.Changed, syncer.Item{Name: it.GetName(), Body: it.GetBody()})
 	}
 	return d, nil
 }
 
-func strikeTo(id uint64, s poison.Strike) *wire.Envelope {
+func strikeTo(id uint64, s deny.Strike) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_Strike{Strike: &wire.Strike{
 		Id: id, Fingerprint: s.Fingerprint, Count: uint32(s.Count), LeftMs: uint32(s.TimeLeft),
 	}}}
 }
 
-func strikeFrom(w *wire.Strike) poison.Strike {
-	return poison.Strike{
+func strikeFrom(w *wire.Strike) deny.Strike {
+	return deny.Strike{
 		Fingerprint: w.GetFingerprint(), Count: int(w.GetCount()), TimeLeft: clock.Milli(w.GetLeftMs()),
 	}
 }
--- a/share/node/node.go
+++ b/share/node/node.go
@@ -13,14 +13,14 @@
 	"github.com/cockroachdb/errors"
 	"github.com/rs/zerolog"
 
+	"dandelionstile/share/admin"
 	"dandelionstile/share/clock"
+	"dandelionstile/share/deny"
 	"dandelionstile/share/fetch"
-	"dandelionstile/share/invent"
 	"dandelionstile/share/mesh"
 	"dandelionstile/share/meter"
-	"dandelionstile/share/poison"
-	"dandelionstile/share/show"
-	"dandelionstile/share/spread"
+	"dandelionstile/share/syncer"
+	"dandelionstile/share/topo"
 	"dandelionstile/share/wire"
 )
 
@@ -66,7 +66,7 @@
 }
 
 // PlatformRead is the platform's answer.
-type PlatformRead struct{ Read spread.ReadResult }
+type PlatformRead struct{ Read syncer.ReadResult }
 
 // Tick lets the node run what is due.
 type Tick struct{}
@@ -82,7 +82,7 @@
 // loop.
 type Delegate interface {
 	// Configure puts a configuration and host list in force.
-	Configure(now clock.Milli, cfg *invent.Config, hosts []invent.Host)
+	Configure(now clock.Milli, cfg *topo.Config, hosts []topo.Host)
 	LinkUp(now clock.Milli, l *mesh.Link)
 	LinkDown(now clock.Milli, l *mesh.Link, err error)
 	// Frame takes what the node does not know.
@@ -91,12 +91,12 @@
 	// PeerLeaving says that a peer is on its way out, or no longer is.
 	PeerLeaving(now clock.Milli, l *mesh.Link, leaving bool)
 	// MergeStrike takes a crash report and tells whether it was news.
-	MergeStrike(now clock.Milli, s poison.Strike) bool
+	MergeStrike(now clock.Milli, s deny.Strike) bool
 	// VersionsConfirmed says that a peer has the same versions in force as this node,
 	// as of after the last call of Confirm.
 	VersionsConfirmed(now clock.Milli)
 	// LinkAddrs lists the addresses to keep links to.
-	LinkAddrs(cfg *invent.Config, hosts []invent.Host) []string
+	LinkAddrs(cfg *topo.Config, hosts []topo.Host) []string
 }
 
 // Node is one process's common part. Fields are set before Start.
@@ -112,17 +112,17 @@
 	// HTTP makes the calls to the platform.
 	HTTP *fetch.Engine
 
-	engine   spread.Engine
+	engine   syncer.Engine
 	mesh     mesh.Mesh
 	platform platform
 	peers    map[uint64]*peer
-	cfg      *invent.Config
-	parser   invent.Parser
-	checked  *invent.Config
-	byKey    map[string][]invent.Host // host lists as read
+	cfg      *topo.Config
+	parser   topo.Parser
+	checked  *topo.Config
+	byKey    map[string][]topo.Host // host lists as read
 	// checkedHosts are those of the list that was checked last.
-	checkedHosts []invent.Host
-	hosts        []invent.Host
+	checkedHosts []topo.Host
+	hosts        []topo.Host
 	dialed       map[string]bool
 	leaving      bool
 	sequence     uint64
@@ -130,7 +130,7 @@
 	strikes      map[uint64]*sharing
 	lastID       uint64
 	reads        sync.WaitGroup
-	refused      []show.Refused
+	refused      []admin.Refused
 }
 
 // peer is what is known of the process at the other end of a link.
@@ -166,10 +166,10 @@
 	}
 	n.peers = map[uint64]*peer{}
 	n.dialed = map[string]bool{}
-	n.byKey = map[string][]invent.Host{}
+	n.byKey = map[string][]topo.Host{}
 	n.strikes = map[uint64]*sharing{}
 	n.platform = platform{engine: n.HTTP, address: n.Settings.Platform.Address}
-	n.engine = spread.Engine{
+	n.engine = syncer.Engine{
 		WatchKeys: []string{KeyConfig, KeyHostsPrefix + n.Settings.Host.Domain},
 		Rank:      -1, Check: n.check,
 	}
@@ -306,7 +306,7 @@
 func (n *Node) Dial(addr string) { n.mesh.Dial(addr) }
 
 // Hosts returns the host list in force.
-func (n *Node) Hosts() []invent.Host { return n.hosts }
+func (n *Node) Hosts() []topo.Host { return n.hosts }
 
 // Ready tells whether a configuration and a host list are in force.
 func (n *Node) Ready() bool { return n.cfg != nil && len(n.hosts) > 0 }
--- a/share/node/platform.go
+++ b/share/node/platform.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 
 	"dandelionstile/share/fetch"
-	"dandelionstile/share/invent"
-	"dandelionstile/share/spread"
+	"dandelionstile/share/syncer"
+	"dandelionstile/share/topo"
 )
 
 // Keys of what spreads between hosts.
@@ -44,7 +44,7 @@
 }
 
 // read gets a whole set for a key.
-func (p *platform) read(r spread.ReadPlatform) (*spread.Set, error) {
+func (p *platform) read(r syncer.ReadPlatform) (*syncer.Set, error) {
 	if r.Key == KeyConfig {
 		return p.readConfig(r)
 	}
@@ -52,7 +52,7 @@
 	if err != nil || body == nil {
 		return nil, err
 	}
-	list, err := invent.ParseHosts(body)
+	list, err := topo.ParseHosts(body)
 	if err != nil {
 		return nil, errors.Mark(err, ErrPlatform)
 	}
@@ -61,22 +61,22 @@
 
 // NewHostSet makes a set of a host list, one item a host, so that a change of one
 // host travels as one item.
-func NewHostSet(list invent.HostList) *spread.Set {
-	items := make([]spread.Item, len(list.Hosts))
+func NewHostSet(list topo.HostList) *syncer.Set {
+	items := make([]syncer.Item, len(list.Hosts))
 	for i, h := range list.Hosts {
-		items[i] = spread.Item{
+		items[i] = syncer.Item{
 			Name: h.Name,
-			Body: invent.HostList{Version: 1, Hosts: []invent.Host{h}}.Encode(),
+			Body: topo.HostList{Version: 1, Hosts: []topo.Host{h}}.Encode(),
 		}
 	}
-	return spread.NewSet(list.Version, items)
+	return syncer.NewSet(list.Version, items)
 }
 
 // ParseHostSet reads a set back into a host list.
-func ParseHostSet(s *spread.Set) ([]invent.Host, error) {
-	hosts := make([]invent.Host, 0, len(s.Items))
+func ParseHostSet(s *syncer.Set) ([]topo.Host, error) {
+	hosts := make([]topo.Host, 0, len(s.Items))
 	for _, it := range s.Sorted() {
-		list, err := invent.ParseHosts(it.Body)
+		list, err := topo.ParseHosts(it.Body)
 		if err != nil {
 			return nil, err
 		}
@@ -85,44 +85,44 @@
 	return hosts, nil
 }
 
-func (p *platform) readConfig(r spread.ReadPlatform) (*spread.Set, error) {
+func (p *platform) readConfig(r syncer.ReadPlatform) (*syncer.Set, error) {
 	body, err := p.get(manifestItem, r)
 	if err != nil || body == nil {
 		return nil, err
 	}
-	m, err := invent.ParseManifest(body)
+	m, err := topo.ParseManifest(body)
 	if err != nil {
 		return nil, errors.Mark(err, ErrPlatform)
 	}
 	if r.After != 0 && m.Version < r.After {
 		return nil, nil // stale; its parts are not worth reading
 	}
-	parts := make([]invent.Part, 0, len(m.Parts))
+	parts := make([]topo.Part, 0, len(m.Parts))
 	for _, ref := range m.Parts {
 		body, err := p.part(ref.Hash)
 		if err != nil {
 			return nil, err
 		}
-		parts = append(parts, invent.Part{Name: ref.Name, Body: body})
+		parts = append(parts, topo.Part{Name: ref.Name, Body: body})
 	}
 	p.keep(parts)
 	return NewConfigSet(m.Version, parts), nil
 }
 
 // NewConfigSet makes a set of the operators' files.
-func NewConfigSet(version uint64, parts []invent.Part) *spread.Set {
-	items := make([]spread.Item, len(parts))
+func NewConfigSet(version uint64, parts []topo.Part) *syncer.Set {
+	items := make([]syncer.Item, len(parts))
 	for i, part := range parts {
-		items[i] = spread.Item(part)
+		items[i] = syncer.Item(part)
 	}
-	return spread.NewSet(version, items)
+	return syncer.NewSet(version, items)
 }
 
 // configParts reads a set back into the operators' files.
-func configParts(s *spread.Set) []invent.Part {
-	parts := make([]invent.Part, 0, len(s.Items))
+func configParts(s *syncer.Set) []topo.Part {
+	parts := make([]topo.Part, 0, len(s.Items))
 	for _, it := range s.Sorted() {
-		parts = append(parts, invent.Part(it))
+		parts = append(parts, topo.Part(it))
 	}
 	return parts
 }
@@ -134,18 +134,18 @@
 	if ok {
 		return body, nil
 	}
-	body, err := p.get("part/"+hash, spread.ReadPlatform{})
+	body, err := p.get("part/"+hash, syncer.ReadPlatform{})
 	if err != nil {
 		return nil, err
 	}
-	if got := (invent.Part{Body: body}).Hash(); got != hash {
+	if got := (topo.Part{Body: body}).Hash(); got != hash {
 		return nil, errors.Mark(errors.Newf("part %s arrived as %s", hash, got), ErrPlatform)
 	}
 	return body, nil
 }
 
 // keep remembers the parts of one configuration and drops all others.
-func (p *platform) keep(parts []invent.Part) {
+func (p *platform) keep(parts []topo.Part) {
 	byHash := make(map[string][]byte, len(parts))
 	for _, part := range parts {
 		byHash[part.Hash()] = part.Body
@@ -156,7 +156,7 @@
 }
 
 // get reads one value. A watch that ends without news returns nil.
-func (p *platform) get(key string, r spread.ReadPlatform) ([]byte, error) {
+func (p *platform) get(key string, r syncer.ReadPlatform) ([]byte, error) {
 	path := "/v1/values/" + url.PathEscape(key)
 	timeout := readTimeout
 	if r.Watch {
--- a/share/node/strikes.go
+++ b/share/node/strikes.go
@@ -2,7 +2,7 @@
 
 import (
 	"dandelionstile/share/clock"
-	"dandelionstile/share/poison"
+	"dandelionstile/share/deny"
 	"dandelionstile/share/wire"
 )
 
@@ -13,7 +13,7 @@
 }
 
 // ShareStrike tells all peers of a strike and calls done once they have it.
-func (n *Node) ShareStrike(now clock.Milli, s poison.Strike, done func(now clock.Milli)) {
+func (n *Node) ShareStrike(now clock.Milli, s deny.Strike, done func(now clock.Milli)) {
 	n.lastID++
 	sh := &sharing{waiting: map[uint64]bool{}, done: done}
 	for _, p := range n.sorted() {
--- a/share/node/versions.go
+++ b/share/node/versions.go
@@ -1,15 +1,15 @@
 package node
 
 import (
+	"dandelionstile/share/assign"
 	"dandelionstile/share/clock"
-	"dandelionstile/share/invent"
-	"dandelionstile/share/place"
-	"dandelionstile/share/spread"
+	"dandelionstile/share/syncer"
+	"dandelionstile/share/topo"
 	"dandelionstile/share/wire"
 )
 
 // check decides whether a version is valid. It looks at the set alone.
-func (n *Node) check(key string, s *spread.Set) error {
+func (n *Node) check(key string, s *syncer.Set) error {
 	if key == KeyConfig {
 		var err error
 		n.checked, err = n.parser.Parse(s.Version, configParts(s))
@@ -20,25 +20,25 @@
 	return err
 }
 
-func (n *Node) act(now clock.Milli, actions []spread.Action) {
+func (n *Node) act(now clock.Milli, actions []syncer.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case spread.SendPull:
+		case syncer.SendPull:
 			n.sendTo(a.Peer, pullTo(a))
-		case spread.SendDelta:
+		case syncer.SendDelta:
 			n.sendTo(a.Peer, deltaTo(a.Delta))
-		case spread.SendStamps:
+		case syncer.SendStamps:
 			n.sendTo(a.Peer, stampsTo(a.Stamps))
-		case spread.ReadPlatform:
+		case syncer.ReadPlatform:
 			n.reads.Go(func() {
 				set, err := n.platform.read(a)
-				n.Post(PlatformRead{spread.ReadResult{Key: a.Key, Set: set, Err: err}})
+				n.Post(PlatformRead{syncer.ReadResult{Key: a.Key, Set: set, Err: err}})
 			})
-		case spread.Refuse:
+		case syncer.Refuse:
 			n.noteRefused(a)
 			n.Log.Error().Err(a.Err).Str("key", a.Key).Uint64("version", a.Stamp.Version).
 				Msg("version is invalid and was refused; the former stays in force")
-		case spread.Adopt:
+		case syncer.Adopt:
 			n.adopt(now, a)
 		}
 	}
@@ -52,7 +52,7 @@
 	}
 }
 
-func (n *Node) adopt(now clock.Milli, a spread.Adopt) {
+func (n *Node) adopt(now clock.Milli, a syncer.Adopt) {
 	n.Log.Info().Str("key", a.Key).Uint64("version", a.Stamp.Version).Msg("version in force")
 	if a.Key == KeyConfig {
 		n.cfg = n.checked // the check before this adoption read it
@@ -71,7 +71,7 @@
 }
 
 // wanted lists the host lists that a configuration calls for.
-func wanted(cfg *invent.Config) []string {
+func wanted(cfg *topo.Config) []string {
 	keys := make([]string, len(cfg.Inventory.Domains))
 	for i, d := range cfg.Inventory.Domains {
 		keys[i] = KeyHostsPrefix + d.Name
@@ -80,8 +80,8 @@
 }
 
 // allHosts joins the host lists of all failure domains.
-func (n *Node) allHosts() []invent.Host {
-	var all []invent.Host
+func (n *Node) allHosts() []topo.Host {
+	var all []topo.Host
 	for _, key := range n.engine.HeldKeys() {
 		all = append(all, n.byKey[key]...)
 	}
@@ -94,7 +94,7 @@
 	if n.Program != Aggregator {
 		return -1
 	}
-	for i, h := range place.Owners(n.hosts, n.Settings.Host.Domain, "watch", len(n.hosts)) {
+	for i, h := range assign.Owners(n.hosts, n.Settings.Host.Domain, "watch", len(n.hosts)) {
 		if h.Name == n.Settings.Host.Name {
 			return i
 		}
@@ -117,7 +117,7 @@
 	if n.leaving && n.Program == Aggregator {
 		gone[n.Settings.Host.Name] = true
 	}
-	hosts := append([]invent.Host(nil), n.hosts...)
+	hosts := append([]topo.Host(nil), n.hosts...)
 	for i := range hosts {
 		hosts[i].Leaving = hosts[i].Leaving || gone[hosts[i].Name]
 	}
@@ -125,7 +125,7 @@
 	n.redial(hosts)
 }
 
-func (n *Node) redial(hosts []invent.Host) {
+func (n *Node) redial(hosts []topo.Host) {
 	want := map[string]bool{}
 	for _, addr := range n.Delegate.LinkAddrs(n.cfg, hosts) {
 		if addr != n.Settings.Listen.Links {
--- a/share/tier/callers.go
+++ b/share/proxy/callers.go
@@ -1,4 +1,4 @@
-package tier
+package proxy
 
 import (
 	"io"
@@ -9,7 +9,7 @@
 
 	"dandelionstile/share/call"
 	"dandelionstile/share/clock"
-	"dandelionstile/share/hop"
+	"dandelionstile/share/httpc"
 	"dandelionstile/share/mirror"
 	"dandelionstile/share/router"
 	"dandelionstile/share/topk"
@@ -75,22 +75,22 @@
 		t.Mirror.Serve(t.Clock, t.stop, w, r)
 		return
 	}
-	target, err := strconv.ParseInt(r.Header.Get(hop.HeaderForwardTarget), 10, 64)
+	target, err := strconv.ParseInt(r.Header.Get(httpc.HeaderForwardTarget), 10, 64)
 	if err != nil {
-		t.text(w, http.StatusBadRequest, "no proper "+hop.HeaderForwardTarget)
+		t.text(w, http.StatusBadRequest, "no proper "+httpc.HeaderForwardTarget)
 		return
 	}
-	version, err := strconv.ParseUint(r.Header.Get(hop.HeaderForwardVersion), 10, 64)
+	version, err := strconv.ParseUint(r.Header.Get(httpc.HeaderForwardVersion), 10, 64)
 	if err != nil {
-		t.text(w, http.StatusBadRequest, "no proper "+hop.HeaderForwardVersion)
+		t.text(w, http.StatusBadRequest, "no proper "+httpc.HeaderForwardVersion)
 		return
 	}
-	shards := strings.Split(r.Header.Get(hop.HeaderForwardShards), ",")
-	late := r.Header.Get(hop.HeaderForwardLate) != ""
-	r.Header.Del(hop.HeaderForwardLate)
-	r.Header.Del(hop.HeaderForwardShards)
-	r.Header.Del(hop.HeaderForwardTarget)
-	r.Header.Del(hop.HeaderForwardVersion)
+	shards := strings.Split(r.Header.Get(httpc.HeaderForwardShards), ",")
+	late := r.Header.Get(httpc.HeaderForwardLate) != ""
+	r.Header.Del(httpc.HeaderForwardLate)
+	r.Header.Del(httpc.HeaderForwardShards)
+	r.Header.Del(httpc.HeaderForwardTarget)
+	r.Header.Del(httpc.HeaderForwardVersion)
 	t.take(w, r, router.Arrive{
 		Wait: t.wait(r), Remote: r.RemoteAddr, Forwarded: true, Shards: shards, Target: clock.Milli(target), Version: version,
 		Late: late,
@@ -142,9 +142,9 @@
 // relayHeaders tell the other host how long the work took, and of a refusal
 // that the request has not run.
 func (t *Server) relayHeaders(w http.ResponseWriter, a router.Answer, worked clock.Milli) {
-	w.Header()[hop.HeaderForwardProcessingTime] = []string{strconv.FormatInt(int64(worked), 10)}
+	w.Header()[httpc.HeaderForwardProcessingTime] = []string{strconv.FormatInt(int64(worked), 10)}
 	if a.Merged != nil && len(a.Merged.Missing) > 0 {
-		w.Header()[hop.HeaderForwardMissing] = []string{strings.Join(a.Merged.Missing, ",")}
+		w.Header()[httpc.HeaderForwardMissing] = []string{strings.Join(a.Merged.Missing, ",")}
 	}
 	switch a.Refusal {
 	case router.NoConfig, router.NoRoute, router.NoLeaf, router.NoRoom, router.Harmful, router.Stale:
--- a/share/tier/news_test.go
+++ b/share/proxy/news_test.go
@@ -1,4 +1,4 @@
-package tier
+package proxy
 
 import (
 	"net"
@@ -10,7 +10,7 @@
 	"dandelionstile/share/clock"
 	"dandelionstile/share/crash"
 	"dandelionstile/share/member"
-	"dandelionstile/share/news"
+	"dandelionstile/share/report"
 )
 
 // A request has brought down a leaf, and in the same moments many leafs turn slow.
@@ -26,7 +26,7 @@
 	p.list.Receive(p.tier.Clock.Now(), member.Packet{Sender: member.Update{Host: member.Host{GossipAddress: "127.81.0.5:9", Domain: "d"}}})
 	p.tellCrashes([]crash.Report{{Fingerprint: 1, Leaf: "i-1"}})
 	for range 2 * crashTimes {
-		p.leafs = map[string]news.Leaf{"i-2": {ID: "i-2", ExtraLatency: 100}}
+		p.leafs = map[string]report.Leaf{"i-2": {ID: "i-2", ExtraLatency: 100}}
 		p.sendLeafs()
 	}
 	assert.Equal(t, len(p.crashes), 1)
--- a/share/tier/notes.go
+++ b/share/proxy/notes.go
@@ -1,4 +1,4 @@
-package tier
+package proxy
 
 import (
 	"strconv"
--- a/share/tier/peers.go
+++ b/share/proxy/peers.go
@@ -1,4 +1,4 @@
-package tier
+package proxy
 
 import (
 	"net"
@@ -10,7 +10,7 @@
 
 	"dandelionstile/share/clock"
 	"dandelionstile/share/member"
-	"dandelionstile/share/news"
+	"dandelionstile/share/report"
 	"dandelionstile/share/router"
 )
 
@@ -36,7 +36,7 @@
 	// crashes are passed on with each packet of the next rounds.
 	crashes []toldCrash
 	// leafs waits to be told to the hosts of the own failure domain.
-	leafs map[string]news.Leaf
+	leafs map[string]report.Leaf
 	flush *time.Timer
 }
 
--- a/share/tier/peers_test.go
+++ b/share/proxy/peers_test.go
@@ -1,4 +1,4 @@
-package tier
+package proxy
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/poll"
 
 	"dandelionstile/share/clock"
-	"dandelionstile/share/hop"
-	"dandelionstile/share/news"
+	"dandelionstile/share/httpc"
+	"dandelionstile/share/report"
 	"dandelionstile/share/roster"
 	"dandelionstile/share/route"
 	"dandelionstile/share/router"
@@ -60,7 +60,7 @@
 	for i := range tiers {
 		tiers[i] = &Server{
 			Settings: Settings{
-				CallerAddress: "127.0.0.1:0", ForwardAddress: strings.Split(gossip[i], ":")[0] + ":0", GossipAddress: gossip[i], Seeds: gossip, Dialect: hop.DefaultDialect,
+				CallerAddress: "127.0.0.1:0", ForwardAddress: strings.Split(gossip[i], ":")[0] + ":0", GossipAddress: gossip[i], Seeds: gossip, Dialect: httpc.DefaultDialect,
 				Self: router.HostInfo{Domain: domains[i], Region: "r"}, Regions: map[string]string{"d": "r", "e": "r"},
 			},
 			Log: zerolog.New(&logs[i]), Clock: clock.Wall{},
@@ -80,7 +80,7 @@
 	for i := range tiers {
 		poll.WaitOn(t, reached(i, `"got":2`), poll.WithTimeout(10*time.Second))
 	}
-	tiers[0].peers.tellLeafs([]news.Leaf{{ID: "i-1", ExtraLatency: 170}})
+	tiers[0].peers.tellLeafs([]report.Leaf{{ID: "i-1", ExtraLatency: 170}})
 	poll.WaitOn(t, reached(1, "leaf-heard"), poll.WithTimeout(5*time.Second))
 	assert.Equal(t, logs[2].with("leaf-heard"), 0)
 }
--- a/share/tier/reports.go
+++ b/share/proxy/reports.go
@@ -1,4 +1,4 @@
-package tier
+package proxy
 
 import (
 	"maps"
@@ -7,7 +7,7 @@
 
 	"dandelionstile/share/clock"
 	"dandelionstile/share/crash"
-	"dandelionstile/share/news"
+	"dandelionstile/share/report"
 )
 
 // toldCrash is a crash and how often it is still to be passed on.
@@ -54,14 +54,14 @@
 )
 
 // tellLeafs passes news of leafs on to the hosts of the own failure domain.
-func (p *peers) tellLeafs(list []news.Leaf) {
+func (p *peers) tellLeafs(list []report.Leaf) {
 	if p.conn == nil {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.leafs == nil {
-		p.leafs = map[string]news.Leaf{}
+		p.leafs = map[string]report.Leaf{}
 	}
 	for _, n := range list {
 		if len(p.leafs) < newsAtOnce {
--- a/share/tier/tier.go
+++ b/share/proxy/tier.go
@@ -1,7 +1,7 @@
 // Package tier runs the routes of one host: it takes callers' requests, lets
 // the router decide on them in one control loop, and carries them to leafs and
 // answers back. What the wire calls things is told to it by a dialect.
-package tier
+package proxy
 
 import (
 	"net/http"
@@ -13,7 +13,7 @@
 	"github.com/rs/zerolog"
 
 	"dandelionstile/share/clock"
-	"dandelionstile/share/hop"
+	"dandelionstile/share/httpc"
 	"dandelionstile/share/httpd"
 	"dandelionstile/share/meter"
 	"dandelionstile/share/mirror"
@@ -35,7 +35,7 @@
 	// Regions maps failure domains to regions.
 	Regions map[string]string
 	Policy  router.Policy
-	Dialect hop.Dialect
+	Dialect httpc.Dialect
 }
 
 // Server is a running host. The exported fields are set before Start.
@@ -53,7 +53,7 @@
 	OnPeers func([]router.Peer)
 
 	engine   router.Engine
-	pool     hop.Pool
+	pool     httpc.Pool
 	server   httpd.Server
 	forwards httpd.Server
 	peers    peers
@@ -80,7 +80,7 @@
 	t.events = make(chan router.Event, queueLength)
 	t.stop = make(chan struct{})
 	t.stopped = make(chan struct{})
-	t.pool = hop.Pool{Dialect: t.Settings.Dialect, Source: t.Settings.SourceIP, Clock: t.Clock, OnDone: t.report, OnProbed: t.probed, OnConnRefused: t.absent}
+	t.pool = httpc.Pool{Dialect: t.Settings.Dialect, Source: t.Settings.SourceIP, Clock: t.Clock, OnDone: t.report, OnProbed: t.probed, OnConnRefused: t.absent}
 	t.server = httpd.Server{
 		Address: t.Settings.CallerAddress, Handler: t.around(t.serve),
 		OnRejected: t.refusedUnread,
--- a/share/tier/tier_test.go
+++ b/share/proxy/tier_test.go
@@ -1,4 +1,4 @@
-package tier
+package proxy
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 	"gotest.tools/v3/poll"
 
 	"dandelionstile/share/clock"
-	"dandelionstile/share/hop"
+	"dandelionstile/share/httpc"
 	"dandelionstile/share/httpd"
 	"dandelionstile/share/roster"
 	"dandelionstile/share/route"
@@ -36,7 +36,7 @@
 func newRig(t *testing.T) *rig {
 	t.Helper()
 	r := &rig{t: t, tier: &Server{
-		Settings: Settings{CallerAddress: "127.0.0.1:0", Dialect: hop.DefaultDialect, Self: router.HostInfo{Domain: "d", Region: "r"}, Regions: map[string]string{"d": "r"}},
+		Settings: Settings{CallerAddress: "127.0.0.1:0", Dialect: httpc.DefaultDialect, Self: router.HostInfo{Domain: "d", Region: "r"}, Regions: map[string]string{"d": "r"}},
 		Log:      zerolog.Nop(), Clock: clock.Wall{},
 	}}
 	assert.NilError(t, r.tier.Start())
@@ -261,7 +261,7 @@
 	assert.NilError(t, r.tier.forwards.Start())
 	c := r.dialTo(r.tier.forwards.Addr())
 	c.say("GET /all/x HTTP/1.1\nHost: h\nRequest-Id: q1\nDeadline-Ms: 8000\n" +
-		hop.HeaderForwardTarget + ": 7000\n" + hop.HeaderForwardVersion + ": 1\n" + hop.HeaderForwardShards + ": s0\n\n")
+		httpc.HeaderForwardTarget + ": 7000\n" + httpc.HeaderForwardVersion + ": 1\n" + httpc.HeaderForwardShards + ": s0\n\n")
 	<-began
 	assert.NilError(t, c.conn.Close())
 	stoppedSoon(t, stopped)
@@ -331,7 +331,7 @@
 		asked.Add(1)
 		body, err := io.ReadAll(q.Body)
 		assert.Check(t, err)
-		w.Header().Set(hop.DefaultDialect.Stamp, "x")
+		w.Header().Set(httpc.DefaultDialect.Stamp, "x")
 		_, _ = fmt.Fprint(w, len(body)) // the test reads the answer
 	})
 	r.openWithin(route.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 1000, HeaderTimeout: 300, IdleTimeout: 5000})
--- a/share/query/query.go
+++ b/share/query/query.go
@@ -6,7 +6,7 @@
 	"sort"
 
 	"dandelionstile/share/clock"
-	"dandelionstile/share/invent"
+	"dandelionstile/share/topo"
 )
 
 // Kind is the final word on a call or an update.
@@ -131,7 +131,7 @@
 	Queued int
 	Limit  int
 	// Holds are the snapshots that the leaf has.
-	Holds []invent.SnapshotID
+	Holds []topo.SnapshotID
 	// Closed: the leaf takes no new work for now.
 	Closed bool
 	// CallTime is how long its recent calls took, in ms; 0 when not known.
@@ -174,7 +174,7 @@
 // Answer is what a caller gets for a query. With a Reason it is a refusal, and
 // RetryAfter says when to come back.
 type Answer struct {
-	Pin        invent.SnapshotID
+	Pin        topo.SnapshotID
 	Rows       []Row
 	Coverage   Coverage
 	Calls      int
--- a/share/news/news.go
+++ b/share/report/news.go
@@ -1,6 +1,6 @@
 // Package news holds what hosts of one failure domain tell each other of leafs,
 // and decides what is worth telling.
-package news
+package report
 
 import (
 	"math"
--- a/share/news/news_test.go
+++ b/share/report/news_test.go
@@ -1,4 +1,4 @@
-package news
+package report
 
 import (
 	"testing"
--- a/share/router/crash.go
+++ b/share/router/crash.go
@@ -4,7 +4,7 @@
 	"dandelionstile/share/call"
 	"dandelionstile/share/clock"
 	"dandelionstile/share/crash"
-	"dandelionstile/share/poison"
+	"dandelionstile/share/deny"
 )
 
 // CrashReports are what other hosts have seen.
@@ -21,7 +21,7 @@
 const connCheckPause clock.Milli = 500
 
 func fingerprint(r *call.Request) uint64 {
-	return poison.Fingerprint(r.Method+" "+r.Host+r.Target, string(r.Body))
+	return deny.Fingerprint(r.Method+" "+r.Host+r.Target, string(r.Body))
 }
 
 // heardOfCrashes takes what other hosts have seen, and passes on what is new here.
--- a/share/router/engine.go
+++ b/share/router/engine.go
@@ -8,10 +8,10 @@
 	"dandelionstile/share/clock"
 	"dandelionstile/share/crash"
 	"dandelionstile/share/limit"
-	"dandelionstile/share/pace"
 	"dandelionstile/share/rank"
 	"dandelionstile/share/roster"
 	"dandelionstile/share/route"
+	"dandelionstile/share/warmup"
 )
 
 // HostInfo is where this host stands, its name, where it takes forwarded requests,
@@ -327,7 +327,7 @@
 			e.remove(f)
 			e.do(Note{Kind: NoteLeafRemoved, Leaf: f.ID, Service: f.Service, Cause: "another has its name"})
 		}
-		f = &leaf{pace: pace.Limiter{Phase: rank.Fraction(e.Self.Host, l.ID)}}
+		f = &leaf{pace: warmup.Limiter{Phase: rank.Fraction(e.Self.Host, l.ID)}}
 		e.leafs[l.ID] = f
 		s := e.service(l.Service)
 		s.leafs = append(s.leafs, f)
--- a/share/router/leaf.go
+++ b/share/router/leaf.go
@@ -4,9 +4,9 @@
 	"math"
 
 	"dandelionstile/share/clock"
-	"dandelionstile/share/news"
-	"dandelionstile/share/pace"
+	"dandelionstile/share/report"
 	"dandelionstile/share/roster"
+	"dandelionstile/share/warmup"
 )
 
 // attempt is one call to a leaf.
@@ -45,11 +45,11 @@
 	relapses    int
 	recoveredAt clock.Milli
 	coldUntil   clock.Milli
-	pace        pace.Limiter
+	pace        warmup.Limiter
 	removed     bool
 	// hosts is how many hosts share the leaf, if all were as this one.
 	hosts float64
-	told  news.LastReport
+	told  report.LastReport
 	// calledAt is when a call from here ended last.
 	calledAt clock.Milli
 }
--- a/share/router/news.go
+++ b/share/router/news.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"dandelionstile/share/clock"
-	"dandelionstile/share/news"
+	"dandelionstile/share/report"
 )
 
 // Hosts of one failure domain tell each other of leafs whose calls fare worse than
@@ -15,10 +15,10 @@
 // other: they have the same way to the leaf, and are cut off from it together.
 
 // LeafReports is what another host has told.
-type LeafReports struct{ List []news.Leaf }
+type LeafReports struct{ List []report.Leaf }
 
 // SendLeafReports passes news on to the hosts of the own failure domain.
-type SendLeafReports struct{ List []news.Leaf }
+type SendLeafReports struct{ List []report.Leaf }
 
 func (LeafReports) event()      {}
 func (SendLeafReports) action() {}
@@ -35,7 +35,7 @@
 )
 
 // extraCost is a leaf's expected cost beyond the usual, in ms.
-func extraCost(n news.Leaf) float64 { return float64(n.ExtraLatency) + n.FailureRatio*failureCost }
+func extraCost(n report.Leaf) float64 { return float64(n.ExtraLatency) + n.FailureRatio*failureCost }
 
 // tell passes on what a call has shown of a leaf, if it is news.
 func (e *Engine) tell(now clock.Milli, f *leaf) {
@@ -44,18 +44,18 @@
 	}
 	usual := e.usual(f)
 	late := max(0, f.expected(now, usual)-usual)
-	n := news.Leaf{ID: f.ID, ExtraLatency: clock.Milli(late), FailureRatio: f.failing(now)}
+	n := report.Leaf{ID: f.ID, ExtraLatency: clock.Milli(late), FailureRatio: f.failing(now)}
 	cost := extraCost(n)
 	if !f.told.ShouldSend(now, cost) {
 		return
 	}
 	f.told.Record(now, cost)
-	e.do(SendLeafReports{List: []news.Leaf{n}})
+	e.do(SendLeafReports{List: []report.Leaf{n}})
 }
 
 // heardOfLeafs takes over what another host has told, where this host knows
 // nothing newer itself.
-func (e *Engine) heardOfLeafs(now clock.Milli, list []news.Leaf) {
+func (e *Engine) heardOfLeafs(now clock.Milli, list []report.Leaf) {
 	for _, n := range list {
 		f := e.leafs[n.ID]
 		if f == nil {
--- a/share/router/news_test.go
+++ b/share/router/news_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 
 	"dandelionstile/share/clock"
-	"dandelionstile/share/news"
+	"dandelionstile/share/report"
 )
 
 // neighbor is another host of the own failure domain.
@@ -26,12 +26,12 @@
 // the leaf is well.
 func TestSlowLeafIsAvoidedOnAnotherHostsWord(t *testing.T) {
 	r := newsRig(t)
-	r.handle(LeafReports{List: []news.Leaf{{ID: "s0-near", ExtraLatency: 300}}})
+	r.handle(LeafReports{List: []report.Leaf{{ID: "s0-near", ExtraLatency: 300}}})
 	assert.Assert(t, r.noted(NoteLeafReport))
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, "s0-far")
 	r.good(r.last())
-	r.handle(LeafReports{List: []news.Leaf{{ID: "s0-near"}}})
+	r.handle(LeafReports{List: []report.Leaf{{ID: "s0-near"}}})
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, "s0-near")
 }
@@ -39,7 +39,7 @@
 // Another host's calls to a leaf fail; the same as for slow ones holds.
 func TestFailingLeafIsAvoidedOnAnotherHostsWord(t *testing.T) {
 	r := newsRig(t)
-	r.handle(LeafReports{List: []news.Leaf{{ID: "s0-near", FailureRatio: 0.6}}})
+	r.handle(LeafReports{List: []report.Leaf{{ID: "s0-near", FailureRatio: 0.6}}})
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, "s0-far")
 }
@@ -51,13 +51,13 @@
 	r.arrive("/all/x", 1500)
 	r.pass(10)
 	r.good(r.last())
-	r.handle(LeafReports{List: []news.Leaf{{ID: "s0-near", ExtraLatency: 300}}})
+	r.handle(LeafReports{List: []report.Leaf{{ID: "s0-near", ExtraLatency: 300}}})
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, "s0-near")
 }
 
 // call has a query answered after a time and returns what was told of its leaf.
-func (r *rig) call(took clock.Milli) []news.Leaf {
+func (r *rig) call(took clock.Milli) []report.Leaf {
 	before := len(r.leafNews)
 	r.arrive("/all/x", 1500)
 	s := r.last()
--- a/share/router/router_test.go
+++ b/share/router/router_test.go
@@ -9,7 +9,7 @@
 	"dandelionstile/share/call"
 	"dandelionstile/share/clock"
 	"dandelionstile/share/crash"
-	"dandelionstile/share/news"
+	"dandelionstile/share/report"
 	"dandelionstile/share/roster"
 	"dandelionstile/share/route"
 )
@@ -28,7 +28,7 @@
 	notes    []Note
 	told     []crash.Report
 	// leafNews is what was told to the other hosts of the domain.
-	leafNews []news.Leaf
+	leafNews []report.Leaf
 }
 
 const (
--- a/share/router/world_test.go
+++ b/share/router/world_test.go
@@ -12,8 +12,8 @@
 
 	"dandelionstile/share/call"
 	"dandelionstile/share/clock"
-	"dandelionstile/share/news"
 	"dandelionstile/share/rank"
+	"dandelionstile/share/report"
 	"dandelionstile/share/roster"
 	"dandelionstile/share/route"
 )
@@ -215,7 +215,7 @@
 const simNews clock.Milli = 16
 
 // tell carries news of leafs to the other hosts of the failure domain.
-func (h *simHost) tell(list []news.Leaf) {
+func (h *simHost) tell(list []report.Leaf) {
 	for _, o := range h.w.hosts {
 		if !h.w.silent && o != h && o.place.Domain == h.place.Domain {
 			h.w.at(h.w.now+simNews, func() { o.handle(LeafReports{List: list}) })
--- a/share/gate/flow.go
+++ b/share/sched/flow.go
@@ -1,8 +1,8 @@
-package gate
+package sched
 
 import (
 	"dandelionstile/share/clock"
-	"dandelionstile/share/poison"
+	"dandelionstile/share/deny"
 	"dandelionstile/share/query"
 )
 
@@ -32,8 +32,8 @@
 }
 
 // proof names a query on its snapshot.
-func (c Call) proof() poison.ProvenKey {
-	return poison.ProvenKey{Fingerprint: c.Fingerprint, Layout: c.Pin.Layout, Version: c.Pin.Version}
+func (c Call) proof() deny.ProvenKey {
+	return deny.ProvenKey{Fingerprint: c.Fingerprint, Layout: c.Pin.Layout, Version: c.Pin.Version}
 }
 
 func refuse(k Key, why query.Reason, wait clock.Milli) Reply {
--- a/share/gate/gate.go
+++ b/share/sched/gate.go
@@ -2,16 +2,16 @@
 // when. It holds each leaf's slots and connections, warms cold leafs up, stops
 // work to leafs that drain or fail, and queues briefly. It is a state machine
 // without I/O: events go in with the time, actions come out.
-package gate
+package sched
 
 import (
 	"sort"
 
+	"dandelionstile/share/assign"
 	"dandelionstile/share/clock"
-	"dandelionstile/share/invent"
-	"dandelionstile/share/place"
-	"dandelionstile/share/poison"
+	"dandelionstile/share/deny"
 	"dandelionstile/share/query"
+	"dandelionstile/share/topo"
 )
 
 // Key names a call within one aggregator: the link it came on, and its id
@@ -37,7 +37,7 @@
 	// Again: a server died under this canary's predecessor of the same query.
 	SecondCanary bool
 	// Pin is the snapshot that a query runs on.
-	Pin invent.SnapshotID
+	Pin topo.SnapshotID
 	// Update is set for changes; they are run whatever was proven.
 	Update bool
 	// Request is what the program sends; the engine does not look at it.
@@ -109,7 +109,7 @@
 }
 
 // ShareStrike says that a request brought down a server.
-type ShareStrike struct{ Strike poison.Strike }
+type ShareStrike struct{ Strike deny.Strike }
 
 // LeafEvent reports a change of a leaf's state for the log.
 type LeafEvent struct {
@@ -183,12 +183,12 @@
 	leafs    map[string]*leaf
 	order    []*leaf // by name
 	calls    map[Key]*call
-	strikes  poison.Table
-	proven   poison.ProvenSet
+	strikes  deny.Table
+	proven   deny.ProvenSet
 	canaries map[uint64]Key
 	leases   leases
 	means    map[string]float64 // usual time by service
-	owners   place.OwnerCache
+	owners   assign.OwnerCache
 	lastConn ConnID
 	lastTick clock.Milli
 	born     clock.Milli
@@ -198,7 +198,7 @@
 
 // leaf is everything known of one leaf.
 type leaf struct {
-	invent.Leaf
+	topo.Leaf
 	server  string
 	service string
 	address string
@@ -211,7 +211,7 @@
 	busy    int
 	lost    []ghost
 	queue   []*call
-	holds   []invent.SnapshotID
+	holds   []topo.SnapshotID
 	ramp    ramp
 	health  health
 	feeding query.Feedback // as last published
@@ -244,7 +244,7 @@
 
 // Configure puts a configuration and a host list in force. Calls that wait for
 // a leaf that is now out are answered at once.
-func (e *Engine) Configure(now clock.Milli, cfg *invent.Config, hosts []invent.Host) []Action {
+func (e *Engine) Configure(now clock.Milli, cfg *topo.Config, hosts []topo.Host) []Action {
 	e.init(now)
 	var out []Action
 	e.owners.SetHosts(hosts)
@@ -317,7 +317,7 @@
 
 // serves tells whether calls are still at a server's leafs. Such a server is
 // kept until they are done, though this host no longer owns it.
-func (e *Engine) serves(s invent.Server) bool {
+func (e *Engine) serves(s topo.Server) bool {
 	for _, l := range s.Leaves {
 		if f := e.leafs[l.Name]; f != nil && f.busy > 0 {
 			return true
@@ -326,7 +326,7 @@
 	return false
 }
 
-func rankOf(owners []invent.Host, self string) int {
+func rankOf(owners []topo.Host, self string) int {
 	for i, h := range owners {
 		if h.Name == self {
 			return i
@@ -336,7 +336,7 @@
 }
 
 // other returns the first candidate that is not self.
-func other(owners []invent.Host, self string) string {
+func other(owners []topo.Host, self string) string {
 	for _, h := range owners {
 		if h.Name != self {
 			return h.Name
@@ -380,4 +380,4 @@
 // share is how many of a leaf's connections this host may hold. The shares of
 // all candidates sum to no more than the leaf accepts, so two hosts that both
 // believe themselves primary cannot exceed it together.
-func (f *leaf) share() int { return max(1, f.Connections/place.MaxOwners) }
+func (f *leaf) share() int { return max(1, f.Connections/assign.MaxOwners) }
--- a/share/gate/gate_test.go
+++ b/share/sched/gate_test.go
@@ -1,4 +1,4 @@
-package gate
+package sched
 
 import (
 	"testing"
@@ -7,26 +7,26 @@
 	"gotest.tools/v3/assert"
 
 	"dandelionstile/share/clock"
-	"dandelionstile/share/invent"
 	"dandelionstile/share/query"
+	"dandelionstile/share/topo"
 )
 
 var errDown = errors.New("connection refused")
 
 // testConfig has one backend server with one leaf of four slots.
-func testConfig() *invent.Config {
-	return &invent.Config{Version: 1, Inventory: invent.Inventory{
-		Domains:  []invent.Domain{{Name: "a", Region: "r"}},
-		Services: []invent.Service{{Name: "search", Layouts: []invent.Layout{{ID: 1, Shards: 1}}, WarmUp: 1000}},
-		Servers: []invent.Server{{
+func testConfig() *topo.Config {
+	return &topo.Config{Version: 1, Inventory: topo.Inventory{
+		Domains:  []topo.Domain{{Name: "a", Region: "r"}},
+		Services: []topo.Service{{Name: "search", Layouts: []topo.Layout{{ID: 1, Shards: 1}}, WarmUp: 1000}},
+		Servers: []topo.Server{{
 			Name: "s", Service: "search", Domain: "a", Address: "127.0.0.1:1",
-			Leaves: []invent.Leaf{{Name: "l", Slots: 4, Connections: 16, Holds: []invent.Hold{{Layout: 1, Shard: 0}}}},
+			Leaves: []topo.Leaf{{Name: "l", Slots: 4, Connections: 16, Holds: []topo.Hold{{Layout: 1, Shard: 0}}}},
 		}},
 	}}
 }
 
 // alone is a host list with this host only, so that it is primary for all.
-var alone = []invent.Host{{Name: "host-a", Domain: "a"}}
+var alone = []topo.Host{{Name: "host-a", Domain: "a"}}
 
 // start returns an engine whose leaf is warm, with probes answered.
 func start(t *testing.T) (*Engine, clock.Milli) {
@@ -229,7 +229,7 @@
 // Two aggregators both believe that a cold leaf is theirs, and each gives it all
 // that it bears.
 func TestTwoBelieversShareAColdLeaf(t *testing.T) {
-	hosts := []invent.Host{{Name: "host-a", Domain: "a"}, {Name: "host-b", Domain: "a"}}
+	hosts := []topo.Host{{Name: "host-a", Domain: "a"}, {Name: "host-b", Domain: "a"}}
 	sum := 0
 	for _, name := range []string{"host-a", "host-b"} {
 		e := &Engine{Self: name, Domain: "a"}
@@ -249,7 +249,7 @@
 // A process restarts and does not know that it had promised to keep off. The
 // other relies on the promise, and tells it at once that the leaf is warm.
 func TestPromiseOutlivesARestart(t *testing.T) {
-	hosts := []invent.Host{{Name: "host-a", Domain: "a"}, {Name: "host-b", Domain: "a"}}
+	hosts := []topo.Host{{Name: "host-a", Domain: "a"}, {Name: "host-b", Domain: "a"}}
 	e := &Engine{Self: "host-a", Domain: "a"}
 	now := clock.Milli(100000)
 	e.Configure(now, testConfig(), hosts)
--- a/share/gate/health.go
+++ b/share/sched/health.go
@@ -1,11 +1,11 @@
-package gate
+package sched
 
 import (
 	"slices"
 
 	"dandelionstile/share/clock"
-	"dandelionstile/share/invent"
 	"dandelionstile/share/query"
+	"dandelionstile/share/topo"
 )
 
 // health is what is known of a leaf's server beyond its ramp.
@@ -40,7 +40,7 @@
 	Incarnation uint64
 	Draining    bool
 	// Holds are the leaf's snapshots; nil when not told.
-	Holds []invent.SnapshotID
+	Holds []topo.SnapshotID
 }
 
 // restarted tells whether the sign comes from another incarnation than the one
--- a/share/gate/pace.go
+++ b/share/sched/pace.go
@@ -1,4 +1,4 @@
-package gate
+package sched
 
 import (
 	"math"
--- a/share/gate/state.go
+++ b/share/sched/state.go
@@ -1,8 +1,8 @@
-package gate
+package sched
 
 import (
 	"dandelionstile/share/clock"
-	"dandelionstile/share/poison"
+	"dandelionstile/share/deny"
 	"dandelionstile/share/query"
 )
 
@@ -10,11 +10,11 @@
 func (e *Engine) Idle() bool { return len(e.calls) == 0 }
 
 // Strikes lists the requests refused now.
-func (e *Engine) Strikes(now clock.Milli) []poison.Strike { return e.strikes.Active(now) }
+func (e *Engine) Strikes(now clock.Milli) []deny.Strike { return e.strikes.Active(now) }
 
 // MergeStrike takes a strike from another host and tells whether it was news.
 // Waiting calls with that fingerprint are answered as not run.
-func (e *Engine) MergeStrike(now clock.Milli, s poison.Strike) (bool, []Action) {
+func (e *Engine) MergeStrike(now clock.Milli, s deny.Strike) (bool, []Action) {
 	e.init(now)
 	if !e.strikes.Merge(now, s) {
 		return false, nil
--- a/share/spread/set.go
+++ b/share/syncer/set.go
@@ -2,7 +2,7 @@
 // platform to every host. A few watchers per failure domain read the platform;
 // all others learn from their peers by exchanging deltas. It is a state machine
 // without I/O: events go in with the time, actions come out.
-package spread
+package syncer
 
 import (
 	"sort"
--- a/share/spread/watch.go
+++ b/share/syncer/watch.go
@@ -1,4 +1,4 @@
-package spread
+package syncer
 
 import (
 	"slices"
--- a/share/invent/invent.go
+++ b/share/topo/invent.go
@@ -1,7 +1,7 @@
 // Package invent holds what operators write: the inventory (failure domains,
 // services, backend servers, leafs) and the rules on top of it. It reads and
 // checks both and decides nothing.
-package invent
+package topo
 
 import (
 	"slices"
--- a/share/invent/routes_test.go
+++ b/share/topo/routes_test.go
@@ -1,4 +1,4 @@
-package invent
+package topo
 
 import (
 	"strings"
--- a/share/pace/pace.go
+++ b/share/warmup/pace.go
@@ -7,7 +7,7 @@
 // second at the rate and one more for each. With many, the requests saved up by
 // all would be several times the rate. Hosts therefore begin at different points of
 // their round, and a request that is not used soon after it was earned is lost.
-package pace
+package warmup
 
 import "dandelionstile/share/clock"
 
--- a/share/pace/pace_test.go
+++ b/share/warmup/pace_test.go
@@ -1,4 +1,4 @@
-package pace
+package warmup
 
 import (
 	"fmt"
--- a/share/wire/map.go
+++ b/share/wire/map.go
@@ -4,8 +4,8 @@
 
 import (
 	"dandelionstile/share/clock"
-	"dandelionstile/share/invent"
 	"dandelionstile/share/query"
+	"dandelionstile/share/topo"
 )
 
 // OutcomeTo maps an outcome to its message.
@@ -65,7 +65,7 @@
 		Leaf: w.GetLeaf(), Busy: int(w.GetBusy()), Limit: int(w.GetLimit()), Queued: int(w.GetQueued()), Closed: w.GetClosed(), CallTime: float64(w.GetPaceMs()),
 	}
 	for _, p := range w.GetHolds() {
-		fb.Holds = append(fb.Holds, invent.SnapshotID{Layout: p.GetLayout(), Version: p.GetVersion()})
+		fb.Holds = append(fb.Holds, topo.SnapshotID{Layout: p.GetLayout(), Version: p.GetVersion()})
 	}
 	return fb
 }
--- a/stile/cmds/ask.go
+++ b/stile/cmds/ask.go
@@ -9,8 +9,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"dandelionstile/share/admin"
 	"dandelionstile/share/fetch"
-	"dandelionstile/share/show"
 )
 
 // asking holds the flags of commands that ask the programs.
@@ -24,7 +24,7 @@
 type program struct {
 	Admin   string `json:"admin"`
 	Problem string `json:"problem,omitempty"`
-	show.Status
+	admin.Status
 }
 
 // status asks all programs at once, in order of host and program.
--- a/stile/cmds/check.go
+++ b/stile/cmds/check.go
@@ -4,7 +4,7 @@
 	"github.com/cockroachdb/errors"
 
 	"dandelionstile/share/conf"
-	"dandelionstile/share/invent"
+	"dandelionstile/share/topo"
 )
 
 func init() { register(func() command { return &check{} }, "check", "validate") }
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	cfg, err := invent.Parse(1, parts)
+	cfg, err := topo.Parse(1, parts)
 	var faults conf.Faults
 	if err != nil && !errors.As(err, &faults) {
 		return err
@@ -55,7 +55,7 @@
 		for i := range parts {
 			parts[i] = base(parts[i])
 		}
-		out.line("%s", invent.NewManifest(c.Manifest, parts).Encode())
+		out.line("%s", topo.NewManifest(c.Manifest, parts).Encode())
 		return nil
 	}
 	s := shownCheck{Valid: true, Faults: []shownFault{}, Dangers: dangers(cfg)}
--- a/stile/cmds/coverage.go
+++ b/stile/cmds/coverage.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"dandelionstile/share/show"
+	"dandelionstile/share/admin"
 )
 
 func init() { register(func() command { return &coverage{} }, "coverage", "cov") }
@@ -12,8 +12,8 @@
 type coverage struct{ asking }
 
 type shownCoverage struct {
-	Host     string         `json:"host"`
-	Services []show.Service `json:"services"`
+	Host     string          `json:"host"`
+	Services []admin.Service `json:"services"`
 }
 
 // Help describes the command.
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func reasons(list []show.Missing) string {
+func reasons(list []admin.Missing) string {
 	text := ""
 	for _, m := range list {
 		text += " " + strconv.Itoa(m.Shard) + "=" + m.Reason
--- a/stile/cmds/effect.go
+++ b/stile/cmds/effect.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"sort"
 
-	"dandelionstile/share/invent"
 	"dandelionstile/share/route"
+	"dandelionstile/share/topo"
 )
 
 // reach is what a configuration leaves in service.
@@ -33,7 +33,7 @@
 
 // reachOf works out which leafs are in service, and what that leaves of each
 // shard.
-func reachOf(c *invent.Config) reach {
+func reachOf(c *topo.Config) reach {
 	r := reach{leafs: map[string]leafReach{}, services: map[string]*serviceReach{}}
 	for _, v := range c.Inventory.Services {
 		s := &serviceReach{shards: map[shardID]int{}}
@@ -72,7 +72,7 @@
 }
 
 // dangers lists what in a configuration is valid but risky.
-func dangers(c *invent.Config) []string {
+func dangers(c *topo.Config) []string {
 	var list []string
 	r := reachOf(c)
 	for _, name := range sortedNames(r.services) {
@@ -105,7 +105,7 @@
 
 // routeDangers lists what is valid about the routes and serves no caller, or
 // not as the operators may think.
-func routeDangers(c *invent.Config) []string {
+func routeDangers(c *topo.Config) []string {
 	var list []string
 	in := serversIn(c)
 	for i := range c.Routes {
@@ -140,7 +140,7 @@
 // serverCounts counts the backend servers in service.
 type serverCounts map[serviceIn]int
 
-func serversIn(c *invent.Config) serverCounts {
+func serversIn(c *topo.Config) serverCounts {
 	regions := make(map[string]string, len(c.Inventory.Domains))
 	for _, d := range c.Inventory.Domains {
 		regions[d.Name] = d.Region
--- a/stile/cmds/explain.go
+++ b/stile/cmds/explain.go
@@ -6,8 +6,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"dandelionstile/share/admin"
 	"dandelionstile/share/fetch"
-	"dandelionstile/share/show"
 )
 
 func init() { register(func() command { return &explain{} }, "explain") }
@@ -48,7 +48,7 @@
 	}
 	defer func() { _ = engine.Close() }() // only reads were made
 	for _, addr := range c.Admin {
-		var q show.Query
+		var q admin.Query
 		if err := asking.get(engine, addr, "/v1/explain/"+url.PathEscape(c.ID), &q); err == nil {
 			return printQuery(out, q)
 		}
@@ -56,7 +56,7 @@
 	return errors.Wrapf(ErrUnreachable, "no entry that was asked knows %s; each keeps its last 2000 queries", c.ID)
 }
 
-func printQuery(out *printer, q show.Query) error {
+func printQuery(out *printer, q admin.Query) error {
 	out.line("query %s, service %s, snapshot %s", q.ID, q.Service, q.Snapshot)
 	if q.Refused != "" {
 		out.line("%s %s", out.paint(red, "refused:"), q.Refused)
--- a/stile/cmds/files.go
+++ b/stile/cmds/files.go
@@ -8,11 +8,11 @@
 
 	"github.com/cockroachdb/errors"
 
-	"dandelionstile/share/invent"
+	"dandelionstile/share/topo"
 )
 
 // readParts reads files, and the YAML files of directories, in order of name.
-func readParts(paths []string) ([]invent.Part, error) {
+func readParts(paths []string) ([]topo.Part, error) {
 	var files []string
 	for _, p := range paths {
 		info, err := os.Stat(p)
@@ -30,28 +30,28 @@
 		sort.Strings(found)
 		files = append(files, found...)
 	}
-	parts := make([]invent.Part, 0, len(files))
+	parts := make([]topo.Part, 0, len(files))
 	for _, f := range files {
 		body, err := os.ReadFile(f)
 		if err != nil {
 			return nil, errors.Wrap(err, "read file")
 		}
-		parts = append(parts, invent.Part{Name: f, Body: body})
+		parts = append(parts, topo.Part{Name: f, Body: body})
 	}
 	return parts, nil
 }
 
 // load reads and checks a configuration.
-func load(paths []string) (*invent.Config, error) {
+func load(paths []string) (*topo.Config, error) {
 	parts, err := readParts(paths)
 	if err != nil {
 		return nil, err
 	}
-	return invent.Parse(1, parts)
+	return topo.Parse(1, parts)
 }
 
 // base is the name that a part has in a manifest.
-func base(p invent.Part) invent.Part {
+func base(p topo.Part) topo.Part {
 	p.Name = strings.TrimPrefix(filepath.Base(p.Name), "/")
 	return p
 }
--- a/stile/cmds/status.go
+++ b/stile/cmds/status.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"dandelionstile/share/show"
+	"dandelionstile/share/admin"
 )
 
 func init() { register(func() command { return &status{} }, "status", "st") }
@@ -79,7 +79,7 @@
 	return !n.Ready
 }
 
-func watching(n show.Node) string {
+func watching(n admin.Node) string {
 	if n.Watching {
 		return ", watching"
 	}
