--- a/stile/cmds/losses.go
+++ b/stile/cmds/losses.go
@@ -57,25 +57,25 @@
 // one that is late or has no answer the whole of it. Each attempt of a caller
 // counts as a request.
 type lossTable struct {
-	Routes []lossRow
-	Causes []lossRow
-	Spans  []lossSpan
+	Routes []lossRow  `json:"Routes"`
+	Causes []lossRow  `json:"Causes"`
+	Spans  []lossSpan `json:"Spans"`
 }
 
 // lossRow is what was lost for one route or cause.
 type lossRow struct {
-	Name  string
-	Asked int
-	Lost  float64
+	Name  string  `json:"Name"`
+	Asked int     `json:"Asked"`
+	Lost  float64 `json:"Lost"`
 }
 
 // lossSpan is what was lost of the requests that came in a span of time, and
 // the cause of most of it. From is in seconds from the first request.
 type lossSpan struct {
-	From  float64
-	Asked int
-	Lost  float64
-	Cause string
+	From  float64 `json:"From"`
+	Asked int     `json:"Asked"`
+	Lost  float64 `json:"Lost"`
+	Cause string  `json:"Cause"`
 
 	causes map[string]float64
 }
