--- a/share/node/codec.go
+++ b/share/node/codec.go
@@ -18,39 +18,39 @@
 
 func itoa(n uint64) string { return strconv.FormatUint(n, 10) }
 
-func stampTo(key string, s syncer.Stamp) *wire.Stamp {
+func encodeStamp(key string, s syncer.Stamp) *wire.Stamp {
 	return &wire.Stamp{Key: key, Version: s.Version, Digest: s.Digest}
 }
 
-func stampFrom(w *wire.Stamp) syncer.Stamp {
+func decodeStamp(w *wire.Stamp) syncer.Stamp {
 	return syncer.Stamp{Version: w.GetVersion(), Digest: w.GetDigest()}
 }
 
-func stampsTo(stamps map[string]syncer.Stamp) *wire.Envelope {
+func encodeStamps(stamps map[string]syncer.Stamp) *wire.Envelope {
 	w := &wire.Stamps{}
 	for key, s := range stamps {
-		w.Stamps = append(w.Stamps, stampTo(key, s))
+		w.Stamps = append(w.Stamps, encodeStamp(key, s))
 	}
 	sort.Slice(w.Stamps, func(i, j int) bool { return w.Stamps[i].Key < w.Stamps[j].Key })
 	return &wire.Envelope{Body: &wire.Envelope_Stamps{Stamps: w}}
 }
 
-func stampsFrom(w *wire.Stamps) map[string]syncer.Stamp {
+func decodeStamps(w *wire.Stamps) map[string]syncer.Stamp {
 	stamps := make(map[string]syncer.Stamp, len(w.GetStamps()))
 	for _, s := range w.GetStamps() {
-		stamps[s.GetKey()] = stampFrom(s)
+		stamps[s.GetKey()] = decodeStamp(s)
 	}
 	return stamps
 }
 
-func pullTo(a syncer.SendPull) *wire.Envelope {
-	return &wire.Envelope{Body: &wire.Envelope_Pull{Pull: &wire.Pull{Have: stampTo(a.Key, a.Have)}}}
+func encodePull(a syncer.SendPull) *wire.Envelope {
+	return &wire.Envelope{Body: &wire.Envelope_Pull{Pull: &wire.Pull{Have: encodeStamp(a.Key, a.Have)}}}
 }
 
-// deltaTo maps a delta. Its items are compressed: the operators' files are text
-// that repeats itself, and each change goes to every host.
-func deltaTo(d syncer.Delta) *wire.Envelope {
-	w := &wire.Delta{Key: d.Key, From: stampTo("", d.From), To: stampTo("", d.To), Removed: d.Removed}
+// encodeDelta encodes a delta. Its items are compressed because configuration
+// files are repetitive text and each change is sent to every host.
+func encodeDelta(d syncer.Delta) *wire.Envelope {
+	w := &wire.Delta{Key: d.Key, From: encodeStamp("", d.From), To: encodeStamp("", d.To), Removed: d.Removed}
 	items := &wire.Items{}
 	for _, it := range d.Changed {
 		items.Items = append(items.Items, &wire.Item{Name: it.Name, Body: it.Body})
@@ -63,35 +63,35 @@
 func CompressItems(items *wire.Items) []byte {
 	plain, err := proto.Marshal(items)
 	if err != nil {
-		return nil // items of bytes and names always marshal
+		return nil // items of names and bytes always marshal
 	}
 	var b bytes.Buffer
 	z, err := flate.NewWriter(&b, flate.DefaultCompression)
 	if err != nil {
-		return nil // the level is a valid one
+		return nil // DefaultCompression is a valid level
 	}
-	_, _ = z.Write(plain) // writing to memory does not fail
+	_, _ = z.Write(plain) // writing to a bytes.Buffer does not fail
 	_ = z.Close()
 	return b.Bytes()
 }
 
-// maxUnpacked bounds what a peer's delta may expand to, in bytes.
-const maxUnpacked = 64 << 20
+// maxExpandedBytes bounds the expanded size of a peer's delta.
+const maxExpandedBytes = 64 << 20
 
-func unpack(packed []byte) (*wire.Items, error) {
-	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpacked))
+func expandItems(packed []byte) (*wire.Items, error) {
+	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxExpandedBytes))
 	if err != nil {
-		return nil, errors.Wrap(err, "expand delta")
+		return nil, errors.Wrap(err, "decompress delta")
 	}
 	items := &wire.Items{}
-	return items, errors.Wrap(proto.Unmarshal(plain, items), "read delta")
+	return items, errors.Wrap(proto.Unmarshal(plain, items), "unmarshal delta")
 }
 
-func deltaFrom(w *wire.Delta) (syncer.Delta, error) {
+func decodeDelta(w *wire.Delta) (syncer.Delta, error) {
 	d := syncer.Delta{
-		Key: w.GetKey(), From: stampFrom(w.GetFrom()), To: stampFrom(w.GetTo()), Removed: w.GetRemoved(),
+		Key: w.GetKey(), From: decodeStamp(w.GetFrom()), To: decodeStamp(w.GetTo()), Removed: w.GetRemoved(),
 	}
-	items, err := unpack(w.GetPacked())
+	items, err := expandItems(w.GetPacked())
 	if err != nil {
 		return d, err
 	}
@@ -101,13 +101,13 @@
 	return d, nil
 }
 
-func strikeTo(id uint64, s deny.Strike) *wire.Envelope {
+func encodeStrike(id uint64, s deny.Strike) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_Strike{Strike: &wire.Strike{
 		Id: id, Fingerprint: s.Fingerprint, Count: uint32(s.Count), LeftMs: uint32(s.TimeLeft),
 	}}}
 }
 
-func strikeFrom(w *wire.Strike) deny.Strike {
+func decodeStrike(w *wire.Strike) deny.Strike {
 	return deny.Strike{
 		Fingerprint: w.GetFingerprint(), Count: int(w.GetCount()), TimeLeft: clock.Milli(w.GetLeftMs()),
 	}
--- a/share/node/loop.go
+++ b/share/node/loop.go
@@ -7,12 +7,11 @@
 	"dandelionstile/share/clock"
 )
 
-// loopQueue is how many messages wait for the control loop before those who
-// post are held up.
-const loopQueue = 4096
+// loopQueueLen is how many messages the control loop queues before Post blocks.
+const loopQueueLen = 4096
 
 // Loop is a program's control loop: one goroutine that owns all state and
-// takes typed messages in order, so the state needs no locks.
+// handles typed messages in order, so the state needs no locks.
 type Loop[M any] struct {
 	// Clock is read once per message.
 	Clock clock.Clock
@@ -25,7 +24,7 @@
 
 // Start runs handle for each message until Close.
 func (l *Loop[M]) Start(handle func(now clock.Milli, m M)) {
-	l.messages = make(chan M, loopQueue)
+	l.messages = make(chan M, loopQueueLen)
 	l.done = make(chan struct{})
 	l.wait.Go(func() {
 		for {
@@ -39,8 +38,8 @@
 	})
 }
 
-// Post hands a message to the loop. It waits while the loop is behind, and
-// tells whether the loop still runs.
+// Post queues a message for the loop and reports whether the loop still runs. It
+// blocks while the queue is full.
 func (l *Loop[M]) Post(m M) bool {
 	select {
 	case <-l.done:
@@ -55,8 +54,8 @@
 	}
 }
 
-// Every posts a message again and again. One that finds the loop behind is
-// left out: a late tick needs no twin.
+// Every posts a message periodically. It skips a message when the queue is full,
+// as a tick that is already late needs no duplicate.
 func (l *Loop[M]) Every(d time.Duration, m M) {
 	l.wait.Go(func() {
 		tick := time.NewTicker(d)
@@ -75,7 +74,7 @@
 	})
 }
 
-// Close stops the loop and waits for it.
+// Close stops the loop and waits for its goroutines.
 func (l *Loop[M]) Close() error {
 	l.once.Do(func() { close(l.done) })
 	l.wait.Wait()
--- a/share/node/node.go
+++ b/share/node/node.go
@@ -1,7 +1,7 @@
-// Package node is what an entry and an aggregator have in common: links to
-// peers, heartbeats, the configuration and host lists that spread over them,
-// and crash reports that go round. A program runs one Node within its control
-// loop.
+// Package node holds what an entry and an aggregator have in common: links to
+// peers, heartbeats, distribution of the configuration and host lists over the
+// links, and the exchange of crash reports. A program runs one Node within its
+// control loop.
 package node
 
 import (
@@ -24,7 +24,7 @@
 	"dandelionstile/share/wire"
 )
 
-// Names of the programs, as in Hello.
+// Names of the programs, as sent in Hello.
 const (
 	Entry      = "entry"
 	Aggregator = "aggregator"
@@ -32,22 +32,22 @@
 
 // Timing of heartbeats.
 const (
-	beatEvery = 2 * clock.Second
-	// beatRarely is the pause on links between an entry and the aggregators of
-	// other hosts. There may be many, and traffic shows whether they live.
-	beatRarely = 10 * clock.Second
-	// peerQuiet is how many heartbeats a peer may miss. Pings find dead
-	// connections; this finds a process whose control loop stands.
-	peerQuiet = 3
+	heartbeatInterval = 2 * clock.Second
+	// remoteHeartbeatInterval applies to links between an entry and the aggregators
+	// of other hosts. There may be many, and their traffic shows that they are alive.
+	remoteHeartbeatInterval = 10 * clock.Second
+	// maxMissedHeartbeats is how many heartbeats a peer may miss. Pings detect dead
+	// connections; heartbeats detect a process whose control loop is stuck.
+	maxMissedHeartbeats = 3
 )
 
-// Message is something for the control loop; one of the types below.
+// Message is an event for the control loop; one of the types below.
 type Message interface{ message() }
 
-// LinkUp says that a link is ready.
+// LinkUp reports that a link is ready.
 type LinkUp struct{ Link *mesh.Link }
 
-// LinkDown says that a link is closed.
+// LinkDown reports that a link is closed.
 type LinkDown struct {
 	Link *mesh.Link
 	Err  error
@@ -59,16 +59,16 @@
 	Body *wire.Envelope
 }
 
-// RTT is a measured round trip.
+// RTT is a measured round-trip time.
 type RTT struct {
 	Link      *mesh.Link
 	RoundTrip time.Duration
 }
 
-// PlatformRead is the platform's answer.
+// PlatformRead is the result of a read of the platform.
 type PlatformRead struct{ Read syncer.ReadResult }
 
-// Tick lets the node run what is due.
+// Tick makes the node run its periodic work.
 type Tick struct{}
 
 func (LinkUp) message()       {}
@@ -78,28 +78,29 @@
 func (PlatformRead) message() {}
 func (Tick) message()         {}
 
-// Delegate is what a Node tells its program. All calls come from the control
-// loop.
+// Delegate receives a Node's events; the program implements it. All calls come
+// from the control loop.
 type Delegate interface {
 	// Configure puts a configuration and host list in force.
 	Configure(now clock.Milli, cfg *topo.Config, hosts []topo.Host)
 	LinkUp(now clock.Milli, l *mesh.Link)
 	LinkDown(now clock.Milli, l *mesh.Link, err error)
-	// Frame takes what the node does not know.
+	// Frame handles a message that the node does not know.
 	Frame(now clock.Milli, l *mesh.Link, m *wire.Envelope)
-	RTT(now clock.Milli, l *mesh.Link, trip time.Duration)
-	// PeerLeaving says that a peer is on its way out, or no longer is.
+	RTT(now clock.Milli, l *mesh.Link, rtt time.Duration)
+	// PeerLeaving reports that a peer is shutting down, or no longer is.
 	PeerLeaving(now clock.Milli, l *mesh.Link, leaving bool)
-	// MergeStrike takes a crash report and tells whether it was news.
+	// MergeStrike merges a strike from a peer and reports whether it was new.
 	MergeStrike(now clock.Milli, s deny.Strike) bool
-	// VersionsConfirmed says that a peer has the same versions in force as this node,
-	// as of after the last call of Confirm.
+	// VersionsConfirmed reports that a peer had the same versions in force as this
+	// node, as of after the last call of ConfirmVersions.
 	VersionsConfirmed(now clock.Milli)
 	// LinkAddrs lists the addresses to keep links to.
 	LinkAddrs(cfg *topo.Config, hosts []topo.Host) []string
 }
 
-// Node is one process's common part. Fields are set before Start.
+// Node is the part of a process that entry and aggregator share. Its fields are
+// set before Start.
 type Node struct {
 	Settings    Settings
 	Program     string
@@ -107,67 +108,67 @@
 	Log         zerolog.Logger
 	Meter       *meter.Meter
 	Delegate    Delegate
-	// Post hands a message to the control loop.
+	// Post queues a message for the control loop.
 	Post func(Message) bool
 	// HTTP makes the calls to the platform.
 	HTTP *fetch.Engine
 
-	engine   syncer.Engine
-	mesh     mesh.Mesh
-	platform platform
-	peers    map[uint64]*peer
-	cfg      *topo.Config
-	parser   topo.Parser
-	checked  *topo.Config
-	byKey    map[string][]topo.Host // host lists as read
-	// checkedHosts are those of the list that was checked last.
-	checkedHosts []topo.Host
-	hosts        []topo.Host
-	dialed       map[string]bool
-	leaving      bool
-	sequence     uint64
-	confirm      uint64 // beat that a confirmation has to echo; 0 when none is due
-	strikes      map[uint64]*sharing
-	lastID       uint64
-	reads        sync.WaitGroup
-	refused      []admin.Refused
+	engine        syncer.Engine
+	mesh          mesh.Mesh
+	platform      platform
+	peers         map[uint64]*peer
+	cfg           *topo.Config
+	parser        topo.Parser
+	checkedConfig *topo.Config
+	hostsByKey    map[string][]topo.Host // host lists as read
+	// checkedHosts are the hosts of the last list that was checked.
+	checkedHosts    []topo.Host
+	hosts           []topo.Host
+	dialed          map[string]bool
+	leaving         bool
+	sequence        uint64
+	confirmSequence uint64 // heartbeat that a peer must echo to confirm; 0 when none is pending
+	strikes         map[uint64]*strikeBroadcast
+	lastID          uint64
+	reads           sync.WaitGroup
+	refused         []admin.Refused
 }
 
-// peer is what is known of the process at the other end of a link.
+// peer is the process at the other end of a link.
 type peer struct {
-	link    *mesh.Link
-	name    string
-	heard   clock.Milli
-	echo    uint64
-	digest  uint64
-	echoed  uint64
-	leaving bool
-	// nextBeat is when the next heartbeat is due.
-	nextBeat clock.Milli
+	link           *mesh.Link
+	name           string
+	lastHeartbeat  clock.Milli
+	lastSequence   uint64
+	digest         uint64
+	echoedSequence uint64
+	leaving        bool
+	// nextHeartbeat is when the next heartbeat is due.
+	nextHeartbeat clock.Milli
 }
 
-// tlsFault tells that the files of the links' keys cannot be used, or can again.
-func (n *Node) tlsFault(err error) {
+// logTLSFault logs that the TLS files cannot be loaded, or can be again.
+func (n *Node) logTLSFault(err error) {
 	if err == nil {
-		n.Log.Info().Msg("tls files are good again")
+		n.Log.Info().Msg("tls files are valid again")
 		return
 	}
-	n.Log.Error().Err(err).Msg("tls files cannot be used, the last good ones stay in force")
+	n.Log.Error().Err(err).Msg("failed to load tls files; keeping the last valid ones")
 }
 
-// Start listens for links and begins to learn.
+// Start listens for links and dials the configured peers.
 func (n *Node) Start() error {
-	tlsConfig, err := n.Settings.TLS.Config(n.tlsFault)
+	tlsConfig, err := n.Settings.TLS.Config(n.logTLSFault)
 	if err != nil {
 		return err
 	}
 	if tlsConfig == nil {
-		n.Log.Warn().Msg("links between hosts are not protected: no tls in the settings")
+		n.Log.Warn().Msg("links between hosts are not encrypted: no tls in the settings")
 	}
 	n.peers = map[uint64]*peer{}
 	n.dialed = map[string]bool{}
-	n.byKey = map[string][]topo.Host{}
-	n.strikes = map[uint64]*sharing{}
+	n.hostsByKey = map[string][]topo.Host{}
+	n.strikes = map[uint64]*strikeBroadcast{}
 	n.platform = platform{engine: n.HTTP, address: n.Settings.Platform.Address}
 	n.engine = syncer.Engine{
 		WatchKeys: []string{KeyConfig, KeyHostsPrefix + n.Settings.Host.Domain},
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// handler turns what happens on links into messages.
+// handler posts link events to the control loop.
 type handler struct{ n *Node }
 
 func (h handler) Up(l *mesh.Link) { h.n.Post(LinkUp{l}) }
@@ -201,9 +202,9 @@
 
 func (h handler) Down(l *mesh.Link, err error) { h.n.Post(LinkDown{l, err}) }
 
-func (h handler) RTT(l *mesh.Link, trip time.Duration) { h.n.Post(RTT{l, trip}) }
+func (h handler) RTT(l *mesh.Link, rtt time.Duration) { h.n.Post(RTT{l, rtt}) }
 
-// Handle takes a message.
+// Handle processes a message.
 func (n *Node) Handle(now clock.Milli, m Message) {
 	switch m := m.(type) {
 	case LinkUp:
@@ -226,10 +227,10 @@
 }
 
 func (n *Node) linkUp(now clock.Milli, l *mesh.Link) {
-	n.peers[l.ID] = &peer{link: l, name: l.Peer.GetHost() + "/" + l.Peer.GetProgram() + "#" + itoa(l.ID), heard: now}
+	n.peers[l.ID] = &peer{link: l, name: l.Peer.GetHost() + "/" + l.Peer.GetProgram() + "#" + itoa(l.ID), lastHeartbeat: now}
 	n.Log.Info().Str("peer", n.peers[l.ID].name).Msg("link up")
 	n.Delegate.LinkUp(now, l)
-	n.beat(now, n.peers[l.ID], false)
+	n.sendHeartbeat(now, n.peers[l.ID], false)
 }
 
 func (n *Node) linkDown(now clock.Milli, m LinkDown) {
@@ -238,17 +239,17 @@
 		return
 	}
 	delete(n.peers, m.Link.ID)
-	n.Meter.Count("links_lost", 1, meter.Label{Name: "cause", Value: lossOf(m.Err)})
+	n.Meter.Count("links_lost", 1, meter.Label{Name: "cause", Value: lossCause(m.Err)})
 	n.Log.Info().Str("peer", p.name).AnErr("cause", m.Err).Msg("link down")
 	n.act(now, n.engine.RemovePeer(now, p.name))
 	for id := range n.strikes {
-		n.acked(now, id, m.Link.ID)
+		n.strikeAcked(now, id, m.Link.ID)
 	}
 	n.Delegate.LinkDown(now, m.Link, m.Err)
 }
 
-// lossOf maps why a link was lost to one of a few words.
-func lossOf(err error) string {
+// lossCause maps the error of a lost link to a value of the metric's cause label.
+func lossCause(err error) string {
 	switch {
 	case errors.Is(err, mesh.ErrProtocol):
 		return "protocol"
@@ -269,31 +270,31 @@
 	}
 	switch b := m.Body.(type) {
 	case *wire.Envelope_Beat:
-		n.beaten(now, p, b.Beat)
+		n.handleHeartbeat(now, p, b.Beat)
 	case *wire.Envelope_Stamps:
-		n.act(now, n.engine.HandleStamps(now, p.name, stampsFrom(b.Stamps)))
+		n.act(now, n.engine.HandleStamps(now, p.name, decodeStamps(b.Stamps)))
 	case *wire.Envelope_Pull:
-		n.act(now, n.engine.HandlePull(now, p.name, b.Pull.GetHave().GetKey(), stampFrom(b.Pull.GetHave())))
+		n.act(now, n.engine.HandlePull(now, p.name, b.Pull.GetHave().GetKey(), decodeStamp(b.Pull.GetHave())))
 	case *wire.Envelope_Delta:
-		d, err := deltaFrom(b.Delta)
+		d, err := decodeDelta(b.Delta)
 		if err != nil {
-			n.Log.Warn().Err(err).Str("peer", p.name).Msg("delta cannot be read")
+			n.Log.Warn().Err(err).Str("peer", p.name).Msg("failed to decode delta")
 			return
 		}
 		n.act(now, n.engine.HandleDelta(now, p.name, d))
 	case *wire.Envelope_Strike:
-		n.struck(now, p, b.Strike)
+		n.handleStrike(now, p, b.Strike)
 	case *wire.Envelope_StrikeAck:
-		n.acked(now, b.StrikeAck.GetId(), l.ID)
+		n.strikeAcked(now, b.StrikeAck.GetId(), l.ID)
 	default:
 		n.Delegate.Frame(now, l, m)
 	}
 }
 
-// Send queues a message on a link and tells whether it was taken.
+// Send queues a message on a link and reports whether it was accepted.
 func (n *Node) Send(l *mesh.Link, m *wire.Envelope) bool { return l.Send(m) == nil }
 
-func (n *Node) sorted() []*peer {
+func (n *Node) sortedPeers() []*peer {
 	list := make([]*peer, 0, len(n.peers))
 	for _, p := range n.peers {
 		list = append(list, p)
@@ -302,24 +303,24 @@
 	return list
 }
 
-// Dial keeps a link to an address that Dials does not list.
+// Dial keeps a link to an address that LinkAddrs does not list.
 func (n *Node) Dial(addr string) { n.mesh.Dial(addr) }
 
 // Hosts returns the host list in force.
 func (n *Node) Hosts() []topo.Host { return n.hosts }
 
-// Ready tells whether a configuration and a host list are in force.
+// Ready reports whether a configuration and a host list are in force.
 func (n *Node) Ready() bool { return n.cfg != nil && len(n.hosts) > 0 }
 
-// Close ends all links and reads, and waits.
+// Close closes all links and waits for them and for pending platform reads.
 func (n *Node) Close() error {
 	err := n.mesh.Close()
 	n.reads.Wait()
 	return err
 }
 
-// NewIncarnation returns a number that no earlier process of this host had: the
-// start time, and chance against a clock that was set back.
+// NewIncarnation returns a number that no earlier process of this host used: the
+// start time, and random bits in case the clock was set back.
 func NewIncarnation() uint64 {
 	return uint64(clock.Unix())<<20 | uint64(rand.Uint32()&0xfffff)
 }
--- a/share/node/platform.go
+++ b/share/node/platform.go
@@ -14,16 +14,16 @@
 	"dandelionstile/share/topo"
 )
 
-// Keys of what spreads between hosts.
+// Keys of the values that are distributed between hosts.
 const (
 	KeyConfig = "config"
-	// KeyHostsPrefix starts the key of a failure domain's host list.
+	// KeyHostsPrefix begins the key of a failure domain's host list.
 	KeyHostsPrefix = "hosts/"
-	// manifestItem is the manifest's name within the config set.
-	manifestItem = "manifest"
+	// manifestName is the manifest's name within the config set.
+	manifestName = "manifest"
 )
 
-// Timing of reads.
+// Timeouts of platform reads.
 const (
 	readTimeout  = 3 * time.Second
 	watchTimeout = 30 * time.Second
@@ -32,9 +32,8 @@
 // ErrPlatform marks failed reads of the platform.
 var ErrPlatform = errors.New("platform")
 
-// platform reads the platform's configuration service and host lists. It
-// remembers the parts of the last configuration, so that only changed ones are
-// read again.
+// platform reads the platform's configuration service and host lists. It caches
+// the parts of the last configuration, so that only changed parts are read again.
 type platform struct {
 	engine  *fetch.Engine
 	address string
@@ -43,7 +42,7 @@
 	parts map[string][]byte // by hash
 }
 
-// read gets a whole set for a key.
+// read reads a whole set for a key.
 func (p *platform) read(r syncer.ReadPlatform) (*syncer.Set, error) {
 	if r.Key == KeyConfig {
 		return p.readConfig(r)
@@ -59,8 +58,8 @@
 	return NewHostSet(list), nil
 }
 
-// NewHostSet makes a set of a host list, one item a host, so that a change of one
-// host travels as one item.
+// NewHostSet builds a set from a host list with one item per host, so that a
+// change of one host is sent as one item.
 func NewHostSet(list topo.HostList) *syncer.Set {
 	items := make([]syncer.Item, len(list.Hosts))
 	for i, h := range list.Hosts {
@@ -72,7 +71,7 @@
 	return syncer.NewSet(list.Version, items)
 }
 
-// ParseHostSet reads a set back into a host list.
+// ParseHostSet decodes the hosts of a set.
 func ParseHostSet(s *syncer.Set) ([]topo.Host, error) {
 	hosts := make([]topo.Host, 0, len(s.Items))
 	for _, it := range s.Sorted() {
@@ -86,7 +85,7 @@
 }
 
 func (p *platform) readConfig(r syncer.ReadPlatform) (*syncer.Set, error) {
-	body, err := p.get(manifestItem, r)
+	body, err := p.get(manifestName, r)
 	if err != nil || body == nil {
 		return nil, err
 	}
@@ -95,7 +94,7 @@
 		return nil, errors.Mark(err, ErrPlatform)
 	}
 	if r.After != 0 && m.Version < r.After {
-		return nil, nil // stale; its parts are not worth reading
+		return nil, nil // stale: skip reading its parts
 	}
 	parts := make([]topo.Part, 0, len(m.Parts))
 	for _, ref := range m.Parts {
@@ -105,11 +104,11 @@
 		}
 		parts = append(parts, topo.Part{Name: ref.Name, Body: body})
 	}
-	p.keep(parts)
+	p.cacheParts(parts)
 	return NewConfigSet(m.Version, parts), nil
 }
 
-// NewConfigSet makes a set of the operators' files.
+// NewConfigSet builds a set from the operators' files.
 func NewConfigSet(version uint64, parts []topo.Part) *syncer.Set {
 	items := make([]syncer.Item, len(parts))
 	for i, part := range parts {
@@ -118,7 +117,7 @@
 	return syncer.NewSet(version, items)
 }
 
-// configParts reads a set back into the operators' files.
+// configParts returns the operators' files of a set.
 func configParts(s *syncer.Set) []topo.Part {
 	parts := make([]topo.Part, 0, len(s.Items))
 	for _, it := range s.Sorted() {
@@ -139,13 +138,13 @@
 		return nil, err
 	}
 	if got := (topo.Part{Body: body}).Hash(); got != hash {
-		return nil, errors.Mark(errors.Newf("part %s arrived as %s", hash, got), ErrPlatform)
+		return nil, errors.Mark(errors.Newf("part %s has content hash %s", hash, got), ErrPlatform)
 	}
 	return body, nil
 }
 
-// keep remembers the parts of one configuration and drops all others.
-func (p *platform) keep(parts []topo.Part) {
+// cacheParts keeps the parts of one configuration and drops all others.
+func (p *platform) cacheParts(parts []topo.Part) {
 	byHash := make(map[string][]byte, len(parts))
 	for _, part := range parts {
 		byHash[part.Hash()] = part.Body
@@ -155,7 +154,7 @@
 	p.parts = byHash
 }
 
-// get reads one value. A watch that ends without news returns nil.
+// get reads one value. It returns nil for a watch that ends without a change.
 func (p *platform) get(key string, r syncer.ReadPlatform) ([]byte, error) {
 	path := "/v1/values/" + url.PathEscape(key)
 	timeout := readTimeout
--- a/share/node/settings.go
+++ b/share/node/settings.go
@@ -8,14 +8,14 @@
 	"dandelionstile/share/conf"
 )
 
-// Settings of what the programs have in common. Each program's file embeds the
-// sections below and adds its own.
+// Settings are the settings that the programs have in common. Each program's file
+// embeds the sections below and adds its own.
 type Settings struct {
 	Host     HostSettings
 	Listen   ListenSettings
 	Platform PlatformSettings
-	// Peers are the link addresses of aggregators to start from, before a host
-	// list is known.
+	// Peers are the link addresses of aggregators to dial before a host list is
+	// known.
 	Peers  []string
 	Log    LogSettings
 	Trace  TraceSettings
@@ -23,7 +23,7 @@
 	Routes RoutesSettings
 }
 
-// fileSettings is the file's form of Settings.
+// fileSettings is the file format of Settings.
 type fileSettings struct {
 	Host     fileHost     `yaml:"host" validate:"required"`
 	Listen   fileListen   `yaml:"listen" validate:"required"`
@@ -35,7 +35,8 @@
 	Routes   fileRoutes   `yaml:"routes"`
 }
 
-// Load reads and checks a settings file. With a fault in it nothing is taken.
+// Load reads and validates a settings file. A file with any fault is rejected as a
+// whole.
 func Load(path string) (Settings, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
--- a/share/node/settings_host.go
+++ b/share/node/settings_host.go
@@ -1,10 +1,10 @@
 package node
 
-// HostSettings name the host that the process runs on.
+// HostSettings identify the host that the process runs on.
 type HostSettings struct {
 	// Name is the host's name as in the platform's host list.
 	Name string
-	// Domain is the failure domain that the host is in.
+	// Domain is the host's failure domain.
 	Domain string
 }
 
--- a/share/node/settings_listen.go
+++ b/share/node/settings_listen.go
@@ -4,16 +4,16 @@
 
 // ListenSettings are the addresses that a process listens on.
 type ListenSettings struct {
-	// Links is where other processes of dandelionstile connect.
+	// Links is where other dandelionstile processes connect.
 	Links string
 	// Callers is where callers connect; only an entry has it.
 	Callers string
-	// Admin serves health, metrics and what `stile` reads. It belongs on an
-	// address that only operators and the balancer reach.
+	// Admin serves health, metrics and the endpoints that `stile` reads. It should
+	// be reachable only by operators and the load balancer.
 	Admin string
 }
 
-// IP is the host's own address, the one that links are accepted on.
+// IP returns the host's own address, on which it accepts links.
 func (l ListenSettings) IP() string {
 	ip, _, err := net.SplitHostPort(l.Links)
 	if err != nil {
--- a/share/node/settings_log.go
+++ b/share/node/settings_log.go
@@ -1,12 +1,12 @@
 package node
 
-// LogSettings choose what is logged, to standard error.
+// LogSettings configure logging to standard error.
 type LogSettings struct {
 	// Level is one of debug, info, warn, error.
 	Level string
 }
 
-// defaultLevel logs changes of state and faults, and no single requests.
+// defaultLevel logs state changes and faults, but not single requests.
 const defaultLevel = "info"
 
 type fileLog struct {
--- a/share/node/settings_platform.go
+++ b/share/node/settings_platform.go
@@ -1,6 +1,6 @@
 package node
 
-// PlatformSettings tell where the platform's configuration service is.
+// PlatformSettings hold the address of the platform's configuration service.
 type PlatformSettings struct {
 	Address string
 }
--- a/share/node/settings_routes.go
+++ b/share/node/settings_routes.go
@@ -2,26 +2,26 @@
 
 import "dandelionstile/share/conf"
 
-// RoutesSettings say where an entry serves the routes of the inventory. With
-// no Listen it serves none.
+// RoutesSettings configure where an entry serves the routes of the inventory. An
+// empty Listen disables them.
 type RoutesSettings struct {
 	// Listen is where callers of routes connect.
 	Listen string
 	// Gossip and Relay are where other entries reach this one for routes, by
-	// UDP and by TCP; none for an entry that works alone.
+	// UDP and by TCP; both are empty for an entry that works alone.
 	Gossip, Relay string
-	// Seeds are gossip addresses of entries to start from.
+	// Seeds are gossip addresses of entries to join through.
 	Seeds []string
 	// SecondCalls bounds retries and hedges of routed requests.
 	SecondCalls SecondCallSettings
 }
 
-// SecondCallSettings bound the calls beyond the first of each request. They are
-// the operators' bounds over all hosts together; a zero takes the default.
+// SecondCallSettings bound the calls beyond the first of each request. The bounds
+// apply to all hosts together; zero means the default.
 type SecondCallSettings struct {
 	// Ratio is how many second calls each request to a service may cause.
 	Ratio float64
-	// Reserve is how many second calls to a service may come on top of that in
+	// Reserve is how many second calls to a service are allowed in addition within
 	// a short time.
 	Reserve float64
 }
@@ -49,13 +49,13 @@
 func (r RoutesSettings) check(src conf.Source) conf.Faults {
 	var faults conf.Faults
 	if (r.Gossip == "") != (r.Relay == "") {
-		faults = append(faults, src.Fault("routes", "gossip and relay go together", "give both or neither"))
+		faults = append(faults, src.Fault("routes", "gossip and relay must be set together", "set both or neither"))
 	}
 	if r.Gossip == "" && len(r.Seeds) > 0 {
-		faults = append(faults, src.Fault("routes.seeds", "seeds without gossip are never asked", "give gossip and relay"))
+		faults = append(faults, src.Fault("routes.seeds", "seeds have no effect without gossip", "set gossip and relay"))
 	}
 	if r.Listen == "" && r.Gossip != "" {
-		faults = append(faults, src.Fault("routes", "gossip without listen serves no caller", "give listen"))
+		faults = append(faults, src.Fault("routes", "gossip has no effect without listen", "set listen"))
 	}
 	return faults
 }
--- a/share/node/settings_test.go
+++ b/share/node/settings_test.go
@@ -28,17 +28,17 @@
 	assert.Equal(t, s.Routes.SecondCalls.Ratio, 0.1)
 	s, err = load(t, basic)
 	assert.NilError(t, err)
-	assert.Equal(t, s.Routes.Listen, "", "no routes are served unless asked for")
+	assert.Equal(t, s.Routes.Listen, "", "routes are served without routes.listen")
 }
 
-// A host whose settings name seeds but no gossip address would work alone and
-// give each bound to itself; the file is refused with the line instead.
+// With seeds but no gossip address, a host would work alone and use the bounds of
+// all hosts for itself. The file is rejected and the faulty line named.
 func TestRoutesSettingsThatCannotWorkAreRefused(t *testing.T) {
 	t.Parallel()
 	for text, want := range map[string]string{
-		"routes:\n  listen: 127.0.0.1:4\n  seeds: [\"127.0.0.2:5\"]\n":                    "settings.yaml:6: routes.seeds: seeds without gossip are never asked",
-		"routes:\n  listen: 127.0.0.1:4\n  gossip: 127.0.0.1:5\n":                         "routes: gossip and relay go together",
-		"routes:\n  gossip: 127.0.0.1:5\n  relay: 127.0.0.1:6\n":                          "routes: gossip without listen serves no caller",
+		"routes:\n  listen: 127.0.0.1:4\n  seeds: [\"127.0.0.2:5\"]\n":                    "settings.yaml:6: routes.seeds: seeds have no effect without gossip",
+		"routes:\n  listen: 127.0.0.1:4\n  gossip: 127.0.0.1:5\n":                         "routes: gossip and relay must be set together",
+		"routes:\n  gossip: 127.0.0.1:5\n  relay: 127.0.0.1:6\n":                          "routes: gossip has no effect without listen",
 		"routes:\n  listen: here\n":                                                       "settings.yaml:5: routes.listen",
 		"routes:\n  listen: 127.0.0.1:4\n  second-calls:\n    ratio: -1\n    colour: 1\n": "settings.yaml:8: routes.second-calls.colour: unknown key",
 	} {
--- a/share/node/settings_tls.go
+++ b/share/node/settings_tls.go
@@ -11,8 +11,8 @@
 	"dandelionstile/share/conf"
 )
 
-// TLSSettings are the files for mutual TLS on the links between hosts. With
-// none, links are open and the process says so at its start.
+// TLSSettings are the files for mutual TLS on the links between hosts. Without
+// them, links are unencrypted and the process logs a warning at its start.
 type TLSSettings struct {
 	Cert string
 	Key  string
@@ -25,7 +25,7 @@
 	CA   string `yaml:"ca"`
 }
 
-// Enabled tells whether links use TLS.
+// Enabled reports whether links use TLS.
 func (t TLSSettings) Enabled() bool { return t.Cert != "" }
 
 func (t TLSSettings) check(src conf.Source) conf.Faults {
@@ -38,17 +38,18 @@
 	if given == 0 || given == 3 {
 		return nil
 	}
-	return conf.Faults{src.Fault("tls", "cert, key and ca go together", "give all three or none")}
+	return conf.Faults{src.Fault("tls", "cert, key and ca must be set together", "set all three or none")}
 }
 
-// ErrTLS marks faults of the TLS files.
+// ErrTLS marks errors of the TLS files and of peer certificates.
 var ErrTLS = errors.New("tls files")
 
-// Config returns the TLS configuration of links, or nil when it is off. The
-// files are read anew for every link, so replaced keys need no restart. While
-// they cannot be used, as in the middle of a replacement, the last good ones stay
-// in force, and fault is told why; it is told nil once they can be used again.
-func (t TLSSettings) Config(fault func(error)) (*tls.Config, error) {
+// Config returns the TLS configuration of links, or nil if TLS is disabled. The
+// files are read again for every link, so replaced keys need no restart. While
+// they cannot be loaded, as in the middle of a replacement, the last valid ones
+// stay in force. report is called with the error, and with nil once the files can
+// be loaded again.
+func (t TLSSettings) Config(report func(error)) (*tls.Config, error) {
 	if !t.Enabled() {
 		return nil, nil
 	}
@@ -56,12 +57,12 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &keeper{settings: t, fault: fault, last: first}
+	k := &certReloader{settings: t, report: report, lastValid: first}
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		ClientAuth: tls.RequireAndVerifyClientCert,
-		// A client takes its configuration once; verification below reads the
-		// authority's file each time, for both sides.
+		// A client's configuration is fixed once; verify reads the authority's file
+		// for each connection, as the server side does.
 		InsecureSkipVerify:    true,
 		VerifyPeerCertificate: k.verify,
 		GetCertificate:        func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return k.cert(), nil },
@@ -70,13 +71,13 @@
 	}, nil
 }
 
-// identity is what the three files say together.
+// identity is the content of the three files.
 type identity struct {
 	cert tls.Certificate
 	pool *x509.CertPool
 }
 
-// read takes all three files, or none of them.
+// read loads all three files, or none of them.
 func (t TLSSettings) read() (identity, error) {
 	cert, err := tls.LoadX509KeyPair(t.Cert, t.Key)
 	if err != nil {
@@ -84,7 +85,7 @@
 	}
 	pem, err := os.ReadFile(t.CA)
 	if err != nil {
-		return identity{}, errors.Mark(errors.Wrap(err, "read authority"), ErrTLS)
+		return identity{}, errors.Mark(errors.Wrap(err, "read certificate authority"), ErrTLS)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
@@ -93,68 +94,67 @@
 	return identity{cert, pool}, nil
 }
 
-// keeper holds the files' last good state.
-type keeper struct {
+// certReloader keeps the last valid content of the files.
+type certReloader struct {
 	settings TLSSettings
-	fault    func(error)
+	report   func(error)
 
-	mu   sync.Mutex
-	last identity
-	// failing is the fault that was told last; empty while the files are good.
-	failing string
+	mu        sync.Mutex
+	lastValid identity
+	// lastFault is the fault that was reported last; empty while the files are valid.
+	lastFault string
 }
 
-// current reads the files, and returns what they said when they last made sense.
-func (k *keeper) current() identity {
-	now, err := k.settings.read()
+// current reads the files and returns their last valid content.
+func (k *certReloader) current() identity {
+	latest, err := k.settings.read()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	failing := ""
+	fault := ""
 	if err != nil {
-		failing = err.Error()
+		fault = err.Error()
 	} else {
-		k.last = now
+		k.lastValid = latest
 	}
-	if failing != k.failing && k.fault != nil {
-		k.fault(err)
+	if fault != k.lastFault && k.report != nil {
+		k.report(err)
 	}
-	k.failing = failing
-	return k.last
+	k.lastFault = fault
+	return k.lastValid
 }
 
-func (k *keeper) cert() *tls.Certificate {
-	now := k.current()
-	return &now.cert
+func (k *certReloader) cert() *tls.Certificate {
+	latest := k.current()
+	return &latest.cert
 }
 
-// server is the server side's configuration.
-func (k *keeper) server() *tls.Config {
-	now := k.current()
+// server returns the server side's configuration.
+func (k *certReloader) server() *tls.Config {
+	latest := k.current()
 	return &tls.Config{
-		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{now.cert},
-		ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: now.pool,
+		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{latest.cert},
+		ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: latest.pool,
 	}
 }
 
-// verify checks a server's certificate against the authority. Hosts are known
-// by the authority alone: their names and addresses change with every
-// replacement.
-func (k *keeper) verify(raw [][]byte, _ [][]*x509.Certificate) error {
+// verify checks a server's certificate against the authority alone. It does not
+// check names and addresses because they change whenever a host is replaced.
+func (k *certReloader) verify(raw [][]byte, _ [][]*x509.Certificate) error {
 	if len(raw) == 0 {
-		return errors.Mark(errors.New("peer shows no certificate"), ErrTLS)
+		return errors.Mark(errors.New("peer sent no certificate"), ErrTLS)
 	}
 	leaf, err := x509.ParseCertificate(raw[0])
 	if err != nil {
 		return errors.Mark(errors.Wrap(err, "parse peer certificate"), ErrTLS)
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, b := range raw[1:] {
 		if c, err := x509.ParseCertificate(b); err == nil {
-			between.AddCert(c)
+			intermediates.AddCert(c)
 		}
 	}
 	_, err = leaf.Verify(x509.VerifyOptions{
-		Roots: k.current().pool, Intermediates: between, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
+		Roots: k.current().pool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
 	return errors.Wrap(err, "verify peer")
 }
--- a/share/node/settings_trace.go
+++ b/share/node/settings_trace.go
@@ -1,8 +1,8 @@
 package node
 
-// TraceSettings choose which traces are written, and where.
+// TraceSettings configure which traces are written, and where.
 type TraceSettings struct {
-	// File takes the spans; empty turns tracing off.
+	// File receives the spans; empty disables tracing.
 	File string
 	// Ratio is the share of requests traced, from 0 to 1.
 	Ratio float64
--- a/share/node/shown.go
+++ b/share/node/status.go
@@ -6,17 +6,17 @@
 	"dandelionstile/share/syncer"
 )
 
-// refusedKept is how many refused versions are shown.
-const refusedKept = 8
+// maxRefused is how many refused versions the status lists.
+const maxRefused = 8
 
-func (n *Node) noteRefused(a syncer.Refuse) {
+func (n *Node) recordRefused(a syncer.Refuse) {
 	n.refused = append(n.refused, admin.Refused{Key: a.Key, Version: a.Stamp.Version, Reason: a.Err.Error()})
-	if len(n.refused) > refusedKept {
+	if len(n.refused) > maxRefused {
 		n.refused = n.refused[1:]
 	}
 }
 
-// Status returns the node's state.
+// Status returns the node's state for the admin endpoint.
 func (n *Node) Status(now clock.Milli) admin.Node {
 	s := admin.Node{
 		Host: n.Settings.Host.Name, Domain: n.Settings.Host.Domain, Program: n.Program,
@@ -24,14 +24,14 @@
 		Watching: n.engine.Watching(now), PlatformAge: -1,
 		Refused: append([]admin.Refused{}, n.refused...),
 	}
-	if age, heard := n.engine.PlatformAge(now); heard {
+	if age, known := n.engine.PlatformAge(now); known {
 		s.PlatformAge = int64(age)
 	}
 	for _, key := range n.engine.HeldKeys() {
 		st := n.engine.Stamp(key)
 		s.Versions = append(s.Versions, admin.Version{Key: key, Version: st.Version, Digest: st.Digest})
 	}
-	for _, p := range n.sorted() {
+	for _, p := range n.sortedPeers() {
 		s.Peers = append(s.Peers, admin.Peer{Name: p.name, Leaving: p.leaving})
 	}
 	return s
--- a/share/node/strikes.go
+++ b/share/node/strikes.go
@@ -6,32 +6,33 @@
 	"dandelionstile/share/wire"
 )
 
-// sharing is a strike on its way to the peers.
-type sharing struct {
-	waiting map[uint64]bool // by link
-	done    func(now clock.Milli)
+// strikeBroadcast is a strike that some peers have not yet acknowledged.
+type strikeBroadcast struct {
+	pendingLinks map[uint64]bool // by link ID
+	done         func(now clock.Milli)
 }
 
-// ShareStrike tells all peers of a strike and calls done once they have it.
+// ShareStrike sends a strike to all peers and calls done once all of them have
+// acknowledged it. A peer whose link closes counts as if it had.
 func (n *Node) ShareStrike(now clock.Milli, s deny.Strike, done func(now clock.Milli)) {
 	n.lastID++
-	sh := &sharing{waiting: map[uint64]bool{}, done: done}
-	for _, p := range n.sorted() {
-		if n.Send(p.link, strikeTo(n.lastID, s)) {
-			sh.waiting[p.link.ID] = true
+	sh := &strikeBroadcast{pendingLinks: map[uint64]bool{}, done: done}
+	for _, p := range n.sortedPeers() {
+		if n.Send(p.link, encodeStrike(n.lastID, s)) {
+			sh.pendingLinks[p.link.ID] = true
 		}
 	}
 	n.strikes[n.lastID] = sh
-	n.acked(now, n.lastID, 0)
+	n.strikeAcked(now, n.lastID, 0)
 }
 
-func (n *Node) acked(now clock.Milli, id, link uint64) {
+func (n *Node) strikeAcked(now clock.Milli, id, link uint64) {
 	sh := n.strikes[id]
 	if sh == nil {
 		return
 	}
-	delete(sh.waiting, link)
-	if len(sh.waiting) > 0 {
+	delete(sh.pendingLinks, link)
+	if len(sh.pendingLinks) > 0 {
 		return
 	}
 	delete(n.strikes, id)
@@ -40,16 +41,16 @@
 	}
 }
 
-// struck takes a peer's strike and passes news on. It answers at once; what is
-// not news stops here, so a strike goes round once.
-func (n *Node) struck(now clock.Milli, p *peer, w *wire.Strike) {
-	s := strikeFrom(w)
+// handleStrike merges a peer's strike, acknowledges it, and forwards it if it was
+// new. Known strikes are not forwarded, so each host forwards a strike once.
+func (n *Node) handleStrike(now clock.Milli, p *peer, w *wire.Strike) {
+	s := decodeStrike(w)
 	if n.Delegate.MergeStrike(now, s) {
 		n.Log.Warn().Uint64("fingerprint", s.Fingerprint).Int("count", s.Count).Str("from", p.name).
 			Msg("request crashed a backend server and is refused")
-		for _, other := range n.sorted() {
+		for _, other := range n.sortedPeers() {
 			if other != p {
-				n.Send(other.link, strikeTo(0, s))
+				n.Send(other.link, encodeStrike(0, s))
 			}
 		}
 	}
--- a/share/node/tls_test.go
+++ b/share/node/tls_test.go
@@ -91,8 +91,8 @@
 
 func (c *counter) RTT(*mesh.Link, time.Duration) {}
 
-// dials starts a mesh with these settings that dials the address.
-func dials(t *testing.T, s TLSSettings, addr string) *counter {
+// dialMesh starts a mesh with these settings that dials the address.
+func dialMesh(t *testing.T, s TLSSettings, addr string) *counter {
 	t.Helper()
 	config, err := s.Config(nil)
 	assert.NilError(t, err)
@@ -103,8 +103,8 @@
 	return c
 }
 
-// A stranger on the network links up as a host and reads configurations, or
-// sends updates. Only hosts with a certificate of the authority may.
+// A host without a certificate of the authority could otherwise link up, read
+// configurations and send updates.
 func TestOnlyHostsOfTheAuthorityLinkUp(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	config, err := ours.issue(t).Config(nil)
@@ -114,18 +114,18 @@
 	addr, err := s.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.NilError(t, s.Close()) })
-	stranger := dials(t, theirs.issue(t), addr.String())
-	plain := dials(t, TLSSettings{}, addr.String())
-	friend := dials(t, ours.issue(t), addr.String())
-	friend.awaitLink(t)
-	assert.Equal(t, stranger.up.Load()+plain.up.Load(), int64(0))
-	assert.Equal(t, server.up.Load(), friend.up.Load())
+	untrusted := dialMesh(t, theirs.issue(t), addr.String())
+	plain := dialMesh(t, TLSSettings{}, addr.String())
+	trusted := dialMesh(t, ours.issue(t), addr.String())
+	trusted.awaitLink(t)
+	assert.Equal(t, untrusted.up.Load()+plain.up.Load(), int64(0))
+	assert.Equal(t, server.up.Load(), trusted.up.Load())
 }
 
-// serves starts a mesh with these settings and returns its address.
-func serves(t *testing.T, s TLSSettings, fault func(error)) string {
+// serveMesh starts a mesh with these settings and returns its address.
+func serveMesh(t *testing.T, s TLSSettings, report func(error)) string {
 	t.Helper()
-	config, err := s.Config(fault)
+	config, err := s.Config(report)
 	assert.NilError(t, err)
 	m := &mesh.Mesh{Hello: &wire.Hello{Host: "s"}, Handler: &counter{}, TLS: config}
 	addr, err := m.Listen("127.0.0.1:0")
@@ -134,8 +134,8 @@
 	return addr.String()
 }
 
-// take puts another host's files in the place of these.
-func (s TLSSettings) take(t *testing.T, from TLSSettings) {
+// replaceWith overwrites these files with another host's.
+func (s TLSSettings) replaceWith(t *testing.T, from TLSSettings) {
 	t.Helper()
 	for to, file := range map[string]string{s.Cert: from.Cert, s.Key: from.Key, s.CA: from.CA} {
 		body, err := os.ReadFile(file)
@@ -144,47 +144,47 @@
 	}
 }
 
-// Operators replace keys and authority while hosts run. New links go by the new
-// files with no restart; a host that still shows the former authority's
-// certificate is refused.
+// Operators replace keys and authority while hosts run. New links must use the new
+// files without a restart, and a host that still has a certificate of the former
+// authority must be rejected.
 func TestReplacedKeysNeedNoRestart(t *testing.T) {
 	former, next := newAuthority(t), newAuthority(t)
 	files := former.issue(t)
-	addr := serves(t, files, nil)
-	dials(t, former.issue(t), addr).awaitLink(t)
-	files.take(t, next.issue(t))
-	late := dials(t, former.issue(t), addr)
-	dials(t, next.issue(t), addr).awaitLink(t)
+	addr := serveMesh(t, files, nil)
+	dialMesh(t, former.issue(t), addr).awaitLink(t)
+	files.replaceWith(t, next.issue(t))
+	late := dialMesh(t, former.issue(t), addr)
+	dialMesh(t, next.issue(t), addr).awaitLink(t)
 	assert.Equal(t, late.up.Load(), int64(0))
 }
 
-// Keys are replaced file by file, and for a moment key and certificate do not
-// belong together, or a file is half written. Links that come up just then go by
-// the last good files: refused, the host would be cut off from all others while
-// it serves callers.
+// Operators replace keys file by file, so for a moment key and certificate do not
+// match or a file is half written. Links that come up in that moment must use the
+// last valid files: otherwise the host is cut off from all others while it serves
+// callers.
 func TestHalfReplacedKeysKeepTheFormer(t *testing.T) {
 	ours := newAuthority(t)
 	files, other := ours.issue(t), ours.issue(t)
-	var told atomic.Int64
-	var good atomic.Int64
-	addr := serves(t, files, func(err error) {
+	var failures atomic.Int64
+	var recoveries atomic.Int64
+	addr := serveMesh(t, files, func(err error) {
 		if err == nil {
-			good.Add(1)
+			recoveries.Add(1)
 			return
 		}
 		assert.Check(t, errors.Is(err, ErrTLS))
-		told.Add(1)
+		failures.Add(1)
 	})
 	body, err := os.ReadFile(other.Key)
 	assert.NilError(t, err)
 	assert.NilError(t, os.WriteFile(files.Key, body, 0o600))
-	dials(t, ours.issue(t), addr).awaitLink(t)
-	dials(t, ours.issue(t), addr).awaitLink(t)
-	assert.Equal(t, told.Load(), int64(1), "one line for one fault")
+	dialMesh(t, ours.issue(t), addr).awaitLink(t)
+	dialMesh(t, ours.issue(t), addr).awaitLink(t)
+	assert.Equal(t, failures.Load(), int64(1), "one fault must be reported once")
 	assert.NilError(t, os.WriteFile(files.CA, []byte("-----BEGIN"), 0o600))
-	files.take(t, other)
-	dials(t, ours.issue(t), addr).awaitLink(t)
-	assert.Equal(t, good.Load(), int64(1))
+	files.replaceWith(t, other)
+	dialMesh(t, ours.issue(t), addr).awaitLink(t)
+	assert.Equal(t, recoveries.Load(), int64(1))
 }
 
 func TestSettingsFaults(t *testing.T) {
@@ -200,5 +200,5 @@
 	text = "host: {name: h, failure-domain: d}\nlisten: {links: 127.0.0.1:3, admin: 127.0.0.1:1}\nplatform: {address: 127.0.0.1:2}\ntls: {cert: x}\n"
 	assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
 	_, err = Load(path)
-	assert.ErrorContains(t, err, "s.yaml:4: tls: cert, key and ca go together")
+	assert.ErrorContains(t, err, "s.yaml:4: tls: cert, key and ca must be set together")
 }
--- a/share/node/versions.go
+++ b/share/node/versions.go
@@ -8,11 +8,11 @@
 	"dandelionstile/share/wire"
 )
 
-// check decides whether a version is valid. It looks at the set alone.
+// check decides whether a version is valid. The result depends on the set alone.
 func (n *Node) check(key string, s *syncer.Set) error {
 	if key == KeyConfig {
 		var err error
-		n.checked, err = n.parser.Parse(s.Version, configParts(s))
+		n.checkedConfig, err = n.parser.Parse(s.Version, configParts(s))
 		return err
 	}
 	var err error
@@ -24,20 +24,20 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case syncer.SendPull:
-			n.sendTo(a.Peer, pullTo(a))
+			n.sendTo(a.Peer, encodePull(a))
 		case syncer.SendDelta:
-			n.sendTo(a.Peer, deltaTo(a.Delta))
+			n.sendTo(a.Peer, encodeDelta(a.Delta))
 		case syncer.SendStamps:
-			n.sendTo(a.Peer, stampsTo(a.Stamps))
+			n.sendTo(a.Peer, encodeStamps(a.Stamps))
 		case syncer.ReadPlatform:
 			n.reads.Go(func() {
 				set, err := n.platform.read(a)
 				n.Post(PlatformRead{syncer.ReadResult{Key: a.Key, Set: set, Err: err}})
 			})
 		case syncer.Refuse:
-			n.noteRefused(a)
+			n.recordRefused(a)
 			n.Log.Error().Err(a.Err).Str("key", a.Key).Uint64("version", a.Stamp.Version).
-				Msg("version is invalid and was refused; the former stays in force")
+				Msg("rejected invalid version; keeping the previous one")
 		case syncer.Adopt:
 			n.adopt(now, a)
 		}
@@ -55,23 +55,23 @@
 func (n *Node) adopt(now clock.Milli, a syncer.Adopt) {
 	n.Log.Info().Str("key", a.Key).Uint64("version", a.Stamp.Version).Msg("version in force")
 	if a.Key == KeyConfig {
-		n.cfg = n.checked // the check before this adoption read it
-		n.engine.SetRequiredKeys(wanted(n.cfg))
+		n.cfg = n.checkedConfig // parsed by the check just before
+		n.engine.SetRequiredKeys(hostListKeys(n.cfg))
 	} else {
-		n.byKey[a.Key] = n.checkedHosts // the check before this adoption read them
+		n.hostsByKey[a.Key] = n.checkedHosts // parsed by the check just before
 		n.hosts = n.allHosts()
 		n.engine.Rank = n.rank()
 	}
 	n.configure(now)
-	if n.confirm != 0 {
-		for _, p := range n.sorted() {
-			n.beat(now, p, true)
+	if n.confirmSequence != 0 {
+		for _, p := range n.sortedPeers() {
+			n.sendHeartbeat(now, p, true)
 		}
 	}
 }
 
-// wanted lists the host lists that a configuration calls for.
-func wanted(cfg *topo.Config) []string {
+// hostListKeys lists the host lists that a configuration needs.
+func hostListKeys(cfg *topo.Config) []string {
 	keys := make([]string, len(cfg.Inventory.Domains))
 	for i, d := range cfg.Inventory.Domains {
 		keys[i] = KeyHostsPrefix + d.Name
@@ -83,13 +83,13 @@
 func (n *Node) allHosts() []topo.Host {
 	var all []topo.Host
 	for _, key := range n.engine.HeldKeys() {
-		all = append(all, n.byKey[key]...)
+		all = append(all, n.hostsByKey[key]...)
 	}
 	return all
 }
 
-// rank is this host's place among the aggregators of its failure domain that
-// may watch the platform. Every host computes the same order by itself.
+// rank returns this host's rank among the aggregators of its failure domain that
+// may watch the platform, or -1. Every host computes the same order independently.
 func (n *Node) rank() int {
 	if n.Program != Aggregator {
 		return -1
@@ -102,30 +102,30 @@
 	return -1
 }
 
-// configure tells the program what is in force. Hosts that say themselves that
-// they leave count as leaving before the host list says so.
+// configure passes the versions in force to the delegate. Hosts that announced
+// their leaving count as leaving even before the host list marks them.
 func (n *Node) configure(now clock.Milli) {
 	if n.cfg == nil || len(n.hosts) == 0 {
 		return
 	}
-	gone := map[string]bool{}
+	leaving := map[string]bool{}
 	for _, p := range n.peers {
 		if p.leaving && p.link.Peer.GetProgram() == Aggregator {
-			gone[p.link.Peer.GetHost()] = true
+			leaving[p.link.Peer.GetHost()] = true
 		}
 	}
 	if n.leaving && n.Program == Aggregator {
-		gone[n.Settings.Host.Name] = true
+		leaving[n.Settings.Host.Name] = true
 	}
 	hosts := append([]topo.Host(nil), n.hosts...)
 	for i := range hosts {
-		hosts[i].Leaving = hosts[i].Leaving || gone[hosts[i].Name]
+		hosts[i].Leaving = hosts[i].Leaving || leaving[hosts[i].Name]
 	}
 	n.Delegate.Configure(now, n.cfg, hosts)
-	n.redial(hosts)
+	n.updateLinks(hosts)
 }
 
-func (n *Node) redial(hosts []topo.Host) {
+func (n *Node) updateLinks(hosts []topo.Host) {
 	want := map[string]bool{}
 	for _, addr := range n.Delegate.LinkAddrs(n.cfg, hosts) {
 		if addr != n.Settings.Listen.Links {
@@ -138,7 +138,7 @@
 		}
 	}
 	for addr := range n.dialed {
-		if !want[addr] && !n.seed(addr) {
+		if !want[addr] && !n.isSeed(addr) {
 			n.mesh.Disconnect(addr)
 		}
 	}
@@ -148,7 +148,7 @@
 	n.dialed = want
 }
 
-func (n *Node) seed(addr string) bool {
+func (n *Node) isSeed(addr string) bool {
 	for _, s := range n.Settings.Peers {
 		if s == addr {
 			return true
