--- a/share/mesh/mesh.go
+++ b/share/mesh/mesh.go
@@ -1,6 +1,6 @@
 // Package mesh carries messages between dandelionstile's processes: protobuf
-// frames on a few long-lived yamux streams per peer. It owns all sockets of the
-// links and hands what arrives to a Handler.
+// frames on a few long-lived yamux streams per peer. It owns the sockets of all
+// links and passes received messages to a Handler.
 package mesh
 
 import (
@@ -23,61 +23,61 @@
 
 // Errors of Send and of links.
 var (
-	// ErrClosed: the link is closed; the message was not sent.
+	// ErrClosed means that the link is closed. The message was not sent.
 	ErrClosed = errors.New("link is closed")
-	// ErrBusy: the peer takes messages too slowly; the message was not sent.
+	// ErrBusy means that the peer reads too slowly. The message was not sent.
 	ErrBusy = errors.New("link is busy")
-	// ErrProtocol: the peer sent what no dandelionstile process sends.
+	// ErrProtocol means that the peer sent a message that violates the protocol.
 	ErrProtocol = errors.New("peer breaks the protocol")
-	// ErrSilent: the peer does not answer pings.
+	// ErrUnresponsive means that the peer does not answer pings or sends no heartbeats.
 	ErrUnresponsive = errors.New("peer is silent")
 )
 
 // Limits and timing of links.
 const (
-	// MaxFrameBytes is the largest message, in bytes.
+	// MaxFrameBytes is the size of the largest message.
 	MaxFrameBytes = 4 << 20
-	// streams is how many streams a link has: one for control, the others for
-	// traffic, so that a large answer does not hold up a heartbeat.
-	streams = 3
-	// sendQueue is how many messages wait per stream before Send says ErrBusy.
-	sendQueue   = 1024
-	dialTimeout = 2 * time.Second
-	// pingEvery is the pause between pings on a link that carries nothing, and
-	// pingBusy on one that does; one that takes longer than pingTimeout closes
-	// the link. The side that dialed pings.
-	pingEvery    = 2 * time.Second
-	pingBusy     = 10 * time.Second
-	pingTimeout  = 2 * time.Second
-	helloTimeout = 3 * time.Second
-	redialLeast  = 100 * time.Millisecond
-	redialMost   = 2 * time.Second
+	// streamsPerLink counts one stream for control and the others for traffic, so
+	// that a large answer does not delay a heartbeat.
+	streamsPerLink = 3
+	// sendQueueLen is how many messages a stream queues before Send returns ErrBusy.
+	sendQueueLen = 1024
+	dialTimeout  = 2 * time.Second
+	// idlePingInterval is the pause between pings on a link without traffic, and
+	// busyPingInterval on a link with traffic. A ping that takes longer than
+	// pingTimeout closes the link. The side that dialed sends the pings.
+	idlePingInterval = 2 * time.Second
+	busyPingInterval = 10 * time.Second
+	pingTimeout      = 2 * time.Second
+	helloTimeout     = 3 * time.Second
+	minRedialDelay   = 100 * time.Millisecond
+	maxRedialDelay   = 2 * time.Second
 )
 
-// Handler is told what happens on links. Its methods are called from many
-// goroutines and must return soon.
+// Handler receives the events of links. Its methods are called from many
+// goroutines and must return quickly.
 type Handler interface {
-	// Up: a link is ready; its Peer is known.
+	// Up reports that a link is ready; its Peer is known.
 	Up(l *Link)
-	// Frame: a message came.
+	// Frame receives a message.
 	Frame(l *Link, m *wire.Envelope)
-	// Down: the link is closed. No Frame follows.
+	// Down reports that the link is closed. No Frame follows.
 	Down(l *Link, err error)
-	// RTT: a ping was answered.
+	// RTT reports the round-trip time of a ping.
 	RTT(l *Link, rtt time.Duration)
 }
 
 // Link is one connection to a peer.
 type Link struct {
-	// ID differs between all links of a process.
+	// ID is unique among all links of a process.
 	ID uint64
-	// Peer is what the other side said of itself.
+	// Peer is the peer's hello.
 	Peer *wire.Hello
 	// DialedAddr is the address that this side dialed, or "".
 	DialedAddr string
 
 	session *yamux.Session
-	queues  [streams]chan *wire.Envelope
+	queues  [streamsPerLink]chan *wire.Envelope
 	done    chan struct{}
 	once    sync.Once
 	err     error
@@ -85,15 +85,15 @@
 	frames  atomic.Uint64 // received
 }
 
-var lastLink atomic.Uint64
+var lastLinkID atomic.Uint64
 
 // Send queues a message. It never blocks. A nil error does not mean that the
-// peer got it; an error means that it certainly did not.
+// peer received the message; an error means that it was not sent.
 func (l *Link) Send(m *wire.Envelope) error {
-	return l.put(l.queues[l.lane(m)], m)
+	return l.enqueue(l.queues[l.streamFor(m)], m)
 }
 
-func (l *Link) put(q chan *wire.Envelope, m *wire.Envelope) error {
+func (l *Link) enqueue(q chan *wire.Envelope, m *wire.Envelope) error {
 	select {
 	case <-l.done:
 		return ErrClosed
@@ -107,17 +107,17 @@
 	}
 }
 
-// lane picks the stream: traffic goes by query so that one query's messages
-// stay in order, all else goes first.
-func (l *Link) lane(m *wire.Envelope) int {
+// streamFor returns the index of the message's stream. Traffic is spread by query,
+// so that the messages of one query stay in order; everything else uses stream 0.
+func (l *Link) streamFor(m *wire.Envelope) int {
 	switch b := m.Body.(type) {
 	case *wire.Envelope_Batch:
 		if len(b.Batch.Calls) > 0 {
-			return 1 + int(b.Batch.Calls[0].Id)%(streams-1)
+			return 1 + int(b.Batch.Calls[0].Id)%(streamsPerLink-1)
 		}
 	case *wire.Envelope_Outcomes:
 		if len(b.Outcomes.Outcomes) > 0 {
-			return 1 + int(b.Outcomes.Outcomes[0].Call)%(streams-1)
+			return 1 + int(b.Outcomes.Outcomes[0].Call)%(streamsPerLink-1)
 		}
 	case *wire.Envelope_Delta:
 		return 1
@@ -130,7 +130,7 @@
 	l.once.Do(func() {
 		l.err = err
 		close(l.done)
-		_ = l.session.Close() // the link is given up anyway
+		_ = l.session.Close() // the link is abandoned either way
 	})
 }
 
@@ -141,17 +141,17 @@
 	return nil
 }
 
-// Mesh is one process's side of all links. Fields are set before Listen or
-// Dial and then left alone.
+// Mesh is one process's side of all links. Its fields are set before Listen or
+// Dial and not changed afterwards.
 type Mesh struct {
 	Hello   *wire.Hello
 	Handler Handler
-	// TLS is used on all links when set.
+	// TLS is used on all links if set.
 	TLS *tls.Config
-	// MaxLinks bounds the links accepted; 0 means DefaultMaxLinks.
+	// MaxLinks limits the accepted links; 0 means DefaultMaxLinks.
 	MaxLinks int
-	// SourceIP is the IP that links are dialed from; empty leaves it to the
-	// system. With it, a host's links come from the address it is known by.
+	// SourceIP is the IP that links are dialed from; empty leaves the choice to the
+	// operating system. If set, a host's links come from its known address.
 	SourceIP string
 
 	mu       sync.Mutex
@@ -163,7 +163,7 @@
 	accepted atomic.Int64
 }
 
-// DefaultMaxLinks is how many links a process accepts.
+// DefaultMaxLinks is the default limit on accepted links.
 const DefaultMaxLinks = 16384
 
 // Listen accepts links on an address and returns the address in use.
@@ -180,9 +180,9 @@
 }
 
 func (m *Mesh) accept(ln net.Listener) {
-	most := int64(m.MaxLinks)
-	if most == 0 {
-		most = DefaultMaxLinks
+	limit := int64(m.MaxLinks)
+	if limit == 0 {
+		limit = DefaultMaxLinks
 	}
 	for {
 		c, err := ln.Accept()
@@ -190,12 +190,12 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(10 * time.Millisecond) // out of descriptors: let some close
+			time.Sleep(10 * time.Millisecond) // out of descriptors: wait for some to close
 			continue
 		}
-		if m.accepted.Add(1) > most {
+		if m.accepted.Add(1) > limit {
 			m.accepted.Add(-1)
-			_ = c.Close() // the peer sees the end of the stream and dials again
+			_ = c.Close() // the peer sees the end of the stream and redials
 			continue
 		}
 		m.wait.Go(func() {
@@ -208,8 +208,8 @@
 	}
 }
 
-// Dial keeps a link to an address until Hangup or Close. Dialing an address
-// twice does nothing.
+// Dial keeps a link to an address until Disconnect or Close. Dialing an address
+// twice has no effect.
 func (m *Mesh) Dial(addr string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -224,28 +224,28 @@
 	m.wait.Go(func() { m.redial(ctx, addr) })
 }
 
-// Disconnect gives up the link to an address.
+// Disconnect closes the link to an address and stops dialing it.
 func (m *Mesh) Disconnect(addr string) {
 	m.mu.Lock()
 	cancel := m.dials[addr]
 	delete(m.dials, addr)
-	var gone []*Link
+	var closing []*Link
 	for l := range m.links {
 		if l.DialedAddr == addr {
-			gone = append(gone, l)
+			closing = append(closing, l)
 		}
 	}
 	m.mu.Unlock()
 	if cancel != nil {
 		cancel()
 	}
-	for _, l := range gone {
+	for _, l := range closing {
 		l.Fail(ErrClosed)
 	}
 }
 
 func (m *Mesh) redial(ctx context.Context, addr string) {
-	pause := redialLeast
+	delay := minRedialDelay
 	for ctx.Err() == nil {
 		d := net.Dialer{Timeout: dialTimeout, LocalAddr: fetch.SourceAddr(m.SourceIP)}
 		started := time.Now()
@@ -255,52 +255,52 @@
 			}
 			m.run(c, addr, yamux.Client)
 		}
-		if time.Since(started) > redialMost {
-			pause = redialLeast
+		if time.Since(started) > maxRedialDelay {
+			delay = minRedialDelay
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
-		pause = min(2*pause, redialMost)
+		delay = min(2*delay, maxRedialDelay)
 	}
 }
 
-func config() *yamux.Config {
+func yamuxConfig() *yamux.Config {
 	c := yamux.DefaultConfig()
-	c.EnableKeepAlive = false // ping does it, and measures
+	c.EnableKeepAlive = false // Link.ping replaces it and measures the round-trip time
 	c.ConnectionWriteTimeout = pingTimeout
 	c.MaxStreamWindowSize = MaxFrameBytes
 	c.LogOutput = io.Discard
 	return c
 }
 
-// run works a link until it ends.
+// run serves a connection until its link is closed.
 func (m *Mesh) run(c net.Conn, dialed string, side func(io.ReadWriteCloser, *yamux.Config) (*yamux.Session, error)) {
-	session, err := side(c, config())
+	session, err := side(c, yamuxConfig())
 	if err != nil {
-		_ = c.Close() // it was never used
+		_ = c.Close() // nothing was sent on it
 		return
 	}
-	l := &Link{ID: lastLink.Add(1), DialedAddr: dialed, session: session, done: make(chan struct{})}
+	l := &Link{ID: lastLinkID.Add(1), DialedAddr: dialed, session: session, done: make(chan struct{})}
 	for i := range l.queues {
-		l.queues[i] = make(chan *wire.Envelope, sendQueue)
+		l.queues[i] = make(chan *wire.Envelope, sendQueueLen)
 	}
 	if !m.add(l) {
 		l.Fail(ErrClosed)
 		return
 	}
 	defer m.remove(l)
-	lanes, err := l.open(dialed != "")
+	streams, err := l.openStreams(dialed != "")
 	if err == nil {
-		err = m.greet(l, lanes[0])
+		err = m.exchangeHello(l, streams[0])
 	}
 	if err != nil {
 		l.Fail(err)
 		return
 	}
 	m.Handler.Up(l)
-	for i, s := range lanes {
+	for i, s := range streams {
 		l.wait.Go(func() { l.write(s, l.queues[i]) })
 		l.wait.Go(func() { l.read(s, m.Handler) })
 	}
@@ -330,18 +330,18 @@
 	delete(m.links, l)
 }
 
-// lane is one stream with its buffered reader.
-type lane struct {
+// stream is one stream of a link with its buffered reader.
+type stream struct {
 	*yamux.Stream
 	r *bufio.Reader
 }
 
-// open opens all streams, or accepts them, within helloTimeout.
-func (l *Link) open(dialer bool) ([]lane, error) {
-	guard := time.AfterFunc(helloTimeout, func() { l.Fail(ErrUnresponsive) })
-	defer guard.Stop()
-	lanes := make([]lane, streams)
-	for i := range lanes {
+// openStreams opens or accepts all streams, within helloTimeout.
+func (l *Link) openStreams(dialer bool) ([]stream, error) {
+	timer := time.AfterFunc(helloTimeout, func() { l.Fail(ErrUnresponsive) })
+	defer timer.Stop()
+	streams := make([]stream, streamsPerLink)
+	for i := range streams {
 		var s *yamux.Stream
 		var err error
 		if dialer {
@@ -352,30 +352,29 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "open streams")
 		}
-		lanes[i] = lane{s, bufio.NewReaderSize(s, 16<<10)}
+		streams[i] = stream{s, bufio.NewReaderSize(s, 16<<10)}
 	}
-	// Streams are accepted in the order in which they were opened, but a peer
-	// only sees those that carry something or were announced; yamux announces
-	// each on opening.
-	return lanes, nil
+	// The accepting side relies on two properties of yamux: it announces each
+	// stream when it is opened, and it accepts streams in the order of opening.
+	return streams, nil
 }
 
-// greet exchanges hellos.
-func (m *Mesh) greet(l *Link, s lane) error {
+// exchangeHello sends this process's hello and reads the peer's.
+func (m *Mesh) exchangeHello(l *Link, s stream) error {
 	deadline := time.Now().Add(helloTimeout)
 	_ = s.SetDeadline(deadline) // a stream accepts any deadline
 	hello := &wire.Envelope{Body: &wire.Envelope_Hello{Hello: m.Hello}}
 	if _, err := protodelim.MarshalTo(s, hello); err != nil {
 		return errors.Wrap(err, "send hello")
 	}
-	var got wire.Envelope
-	if err := unmarshal(s.r, &got); err != nil {
+	var reply wire.Envelope
+	if err := unmarshal(s.r, &reply); err != nil {
 		return errors.Wrap(err, "read hello")
 	}
-	if got.GetHello() == nil {
+	if reply.GetHello() == nil {
 		return errors.Wrap(ErrProtocol, "no hello")
 	}
-	l.Peer = got.GetHello()
+	l.Peer = reply.GetHello()
 	_ = s.SetDeadline(time.Time{})
 	return nil
 }
@@ -384,15 +383,15 @@
 	return protodelim.UnmarshalOptions{MaxSize: MaxFrameBytes}.UnmarshalFrom(r, m)
 }
 
-// write sends what is queued, gathering small messages into one write.
-func (l *Link) write(s lane, q chan *wire.Envelope) {
+// write sends queued messages and combines small ones into one write.
+func (l *Link) write(s stream, q chan *wire.Envelope) {
 	w := bufio.NewWriterSize(s, 16<<10)
 	for {
 		select {
 		case <-l.done:
 			return
 		case m := <-q:
-			if err := l.drain(w, m, q); err != nil {
+			if err := l.writeQueued(w, m, q); err != nil {
 				l.Fail(errors.Wrap(err, "write to peer"))
 				return
 			}
@@ -400,7 +399,7 @@
 	}
 }
 
-func (l *Link) drain(w *bufio.Writer, m *wire.Envelope, q chan *wire.Envelope) error {
+func (l *Link) writeQueued(w *bufio.Writer, m *wire.Envelope, q chan *wire.Envelope) error {
 	for {
 		if _, err := protodelim.MarshalTo(w, m); err != nil {
 			return err
@@ -414,11 +413,11 @@
 	}
 }
 
-func (l *Link) read(s lane, h Handler) {
+func (l *Link) read(s stream, h Handler) {
 	for {
 		m := &wire.Envelope{}
 		if err := unmarshal(s.r, m); err != nil {
-			l.Fail(readFault(err))
+			l.Fail(classifyReadError(err))
 			return
 		}
 		if m.Body == nil {
@@ -430,9 +429,9 @@
 	}
 }
 
-// readFault tells a peer that ended, or whose connection broke, from one that
-// sent what cannot be read.
-func readFault(err error) error {
+// classifyReadError marks errors caused by unreadable data with ErrProtocol. The
+// others mean that the peer closed the connection or that it broke.
+func classifyReadError(err error) error {
 	var ne net.Error
 	ended := errors.IsAny(err, io.EOF, io.ErrUnexpectedEOF, net.ErrClosed, yamux.ErrSessionShutdown, yamux.ErrStreamClosed,
 		yamux.ErrConnectionReset, yamux.ErrStreamsExhausted)
@@ -442,30 +441,30 @@
 	return errors.Mark(errors.Wrap(err, "read from peer"), ErrProtocol)
 }
 
-// ping measures the way to the peer and closes a link that went silent, as
-// happens when something in between has lost track of the connection: without
-// it, calls would go into the void until TCP gives up, minutes later.
+// ping measures the round-trip time and closes a link that no longer responds, for
+// example because a middlebox dropped the connection's state. Without pings, calls
+// on such a link would be lost until TCP gives up minutes later.
 func (l *Link) ping(h Handler) {
-	tick := time.NewTicker(pingEvery)
+	tick := time.NewTicker(idlePingInterval)
 	defer tick.Stop()
 	for {
-		guard := time.AfterFunc(pingTimeout, func() { l.Fail(ErrUnresponsive) })
+		timer := time.AfterFunc(pingTimeout, func() { l.Fail(ErrUnresponsive) })
 		rtt, err := l.session.Ping()
-		guard.Stop()
+		timer.Stop()
 		if err != nil {
 			l.Fail(errors.Wrap(err, "ping peer"))
 			return
 		}
 		h.RTT(l, rtt)
-		if !l.idle(tick.C) {
+		if !l.waitForPing(tick.C) {
 			return
 		}
 	}
 }
 
-// idle returns when it is time for another ping, or false when the link is
-// closed.
-func (l *Link) idle(tick <-chan time.Time) bool {
+// waitForPing waits until the next ping is due. It returns false if the link is
+// closed first.
+func (l *Link) waitForPing(tick <-chan time.Time) bool {
 	for pinged := time.Now(); ; {
 		before := l.frames.Load()
 		select {
@@ -473,7 +472,7 @@
 			return false
 		case <-tick:
 		}
-		if l.frames.Load() == before || time.Since(pinged) >= pingBusy {
+		if l.frames.Load() == before || time.Since(pinged) >= busyPingInterval {
 			return true
 		}
 	}
@@ -484,7 +483,7 @@
 	m.mu.Lock()
 	m.closed = true
 	if m.listener != nil {
-		_ = m.listener.Close() // accept ends on it
+		_ = m.listener.Close() // ends accept
 	}
 	for _, cancel := range m.dials {
 		cancel()
--- a/share/mesh/mesh_test.go
+++ b/share/mesh/mesh_test.go
@@ -16,12 +16,12 @@
 	"dandelionstile/share/wire"
 )
 
-// recorder keeps what a mesh reports.
+// recorder records the events of a mesh.
 type recorder struct {
 	mu     sync.Mutex
 	up     []*Link
 	down   int
-	why    error
+	err    error
 	frames []*wire.Envelope
 }
 
@@ -41,7 +41,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down++
-	r.why = err
+	r.err = err
 }
 
 func (r *recorder) RTT(*Link, time.Duration) {}
@@ -68,15 +68,15 @@
 	server, client = &recorder{}, &recorder{}
 	s := &Mesh{Hello: &wire.Hello{Host: "s"}, Handler: server}
 	c := &Mesh{Hello: &wire.Hello{Host: "c"}, Handler: client}
-	at, err := s.Listen("127.0.0.1:0")
+	bound, err := s.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() {
 		assert.NilError(t, c.Close())
 		assert.NilError(t, s.Close())
 	})
-	c.Dial(at.String())
+	c.Dial(bound.String())
 	client.await(t, "link", func(up, _, _ int) bool { return up == 1 })
-	return server, client, at.String()
+	return server, client, bound.String()
 }
 
 func TestMessagesPassAndCloseWaits(t *testing.T) {
@@ -91,8 +91,8 @@
 	server.await(t, "frames", func(_, _, frames int) bool { return frames == 100 })
 }
 
-// A stranger, or a broken peer, connects to the links' port and sends garbage.
-// Its connection must go, and no other link with it.
+// A foreign client or a broken peer connects to the links' port and sends garbage.
+// That must close its own connection and no other link.
 func TestGarbageEndsOnlyItsOwnLink(t *testing.T) {
 	server, client, addr := pair(t)
 	for _, garbage := range [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n"), bytes.Repeat([]byte{0xff}, 4096), {0, 1, 0, 0}} {
@@ -106,13 +106,13 @@
 	server.await(t, "the good link's frame", func(_, _, frames int) bool { return frames == 1 })
 }
 
-// A peer sends a message larger than any; memory must not go with it.
+// A message over MaxFrameBytes must close the link before memory is allocated for it.
 func TestOversizeMessageClosesTheLink(t *testing.T) {
 	server, client, _ := pair(t)
 	big := &wire.Envelope{Body: &wire.Envelope_Delta{Delta: &wire.Delta{Packed: make([]byte, MaxFrameBytes+1)}}}
 	assert.NilError(t, client.up[0].Send(big))
 	server.await(t, "link down", func(_, down, frames int) bool { return down == 1 && frames == 0 })
-	assert.Assert(t, errors.Is(server.why, ErrProtocol), "%v", server.why)
+	assert.Assert(t, errors.Is(server.err, ErrProtocol), "%v", server.err)
 }
 
 func FuzzFrame(f *testing.F) {
@@ -131,7 +131,7 @@
 		if o := m.GetOutcomes(); o != nil {
 			for _, one := range o.GetOutcomes() {
 				if k := wire.OutcomeFrom(one).Kind; k.String() == "invalid" {
-					t.Fatal("kind that is none")
+					t.Fatal("outcome has an invalid kind")
 				}
 			}
 		}
