--- a/share/syncer/engine.go
+++ b/share/syncer/engine.go
@@ -6,39 +6,39 @@
 	"dandelionstile/share/clock"
 )
 
-// Timing of the exchange, in milliseconds.
+// Timing and limits of the exchange.
 const (
-	// pullTimeout is how long an asked peer may take before another is asked.
+	// pullTimeout is how long to wait for a peer's delta before asking another peer.
 	pullTimeout clock.Milli = 300
-	// lonely is how long a fresh host waits for peers before it asks the
-	// platform itself.
-	lonely = 2 * clock.Second
-	// promote is the age of the platform's last word, per rank, after which
-	// the next host in rank becomes a watcher too.
-	promote = 3 * clock.Second
-	// watchPause is the least time between two reads of a key. It bounds the
-	// reads when the platform answers a watch at once with a stale value.
-	watchPause clock.Milli = 250
-	// retryBase and retryMax bound the pause after failed reads.
+	// startupPeerWait is how long a starting host waits for its peers to offer a key
+	// before it reads the platform itself.
+	startupPeerWait = 2 * clock.Second
+	// promoteAfter is the time without contact to the platform, per rank, after which
+	// the host next in rank becomes a watcher too.
+	promoteAfter = 3 * clock.Second
+	// minReadInterval is the minimum time between two reads of a key. It limits the
+	// reads when the platform answers a watch immediately with a stale value.
+	minReadInterval clock.Milli = 250
+	// retryBase and retryMax bound the delay after failed reads.
 	retryBase = clock.Second
 	retryMax  = 10 * clock.Second
-	// serveMost is how many peers are sent a version per serveSpan.
-	serveMost             = 4
-	serveSpan clock.Milli = 400
-	// history is how many versions are kept to make deltas from.
-	history = 16
+	// maxServes is how many peers are sent a version per serveWindow.
+	maxServes               = 4
+	serveWindow clock.Milli = 400
+	// maxPrevious is how many previous versions are kept to compute deltas from.
+	maxPrevious = 16
 )
 
 // Defaults for fields that are left zero.
 const (
 	// DefaultWatchers is how many hosts per failure domain watch the platform
-	// in normal times.
+	// while it can be reached.
 	DefaultWatchers = 2
-	// extraWatchers is how many more may be promoted in a failure domain.
-	extraWatchers = 4
+	// maxExtraWatchers is how many more hosts of a failure domain may be promoted.
+	maxExtraWatchers = 4
 )
 
-// Action is something for the program to do; one of the types below.
+// Action is an instruction to the program; one of the types below.
 type Action interface{ action() }
 
 // SendPull asks a peer for a delta.
@@ -54,28 +54,28 @@
 	Delta Delta
 }
 
-// SendStamps tells a peer which versions are in force here. Key "" tells all.
+// SendStamps sends a peer the stamps of versions in force here.
 type SendStamps struct {
 	Peer   string
 	Stamps map[string]Stamp
 }
 
-// ReadPlatform asks the platform for a key, waiting for a version other than
-// the one given when Watch is set.
+// ReadPlatform asks the platform for a key. If Watch is set, the read waits for a
+// version other than After.
 type ReadPlatform struct {
 	Key   string
 	After uint64
 	Watch bool
 }
 
-// Adopt says that a version is now in force.
+// Adopt reports that a version is now in force.
 type Adopt struct {
 	Key   string
 	Set   *Set
 	Stamp Stamp
 }
 
-// Refuse says that a version was found invalid; the former stays in force.
+// Refuse reports that a version is invalid; the previous one stays in force.
 type Refuse struct {
 	Key   string
 	Stamp Stamp
@@ -89,53 +89,53 @@
 func (Adopt) action()        {}
 func (Refuse) action()       {}
 
-// ReadResult is the platform's answer to a ReadPlatform: a whole set, or an error.
-// The program assembles the parts; Needs tells it which ones it lacks.
+// ReadResult is the result of a ReadPlatform: a whole set, or an error. The program
+// assembles the set from its parts.
 type ReadResult struct {
 	Key string
 	Set *Set
 	Err error
 }
 
-// Engine holds one host's versions. Fields are set before the first call and
-// then left alone. It is used from one goroutine.
+// Engine holds one host's versions. Its fields are set before the first call and
+// not changed afterwards, except Rank. It is not safe for concurrent use.
 type Engine struct {
-	// Keys are the keys that this host keeps from its start; keys heard from
-	// peers are added.
+	// Keys are the keys that this host keeps from the start; keys that peers offer
+	// are added.
 	Keys []string
-	// WatchKeys are the keys this host reads from the platform when its rank
+	// WatchKeys are the keys that this host reads from the platform while its rank
 	// makes it a watcher.
 	WatchKeys []string
-	// Rank is the host's place among those of its failure domain; -1 means
+	// Rank is the host's rank among those of its failure domain; -1 means that it is
 	// never a watcher. It may be changed when the host list changes.
 	Rank int
 	// Watchers is how many hosts of a failure domain watch the platform.
 	Watchers int
-	// Check is asked before a version goes in force. It must depend on the set
-	// alone, so that every host comes to the same verdict.
+	// Check validates a version before it goes into force. Its result must depend on
+	// the set alone, so that every host reaches the same result.
 	Check func(key string, s *Set) error
 
-	started  clock.Milli
-	platform clock.Milli // last word from the platform that is known of
-	keys     map[string]*versions
-	peers    map[string]*peer
-	reads    map[string]*reader
-	wants    []string
-	digest   uint64
+	started       clock.Milli
+	platformHeard clock.Milli // last contact to the platform that this host or a peer reported; 0 for none
+	keys          map[string]*keyState
+	peers         map[string]*peer
+	readers       map[string]*reader
+	requiredKeys  []string
+	digest        uint64
 }
 
-type versions struct {
-	now     *Set
-	stamp   Stamp
-	past    []*Set
-	refused Stamp
+type keyState struct {
+	current  *Set
+	stamp    Stamp
+	previous []*Set
+	refused  Stamp
 	// pull in flight
-	asked   string
-	askedAt clock.Milli
-	tries   int
-	// how often the version in force was served since servedAt
-	served   int
-	servedAt clock.Milli
+	pullPeer string
+	pulledAt clock.Milli
+	attempts int
+	// how many peers were sent the version since windowStart
+	served      int
+	windowStart clock.Milli
 }
 
 type peer struct {
@@ -148,27 +148,27 @@
 		return
 	}
 	e.started = now
-	e.keys = map[string]*versions{}
+	e.keys = map[string]*keyState{}
 	e.peers = map[string]*peer{}
-	e.reads = map[string]*reader{}
+	e.readers = map[string]*reader{}
 	for _, k := range e.Keys {
-		e.keys[k] = &versions{}
+		e.keys[k] = &keyState{}
 	}
 	for _, k := range e.WatchKeys {
-		e.key(k)
+		e.stateOf(k)
 	}
 }
 
-func (e *Engine) key(k string) *versions {
+func (e *Engine) stateOf(k string) *keyState {
 	v, ok := e.keys[k]
 	if !ok {
-		v = &versions{}
+		v = &keyState{}
 		e.keys[k] = v
 	}
 	return v
 }
 
-// Stamp returns the version in force for a key.
+// Stamp returns the stamp of the version in force for a key.
 func (e *Engine) Stamp(key string) Stamp {
 	if v, ok := e.keys[key]; ok {
 		return v.stamp
@@ -179,37 +179,37 @@
 // Set returns the version in force for a key, or nil.
 func (e *Engine) Set(key string) *Set {
 	if v, ok := e.keys[key]; ok {
-		return v.now
+		return v.current
 	}
 	return nil
 }
 
-// Digest sums up all versions in force; peers with the same digest have the
-// same contents.
+// Digest returns a hash over all versions in force; peers with the same digest have
+// the same contents.
 func (e *Engine) Digest() uint64 { return e.digest }
 
-// PlatformAge is how long ago the platform was last heard by anyone this host
-// knows of, and whether it ever was.
+// PlatformAge returns the time since the last contact to the platform that this
+// host or a peer reported, and whether there was one.
 func (e *Engine) PlatformAge(now clock.Milli) (clock.Milli, bool) {
-	if e.platform == 0 {
+	if e.platformHeard == 0 {
 		return 0, false
 	}
-	return now - e.platform, true
+	return now - e.platformHeard, true
 }
 
-// HandleHeartbeat takes a peer's heartbeat: the digest of its versions and the age of the
-// platform's last word that it knows of.
-func (e *Engine) HandleHeartbeat(now clock.Milli, from string, digest uint64, age clock.Milli, heard bool) []Action {
+// HandleHeartbeat processes a peer's heartbeat: the digest of its versions and the
+// time since the last contact to the platform that it knows of.
+func (e *Engine) HandleHeartbeat(now clock.Milli, from string, digest uint64, age clock.Milli, known bool) []Action {
 	e.init(now)
 	p := e.peer(from)
 	p.digest = digest
-	if heard {
-		e.platform = max(e.platform, now-age)
+	if known {
+		e.platformHeard = max(e.platformHeard, now-age)
 	}
 	if digest == e.digest {
 		return nil
 	}
-	return []Action{SendStamps{Peer: from, Stamps: e.all()}}
+	return []Action{SendStamps{Peer: from, Stamps: e.allStamps()}}
 }
 
 func (e *Engine) peer(name string) *peer {
@@ -221,39 +221,39 @@
 	return p
 }
 
-func (e *Engine) all() map[string]Stamp {
+func (e *Engine) allStamps() map[string]Stamp {
 	m := make(map[string]Stamp, len(e.keys))
 	for k, v := range e.keys {
-		if v.now != nil {
+		if v.current != nil {
 			m[k] = v.stamp
 		}
 	}
 	return m
 }
 
-// RemovePeer forgets a peer whose link is closed.
+// RemovePeer removes a peer whose link is closed.
 func (e *Engine) RemovePeer(now clock.Milli, name string) []Action {
 	e.init(now)
 	delete(e.peers, name)
 	var out []Action
-	for _, v := range e.sorted() {
-		if v.asked == name {
-			v.asked = ""
-			out = append(out, e.pull(now, v.name, v.versions)...)
+	for _, v := range e.sortedKeys() {
+		if v.pullPeer == name {
+			v.pullPeer = ""
+			out = append(out, e.pull(now, v.name, v.keyState)...)
 		}
 	}
 	return out
 }
 
-type named struct {
+type namedKey struct {
 	name string
-	*versions
+	*keyState
 }
 
-func (e *Engine) sorted() []named {
-	list := make([]named, 0, len(e.keys))
+func (e *Engine) sortedKeys() []namedKey {
+	list := make([]namedKey, 0, len(e.keys))
 	for k, v := range e.keys {
-		list = append(list, named{k, v})
+		list = append(list, namedKey{k, v})
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].name < list[j].name })
 	return list
@@ -262,8 +262,8 @@
 // HeldKeys lists the keys that have a version in force.
 func (e *Engine) HeldKeys() []string {
 	var keys []string
-	for _, v := range e.sorted() {
-		if v.now != nil {
+	for _, v := range e.sortedKeys() {
+		if v.current != nil {
 			keys = append(keys, v.name)
 		}
 	}
--- a/share/syncer/pull.go
+++ b/share/syncer/pull.go
@@ -9,7 +9,7 @@
 	"dandelionstile/share/clock"
 )
 
-// HandleStamps takes what a peer says it has in force, and pulls what is newer.
+// HandleStamps records a peer's stamps and pulls newer versions.
 func (e *Engine) HandleStamps(now clock.Milli, from string, stamps map[string]Stamp) []Action {
 	e.init(now)
 	p := e.peer(from)
@@ -22,23 +22,22 @@
 	sort.Strings(names)
 	for _, k := range names {
 		p.stamps[k] = stamps[k]
-		v := e.key(k)
+		v := e.stateOf(k)
 		if stamps[k].Less(v.stamp) {
 			older = true
 		}
 		out = append(out, e.pull(now, k, v)...)
 	}
 	if older {
-		out = append(out, SendStamps{Peer: from, Stamps: e.all()})
+		out = append(out, SendStamps{Peer: from, Stamps: e.allStamps()})
 	}
 	return out
 }
 
-// pull asks one peer at a time for a newer version of a key. A peer that does
-// not answer, because it is frozen or has served enough others, is followed by
-// the next.
-func (e *Engine) pull(now clock.Milli, key string, v *versions) []Action {
-	if v.asked != "" && now-v.askedAt < pullTimeout {
+// pull asks one peer at a time for a newer version of a key. If a peer does not
+// answer because it is frozen or has reached maxServes, the next peer is asked.
+func (e *Engine) pull(now clock.Milli, key string, v *keyState) []Action {
+	if v.pullPeer != "" && now-v.pulledAt < pullTimeout {
 		return nil
 	}
 	best := v.stamp
@@ -56,18 +55,18 @@
 		}
 	}
 	if len(offers) == 0 {
-		v.asked, v.tries = "", 0
+		v.pullPeer, v.attempts = "", 0
 		return nil
 	}
-	from := inTurn(offers, key, best)[v.tries%len(offers)]
-	v.tries++
-	v.asked, v.askedAt = from, now
+	from := orderForVersion(offers, key, best)[v.attempts%len(offers)]
+	v.attempts++
+	v.pullPeer, v.pulledAt = from, now
 	return []Action{SendPull{Peer: from, Key: key, Have: v.stamp}}
 }
 
-// inTurn orders peers differently for each version, so that no peer has to
-// serve all others all the time.
-func inTurn(names []string, key string, s Stamp) []string {
+// orderForVersion orders peers differently for each version, so that the same
+// peer is not always asked first.
+func orderForVersion(names []string, key string, s Stamp) []string {
 	salt := key + strconv.FormatUint(s.Version, 10)
 	sort.Slice(names, func(i, j int) bool {
 		a, b := xxhash.Sum64String(names[i]+salt), xxhash.Sum64String(names[j]+salt)
@@ -79,37 +78,37 @@
 	return names
 }
 
-// HandlePull answers a peer that asks for what is newer than a version it has.
+// HandlePull answers a peer that asks for a version newer than the one it has.
 func (e *Engine) HandlePull(now clock.Milli, from, key string, have Stamp) []Action {
 	e.init(now)
 	v, ok := e.keys[key]
-	if !ok || v.now == nil || !have.Less(v.stamp) {
+	if !ok || v.current == nil || !have.Less(v.stamp) {
 		return nil
 	}
 	var base *Set
-	for _, old := range v.past {
+	for _, old := range v.previous {
 		if old.Stamp() == have {
 			base = old
 		}
 	}
-	if now-v.servedAt >= serveSpan {
-		v.served, v.servedAt = 0, now
+	if now-v.windowStart >= serveWindow {
+		v.served, v.windowStart = 0, now
 	}
-	if v.served >= serveMost {
-		// Others have it by now, too. A host with many links would otherwise
-		// send the version to all of them.
+	if v.served >= maxServes {
+		// Other peers have the version by now. Without the limit, a host with many
+		// links would send it to all of them.
 		return nil
 	}
 	v.served++
-	return []Action{SendDelta{Peer: from, Delta: v.now.diff(key, base)}}
+	return []Action{SendDelta{Peer: from, Delta: v.current.diff(key, base)}}
 }
 
-// HandleDelta takes a peer's answer to a pull.
+// HandleDelta processes a peer's answer to a pull.
 func (e *Engine) HandleDelta(now clock.Milli, from string, d Delta) []Action {
 	e.init(now)
-	v := e.key(d.Key)
-	if v.asked == from {
-		v.asked = ""
+	v := e.stateOf(d.Key)
+	if v.pullPeer == from {
+		v.pullPeer = ""
 	}
 	if !v.stamp.Less(d.To) {
 		return nil
@@ -117,17 +116,17 @@
 	if d.From.Version != 0 && d.From != v.stamp {
 		return e.pull(now, d.Key, v)
 	}
-	s, err := v.now.apply(d)
+	s, err := v.current.apply(d)
 	if err != nil {
 		return []Action{SendPull{Peer: from, Key: d.Key}}
 	}
-	return e.offer(now, d.Key, s)
+	return e.adoptIfNewer(now, d.Key, s)
 }
 
-// offer puts a later version in force if it is valid, and tells the peers. A
-// version never goes back: only a later stamp is ever taken, from whomever.
-func (e *Engine) offer(now clock.Milli, key string, s *Set) []Action {
-	v := e.key(key)
+// adoptIfNewer puts a newer version in force if it is valid, and notifies the peers.
+// Versions never go back: an older stamp is ignored, whatever its source.
+func (e *Engine) adoptIfNewer(now clock.Milli, key string, s *Set) []Action {
+	v := e.stateOf(key)
 	stamp := s.Stamp()
 	if !v.stamp.Less(stamp) || stamp == v.refused {
 		return nil
@@ -138,14 +137,14 @@
 			return []Action{Refuse{Key: key, Stamp: stamp, Err: err}}
 		}
 	}
-	if v.now != nil {
-		v.past = append(v.past, v.now)
-		if len(v.past) > history {
-			v.past = v.past[1:]
+	if v.current != nil {
+		v.previous = append(v.previous, v.current)
+		if len(v.previous) > maxPrevious {
+			v.previous = v.previous[1:]
 		}
 	}
-	v.now, v.stamp, v.tries = s, stamp, 0
-	e.digest = e.sum()
+	v.current, v.stamp, v.attempts = s, stamp, 0
+	e.digest = e.computeDigest()
 	out := []Action{Adopt{Key: key, Set: s, Stamp: stamp}}
 	names := make([]string, 0, len(e.peers))
 	for n := range e.peers {
@@ -160,10 +159,10 @@
 	return append(out, e.pull(now, key, v)...)
 }
 
-func (e *Engine) sum() uint64 {
+func (e *Engine) computeDigest() uint64 {
 	var sum uint64
 	for k, v := range e.keys {
-		if v.now != nil {
+		if v.current != nil {
 			sum += xxhash.Sum64String(k)*(v.stamp.Version*2+1) ^ v.stamp.Digest
 		}
 	}
--- a/share/syncer/set.go
+++ b/share/syncer/set.go
@@ -1,7 +1,7 @@
-// Package spread brings accepted configurations and host lists from the
-// platform to every host. A few watchers per failure domain read the platform;
-// all others learn from their peers by exchanging deltas. It is a state machine
-// without I/O: events go in with the time, actions come out.
+// Package syncer distributes accepted configurations and host lists from the
+// platform to every host. A few watchers per failure domain read the platform; all
+// other hosts exchange deltas with their peers. It is a state machine without I/O:
+// events go in with the time, actions come out.
 package syncer
 
 import (
@@ -11,18 +11,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrDeltaMismatch says that a delta does not fit the version that it was applied to.
-var ErrDeltaMismatch = errors.New("delta does not lead to the version it names")
+// ErrDeltaMismatch means that a delta does not apply to the version at hand.
+var ErrDeltaMismatch = errors.New("delta does not produce the version that it names")
 
-// Stamp orders the versions of one key. Operators number versions; when two of
-// them publish the same number at once, the digest decides, so that all hosts
-// settle on the same one.
+// Stamp orders the versions of one key. Operators number versions; if two operators
+// publish the same number at the same time, the digest decides, so that all hosts
+// converge on the same version.
 type Stamp struct {
 	Version uint64
 	Digest  uint64
 }
 
-// Less tells whether s is older than o.
+// Less reports whether s is older than o.
 func (s Stamp) Less(o Stamp) bool {
 	if s.Version != o.Version {
 		return s.Version < o.Version
@@ -30,32 +30,32 @@
 	return s.Digest < o.Digest
 }
 
-// Item is one named piece of a set: a file of the configuration, or a host of
-// the host list.
+// Item is a named part of a set: a file of the configuration, or a host of the
+// host list.
 type Item struct {
 	Name string
 	Body []byte
 }
 
-// Set is one version of a key: named items. Sets are never changed once built.
+// Set is one version of a key: named items. Sets are immutable once built.
 type Set struct {
 	Version uint64
 	Items   map[string][]byte
 
-	stamp Stamp // worked out once: it hashes every item
+	stamp Stamp // cached because computing it hashes every item
 }
 
-// NewSet builds a set from items; of two items with one name the later counts.
+// NewSet builds a set from items; if two items have the same name, the last one wins.
 func NewSet(version uint64, items []Item) *Set {
 	s := &Set{Version: version, Items: make(map[string][]byte, len(items))}
 	for _, it := range items {
 		s.Items[it.Name] = it.Body
 	}
-	return s.seal()
+	return s.computeStamp()
 }
 
-// seal works out the stamp of a set whose items are complete.
-func (s *Set) seal() *Set {
+// computeStamp sets the stamp of a set whose items are complete.
+func (s *Set) computeStamp() *Set {
 	var sum uint64
 	for name, body := range s.Items {
 		sum += itemHash(name, body)
@@ -64,7 +64,7 @@
 	return s
 }
 
-// Stamp returns the version and a digest over all items, whatever their order.
+// Stamp returns the version and a digest over all items, independent of their order.
 func (s *Set) Stamp() Stamp { return s.stamp }
 
 func itemHash(name string, body []byte) uint64 {
@@ -86,8 +86,8 @@
 	return items
 }
 
-// Delta turns one version of a key into a later one. From.Version 0 stands for
-// the empty set.
+// Delta turns one version of a key into a newer one. From.Version 0 stands for the
+// empty set.
 type Delta struct {
 	Key     string
 	From    Stamp
@@ -96,7 +96,7 @@
 	Removed []string
 }
 
-// Size returns about how many bytes the delta takes on a link.
+// Size returns the approximate size of the delta on a link, in bytes.
 func (d Delta) Size() int {
 	n := len(d.Key) + 40
 	for _, it := range d.Changed {
@@ -108,7 +108,7 @@
 	return n
 }
 
-// diff returns what turns old into s; old may be nil.
+// diff returns the delta that turns old into s; old may be nil.
 func (s *Set) diff(key string, old *Set) Delta {
 	d := Delta{Key: key, To: s.Stamp()}
 	if old == nil {
@@ -130,8 +130,8 @@
 	return d
 }
 
-// apply returns the set that a delta leads to. The digest is checked, so a
-// delta that was cut short or mixed up is never taken.
+// apply returns the set that a delta produces. It checks the digest, so a truncated
+// or mismatched delta is rejected.
 func (s *Set) apply(d Delta) (*Set, error) {
 	next := &Set{Version: d.To.Version, Items: map[string][]byte{}}
 	if s != nil && d.From.Version != 0 {
@@ -145,7 +145,7 @@
 	for _, name := range d.Removed {
 		delete(next.Items, name)
 	}
-	if next.seal().Stamp() != d.To {
+	if next.computeStamp().Stamp() != d.To {
 		return nil, ErrDeltaMismatch
 	}
 	return next, nil
--- a/share/syncer/spread_test.go
+++ b/share/syncer/syncer_test.go
@@ -28,8 +28,8 @@
 	assert.Equal(t, got.Stamp(), next.Stamp())
 }
 
-// A delta that was cut short, or belongs to another version, must not be taken
-// for the version that it names.
+// A delta that is truncated or belongs to another version must not be accepted as
+// the version that it names.
 func TestWrongDeltaIsNotTaken(t *testing.T) {
 	old, next := set(1, "x", "y"), set(2, "x", "q")
 	d := next.diff("k", old)
@@ -40,8 +40,8 @@
 
 var errBad = errors.New("bad")
 
-// Whatever order versions, stale answers and deltas come in, the version in
-// force only rises, and an invalid one is never in force.
+// Whatever the order of versions, stale answers and deltas, the version in force
+// must only rise, and an invalid version must never be in force.
 func TestVersionsOnlyRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := Engine{WatchKeys: []string{"k"}, Check: func(_ string, s *Set) error {
@@ -79,8 +79,8 @@
 	})
 }
 
-// The peer that was asked for a version freezes. The version must be had from
-// another.
+// The peer that was asked for a version freezes. The engine must ask another peer
+// that has the version.
 func TestFrozenPeerIsNotWaitedFor(t *testing.T) {
 	e := Engine{WatchKeys: []string{"k"}, Rank: -1}
 	next := set(2, "x").Stamp()
@@ -95,5 +95,5 @@
 			}
 		}
 	}
-	assert.Assert(t, asked["p2"], "only asked %v", asked)
+	assert.Assert(t, asked["p2"], "asked only %v", asked)
 }
--- a/share/syncer/watch.go
+++ b/share/syncer/watch.go
@@ -7,89 +7,89 @@
 )
 
 type reader struct {
-	busy  bool
-	next  clock.Milli
-	pause clock.Milli
+	inFlight bool
+	next     clock.Milli
+	delay    clock.Milli
 }
 
-// HandleRead takes the platform's answer to a read.
+// HandleRead processes the result of a read of the platform.
 func (e *Engine) HandleRead(now clock.Milli, r ReadResult) []Action {
 	e.init(now)
 	rd := e.reader(r.Key)
-	rd.busy = false
+	rd.inFlight = false
 	if r.Err != nil {
-		rd.pause = min(max(2*rd.pause, retryBase), retryMax)
-		rd.next = now + rd.pause
+		rd.delay = min(max(2*rd.delay, retryBase), retryMax)
+		rd.next = now + rd.delay
 		return nil
 	}
-	rd.pause = 0
-	rd.next = now + watchPause
-	e.platform = now
+	rd.delay = 0
+	rd.next = now + minReadInterval
+	e.platformHeard = now
 	if r.Set == nil {
 		return nil
 	}
-	if r.Set.Stamp().Less(e.key(r.Key).stamp) {
-		// A stale platform answers a watch at once; without this pause the
-		// watcher would spin on it and spend the whole read budget.
+	if r.Set.Stamp().Less(e.stateOf(r.Key).stamp) {
+		// A stale platform answers a watch immediately; without this delay the watcher
+		// would read in a loop and use up the whole read budget.
 		rd.next = now + retryBase
 	}
-	return e.offer(now, r.Key, r.Set)
+	return e.adoptIfNewer(now, r.Key, r.Set)
 }
 
 func (e *Engine) reader(key string) *reader {
-	r, ok := e.reads[key]
+	r, ok := e.readers[key]
 	if !ok {
 		r = &reader{}
-		e.reads[key] = r
+		e.readers[key] = r
 	}
 	return r
 }
 
-// Tick runs what is due. Call it a few times a second.
+// Tick runs periodic work. Call it a few times a second.
 func (e *Engine) Tick(now clock.Milli) []Action {
 	e.init(now)
 	var out []Action
-	for _, v := range e.sorted() {
-		out = append(out, e.pull(now, v.name, v.versions)...)
+	for _, v := range e.sortedKeys() {
+		out = append(out, e.pull(now, v.name, v.keyState)...)
 	}
 	for _, k := range e.WatchKeys {
 		out = append(out, e.read(now, k, e.Watching(now))...)
 	}
-	for _, k := range e.wants {
+	for _, k := range e.requiredKeys {
 		out = append(out, e.read(now, k, false)...)
 	}
 	return out
 }
 
-// SetRequiredKeys names further keys that this host needs. Those that no peer offers are
-// read once from the platform; after that, peers bring what is newer.
+// SetRequiredKeys sets the keys that this host needs beyond WatchKeys. A key that no
+// peer offers is read once from the platform; newer versions then come from peers.
 func (e *Engine) SetRequiredKeys(keys []string) {
-	e.wants = e.wants[:0]
+	e.requiredKeys = e.requiredKeys[:0]
 	for _, k := range keys {
 		if !slices.Contains(e.WatchKeys, k) {
-			e.wants = append(e.wants, k)
+			e.requiredKeys = append(e.requiredKeys, k)
 		}
 	}
 }
 
 func (e *Engine) read(now clock.Milli, key string, watch bool) []Action {
 	rd := e.reader(key)
-	if rd.busy || now < rd.next {
+	if rd.inFlight || now < rd.next {
 		return nil
 	}
-	missing := e.key(key).now == nil && now-e.started >= lonely
+	missing := e.stateOf(key).current == nil && now-e.started >= startupPeerWait
 	if !watch && !missing {
 		return nil
 	}
-	rd.busy = true
-	after := e.key(key).stamp.Version
+	rd.inFlight = true
+	after := e.stateOf(key).stamp.Version
 	return []Action{ReadPlatform{Key: key, After: after, Watch: watch && after > 0}}
 }
 
-// Watching tells whether this host watches the platform now. The first few of
-// a failure domain do; when the platform has not been heard of for long, the
-// next in rank join them, so that watchers which are cut off, frozen or gone
-// are replaced without a vote. Only a bounded number ever joins.
+// Watching reports whether this host watches the platform now. The first hosts of a
+// failure domain by rank do. If there was no contact to the platform for long, the
+// hosts next in rank join, so that watchers that are partitioned, frozen or down are
+// replaced without a vote. At most maxExtraWatchers join.
 func (e *Engine) Watching(now clock.Milli) bool {
 	if e.Rank < 0 {
 		return false
@@ -101,9 +101,9 @@
 	if e.Rank < watchers {
 		return true
 	}
-	if e.Rank >= watchers+extraWatchers {
+	if e.Rank >= watchers+maxExtraWatchers {
 		return false
 	}
-	silent := now - max(e.platform, e.started)
-	return silent > promote*clock.Milli(e.Rank-watchers+1)
+	silence := now - max(e.platformHeard, e.started)
+	return silence > promoteAfter*clock.Milli(e.Rank-watchers+1)
 }
