--- a/share/deny/proven.go
+++ b/share/deny/proven.go
@@ -1,23 +1,24 @@
 package deny
 
-// ProvenSet remembers requests that a leaf survived, in two generations, so that
-// the memory is bounded and the recent ones stay. The zero value is empty.
+// ProvenSet remembers requests that a leaf has completed without crashing. It keeps
+// two generations, so that its size is bounded and recent requests are kept. The
+// zero value is empty.
 type ProvenSet struct {
 	young, old map[ProvenKey]struct{}
 }
 
-// ProvenKey names a request together with the snapshot that it ran on: what one
-// snapshot survived, the next one may not.
+// ProvenKey identifies a request and the snapshot that it ran on. A request that is
+// safe on one snapshot may crash a leaf on the next.
 type ProvenKey struct {
 	Fingerprint uint64
 	Layout      uint32
 	Version     uint64
 }
 
-// provenMax is how many proofs a generation holds.
-const provenMax = 32768
+// maxGeneration is how many keys a generation holds.
+const maxGeneration = 32768
 
-// Has tells whether a request is remembered.
+// Has reports whether the set contains a request.
 func (p *ProvenSet) Has(k ProvenKey) bool {
 	if _, ok := p.young[k]; ok {
 		return true
@@ -26,15 +27,15 @@
 	return ok
 }
 
-// Add remembers a request.
+// Add adds a request.
 func (p *ProvenSet) Add(k ProvenKey) {
-	if p.young == nil || len(p.young) >= provenMax {
+	if p.young == nil || len(p.young) >= maxGeneration {
 		p.old, p.young = p.young, map[ProvenKey]struct{}{}
 	}
 	p.young[k] = struct{}{}
 }
 
-// Drop forgets a request on all snapshots: it has brought down a server.
+// Drop removes a request for all snapshots, because it has crashed a server.
 func (p *ProvenSet) Drop(fingerprint uint64) {
 	for _, m := range []map[ProvenKey]struct{}{p.young, p.old} {
 		for k := range m {
