--- a/share/dedup/ticket_test.go
+++ b/share/dedup/dedup_test.go
@@ -9,8 +9,8 @@
 	"dandelionstile/share/clock"
 )
 
-// Whatever is sent in whatever order, no id is let run again unless it was
-// reported not to have run.
+// Whatever the order of calls, an id must not be admitted again unless it was
+// released because its request did not run.
 func TestAnIDRunsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := Registry[string]{Host: "h", Incarnation: 3}
