--- a/share/topo/hosts.go
+++ b/share/topo/hosts.go
@@ -19,7 +19,7 @@
 	Hosts   []fileHost `yaml:"hosts" validate:"dive"`
 }
 
-// ParseHosts reads the platform's host list.
+// ParseHosts parses the platform's host list.
 func ParseHosts(body []byte) (HostList, error) {
 	var f fileHosts
 	if _, err := conf.Decode("host-list", body, &f); err != nil {
@@ -32,7 +32,7 @@
 	return list, nil
 }
 
-// Encode returns the host list in the platform's form.
+// Encode returns the host list in the platform's format.
 func (l HostList) Encode() []byte {
 	f := fileHosts{Version: l.Version}
 	for _, h := range l.Hosts {
@@ -40,7 +40,7 @@
 	}
 	body, err := yaml.Marshal(f)
 	if err != nil {
-		return nil // plain strings and numbers always encode
+		return nil // strings and numbers always encode
 	}
 	return body
 }
--- a/share/topo/parse.go
+++ b/share/topo/parse.go
@@ -13,28 +13,28 @@
 	"dandelionstile/share/conf"
 )
 
-// MaxPartBytes is the largest value the platform's configuration service holds, in
-// bytes.
+// MaxPartBytes is the size of the largest value that the platform's configuration
+// service stores.
 const MaxPartBytes = 1 << 20
 
-// Defaults of a service that does not say otherwise.
+// Defaults for keys that a service omits.
 const (
-	defaultWarm     = 10 * clock.Second
+	defaultWarmUp   = 10 * clock.Second
 	defaultDeadline = 2 * clock.Second
 	defaultPatience = 100
 )
 
-// Part is one of the operators' files: a fragment of the inventory, rules, or
+// Part is one of the operators' files: a fragment of the inventory, the rules, or
 // both.
 type Part struct {
 	Name string
 	Body []byte
 }
 
-// Hash returns the content hash that a manifest names the part by.
+// Hash returns the content hash by which a manifest refers to the part.
 func (p Part) Hash() string { return fmt.Sprintf("%016x", xxhash.Sum64(p.Body)) }
 
-// The file types below carry the tags; Inventory and Rules stay free of them.
+// The file types below carry the tags; Inventory and Rules have none.
 
 type fileDomain struct {
 	Name   string `yaml:"name" validate:"required"`
@@ -72,65 +72,65 @@
 	Service string     `yaml:"service" validate:"required"`
 	Domain  string     `yaml:"failure-domain" validate:"required"`
 	Address string     `yaml:"address" validate:"required,hostname_port"`
-	Leafs   []fileLeaf `yaml:"leafs" validate:"required,min=1,dive"`
+	Leaves  []fileLeaf `yaml:"leafs" validate:"required,min=1,dive"`
 }
 
-type fileCarry struct {
+type fileServerLimit struct {
 	Server string `yaml:"server" validate:"required"`
 	Slots  int    `yaml:"slots" validate:"gte=0"`
 	Out    bool   `yaml:"out"`
 }
 
-type fileNever struct {
+type fileNeverRepeat struct {
 	Service   string `yaml:"service" validate:"required"`
 	Operation string `yaml:"operation" validate:"required"`
 }
 
 type filePart struct {
-	Domains  []fileDomain  `yaml:"failure-domains" validate:"dive"`
-	Services []fileService `yaml:"services" validate:"dive"`
-	Servers  []fileServer  `yaml:"servers" validate:"dive"`
-	Out      []string      `yaml:"out-of-service"`
-	Carry    []fileCarry   `yaml:"carry" validate:"dive"`
-	Never    []fileNever   `yaml:"never-repeat" validate:"dive"`
-	Routes   []fileRoute   `yaml:"routes" validate:"dive"`
+	Domains  []fileDomain      `yaml:"failure-domains" validate:"dive"`
+	Services []fileService     `yaml:"services" validate:"dive"`
+	Servers  []fileServer      `yaml:"servers" validate:"dive"`
+	Out      []string          `yaml:"out-of-service"`
+	Carry    []fileServerLimit `yaml:"carry" validate:"dive"`
+	Never    []fileNeverRepeat `yaml:"never-repeat" validate:"dive"`
+	Routes   []fileRoute       `yaml:"routes" validate:"dive"`
 }
 
-// Parse builds a configuration from the operators' files. On any fault it
-// returns conf.Faults that list all of them, and no configuration.
+// Parse builds a configuration from the operators' files. If there are faults, it
+// returns no configuration and conf.Faults with all of them.
 func Parse(version uint64, parts []Part) (*Config, error) {
 	var p Parser
 	return p.Parse(version, parts)
 }
 
-// Parser reads configurations that follow each other. It keeps what it read of
-// each file, so that a change costs the reading of the files that changed: at
-// 33,000 leafs, reading all of them takes seconds. The zero value is ready.
+// Parser parses successive configurations. It caches the parsed files, so that only
+// changed files are parsed again: with 33,000 leaves, parsing all files takes
+// seconds. The zero value is ready to use.
 type Parser struct {
-	read map[string]readPart // by name and hash
+	parsed map[string]parsedPart // by name and hash
 }
 
-// readPart is a file as it was read.
-type readPart struct {
+// parsedPart is the result of parsing a file.
+type parsedPart struct {
 	file   filePart
 	source conf.Source
 	faults conf.Faults
 }
 
-// Parse is as the function of that name.
+// Parse is like the function Parse, with the cache.
 func (p *Parser) Parse(version uint64, parts []Part) (*Config, error) {
-	b := builder{config: &Config{Version: version}, seen: map[named]place{}}
-	next := make(map[string]readPart, len(parts))
+	b := builder{config: &Config{Version: version}, seen: map[entity]position{}}
+	next := make(map[string]parsedPart, len(parts))
 	for _, part := range parts {
 		key := part.Name + " " + part.Hash()
-		r, ok := p.read[key]
+		r, ok := p.parsed[key]
 		if !ok {
-			r = readOne(part)
+			r = parsePart(part)
 		}
 		next[key] = r
 		b.add(r)
 	}
-	p.read = next
+	p.parsed = next
 	b.checkReferences()
 	b.checkRoutes()
 	if err := b.faults.Err(); err != nil {
@@ -139,14 +139,14 @@
 	return b.config, nil
 }
 
-func readOne(p Part) readPart {
+func parsePart(p Part) parsedPart {
 	if len(p.Body) > MaxPartBytes {
-		return readPart{faults: conf.Faults{{
+		return parsedPart{faults: conf.Faults{{
 			File: p.Name, Line: 1, Problem: fmt.Sprintf("%d bytes, over the limit of %d", len(p.Body), MaxPartBytes),
 			Hint: "split the file",
 		}}}
 	}
-	var r readPart
+	var r parsedPart
 	var err error
 	r.source, err = conf.Decode(p.Name, p.Body, &r.file)
 	if err != nil && !errors.As(err, &r.faults) {
@@ -155,39 +155,39 @@
 	return r
 }
 
-// named is a thing that must be named once; place is where it was.
-type named struct{ kind, name string }
+// entity identifies an object whose name must be unique.
+type entity struct{ kind, name string }
 
-type place struct {
+type position struct {
 	src conf.Source
 	key string
 }
 
-// builder gathers parts and remembers where each thing came from, so that
-// faults found across files still name a line.
+// builder collects the parts and remembers the position of each object, so that
+// faults found across files can be reported with file and line.
 type builder struct {
-	config   *Config
-	services map[string]Service
-	faults   conf.Faults
-	seen     map[named]place
-	servers  []serverAt
-	expected []expected
-	// routes are where the configuration's routes were, in their order.
-	routes []place
+	config     *Config
+	services   map[string]Service
+	faults     conf.Faults
+	seen       map[entity]position
+	servers    []serverPosition
+	references []reference
+	// routePositions are the positions of the configuration's routes, in their order.
+	routePositions []position
 }
 
-// serverAt and expected are checked once all parts are read.
-type serverAt struct {
-	server Server
-	at     place
+// serverPosition and reference are checked once all parts are added.
+type serverPosition struct {
+	server   Server
+	position position
 }
 
-type expected struct {
-	named
-	at place
+type reference struct {
+	entity
+	position position
 }
 
-func (b *builder) add(r readPart) {
+func (b *builder) add(r parsedPart) {
 	if len(r.faults) > 0 {
 		b.faults = append(b.faults, r.faults...)
 		return
@@ -203,25 +203,25 @@
 	b.faults = append(b.faults, src.Fault(key, problem, hint))
 }
 
-// unique reports a name that was given before.
-func (b *builder) unique(src conf.Source, kind, name, key string) {
-	id := named{kind, name}
+// define records an object's position and reports a fault if its name is not unique.
+func (b *builder) define(src conf.Source, kind, name, key string) {
+	id := entity{kind, name}
 	if first, ok := b.seen[id]; ok {
-		b.fault(src, key, fmt.Sprintf("%s %s is given twice", kind, name),
+		b.fault(src, key, fmt.Sprintf("%s %s is defined twice", kind, name),
 			fmt.Sprintf("first at %s:%d", first.src.File, first.src.Line(first.key)))
 		return
 	}
-	b.seen[id] = place{src, key}
+	b.seen[id] = position{src, key}
 }
 
-func (b *builder) known(kind, name string) bool {
-	_, ok := b.seen[named{kind, name}]
+func (b *builder) defined(kind, name string) bool {
+	_, ok := b.seen[entity{kind, name}]
 	return ok
 }
 
 func (b *builder) addDomains(src conf.Source, f filePart) {
 	for i, d := range f.Domains {
-		b.unique(src, "failure domain", d.Name, fmt.Sprintf("failure-domains[%d].name", i))
+		b.define(src, "failure domain", d.Name, fmt.Sprintf("failure-domains[%d].name", i))
 		b.config.Inventory.Domains = append(b.config.Inventory.Domains, Domain(d))
 	}
 }
@@ -229,17 +229,17 @@
 func (b *builder) addServices(src conf.Source, f filePart) {
 	for i, s := range f.Services {
 		key := fmt.Sprintf("services[%d]", i)
-		b.unique(src, "service", s.Name, key+".name")
+		b.define(src, "service", s.Name, key+".name")
 		service := Service{
 			Name:       s.Name,
-			WarmUp:     orDefault(clock.Milli(s.Warm), defaultWarm),
+			WarmUp:     orDefault(clock.Milli(s.Warm), defaultWarmUp),
 			Deadline:   orDefault(clock.Milli(s.Deadline), defaultDeadline),
 			Patience:   orDefault(s.Patience, defaultPatience),
-			HealthPath: orDefault(s.Health, defaultHealth),
+			HealthPath: orDefault(s.Health, defaultHealthPath),
 		}
 		for j, l := range s.Layouts {
 			if _, twice := service.Layout(l.ID); twice {
-				b.fault(src, fmt.Sprintf("%s.layouts[%d].id", key, j), fmt.Sprintf("layout %d is given twice", l.ID), "")
+				b.fault(src, fmt.Sprintf("%s.layouts[%d].id", key, j), fmt.Sprintf("layout %d is defined twice", l.ID), "")
 			}
 			service.Layouts = append(service.Layouts, Layout(l))
 		}
@@ -258,23 +258,23 @@
 func (b *builder) addServers(src conf.Source, f filePart) {
 	for i, s := range f.Servers {
 		key := fmt.Sprintf("servers[%d]", i)
-		b.unique(src, "server", s.Name, key+".name")
+		b.define(src, "server", s.Name, key+".name")
 		server := Server{Name: s.Name, Service: s.Service, Domain: s.Domain, Address: s.Address}
-		for j, l := range s.Leafs {
+		for j, l := range s.Leaves {
 			leaf := Leaf{Name: l.Name, Slots: l.Slots, Connections: l.Connections}
-			b.unique(src, "leaf", l.Name, fmt.Sprintf("%s.leafs[%d].name", key, j))
+			b.define(src, "leaf", l.Name, fmt.Sprintf("%s.leafs[%d].name", key, j))
 			for _, h := range l.Holds {
 				leaf.Holds = append(leaf.Holds, Hold(h))
 			}
 			server.Leaves = append(server.Leaves, leaf)
 		}
 		b.config.Inventory.Servers = append(b.config.Inventory.Servers, server)
-		b.servers = append(b.servers, serverAt{server, place{src, key}})
+		b.servers = append(b.servers, serverPosition{server, position{src, key}})
 	}
 }
 
 func (b *builder) checkServer(src conf.Source, key string, s Server) {
-	if !b.known("failure domain", s.Domain) {
+	if !b.defined("failure domain", s.Domain) {
 		b.fault(src, key+".failure-domain", fmt.Sprintf("failure domain %q is not in the inventory", s.Domain), "")
 	}
 	service, ok := b.services[s.Service]
@@ -290,7 +290,7 @@
 			case !ok:
 				b.fault(src, at+".layout", fmt.Sprintf("service %s has no layout %d", s.Service, h.Layout), "")
 			case h.Shard >= layout.Shards:
-				b.fault(src, at+".shard", fmt.Sprintf("shard %d is outside layout %d, which has %d shards", h.Shard, h.Layout, layout.Shards), "shards count from 0")
+				b.fault(src, at+".shard", fmt.Sprintf("shard %d is outside layout %d, which has %d shards", h.Shard, h.Layout, layout.Shards), "shards are numbered from 0")
 			}
 		}
 	}
@@ -300,26 +300,27 @@
 	rules := &b.config.Rules
 	for i, d := range f.Out {
 		rules.DomainsOut = append(rules.DomainsOut, d)
-		b.expect(src, fmt.Sprintf("out-of-service[%d]", i), "failure domain", d)
+		b.reference(src, fmt.Sprintf("out-of-service[%d]", i), "failure domain", d)
 	}
 	for i, c := range f.Carry {
 		rules.ServerLimits = append(rules.ServerLimits, ServerLimit(c))
 		key := fmt.Sprintf("carry[%d]", i)
-		b.unique(src, "carry rule for", c.Server, key+".server")
-		b.expect(src, key+".server", "server", c.Server)
+		b.define(src, "carry rule for", c.Server, key+".server")
+		b.reference(src, key+".server", "server", c.Server)
 		if c.Slots == 0 && !c.Out {
-			b.fault(src, key, "neither slots nor out is given", "slots: 0 would carry nothing; say out: true")
+			b.fault(src, key, "neither slots nor out is set", "to take the server out of service, set out: true")
 		}
 	}
 	for i, n := range f.Never {
 		rules.NeverRepeat = append(rules.NeverRepeat, NeverRepeat(n))
-		b.expect(src, fmt.Sprintf("never-repeat[%d].service", i), "service", n.Service)
+		b.reference(src, fmt.Sprintf("never-repeat[%d].service", i), "service", n.Service)
 	}
 }
 
-// expect checks, once all parts are read, that a rule names something known.
-func (b *builder) expect(src conf.Source, key, kind, name string) {
-	b.expected = append(b.expected, expected{named{kind, name}, place{src, key}})
+// reference records that a rule or route refers to an object. checkReferences
+// reports a fault if no part defines it.
+func (b *builder) reference(src conf.Source, key, kind, name string) {
+	b.references = append(b.references, reference{entity{kind, name}, position{src, key}})
 }
 
 func (b *builder) checkReferences() {
@@ -328,23 +329,23 @@
 		b.services[s.Name] = s
 	}
 	for _, s := range b.servers {
-		b.checkServer(s.at.src, s.at.key, s.server)
+		b.checkServer(s.position.src, s.position.key, s.server)
 	}
-	for _, e := range b.expected {
-		if !b.known(e.kind, e.name) {
-			b.fault(e.at.src, e.at.key, fmt.Sprintf("%s %q is not in the inventory", e.kind, e.name), "")
+	for _, e := range b.references {
+		if !b.defined(e.kind, e.name) {
+			b.fault(e.position.src, e.position.key, fmt.Sprintf("%s %q is not in the inventory", e.kind, e.name), "")
 		}
 	}
 }
 
-// Manifest names the parts of one configuration by their hashes. It is the
-// value that operators publish last.
+// Manifest lists the parts of a configuration by their hashes. Operators publish it
+// last, after the parts.
 type Manifest struct {
 	Version uint64
 	Parts   []PartRef
 }
 
-// PartRef names one part.
+// PartRef refers to a part by its name and hash.
 type PartRef struct {
 	Name string
 	Hash string
@@ -360,7 +361,7 @@
 	Parts   []fileRef `yaml:"parts" validate:"required,min=1,dive"`
 }
 
-// ParseManifest reads a manifest.
+// ParseManifest parses a manifest.
 func ParseManifest(body []byte) (Manifest, error) {
 	var f fileManifest
 	if len(body) > MaxPartBytes {
@@ -376,7 +377,7 @@
 	return m, nil
 }
 
-// Encode returns the manifest as operators publish it.
+// Encode returns the manifest in the form that operators publish.
 func (m Manifest) Encode() []byte {
 	f := fileManifest{Version: m.Version}
 	for _, p := range m.Parts {
@@ -384,7 +385,7 @@
 	}
 	body, err := yaml.Marshal(f)
 	if err != nil {
-		return nil // plain strings and numbers always encode
+		return nil // strings and numbers always encode
 	}
 	return body
 }
@@ -398,7 +399,7 @@
 	return m
 }
 
-// ParseSnapshotID splits a pin written as layout-version.
+// ParseSnapshotID parses a snapshot id of the form layout-version.
 func ParseSnapshotID(s string) (SnapshotID, bool) {
 	l, v, ok := strings.Cut(s, "-")
 	if !ok {
@@ -415,7 +416,7 @@
 	return SnapshotID{Layout: uint32(layout), Version: version}, true
 }
 
-// String writes the pin as layout-version.
+// String returns the snapshot id in the form layout-version.
 func (p SnapshotID) String() string {
 	return strconv.FormatUint(uint64(p.Layout), 10) + "-" + strconv.FormatUint(p.Version, 10)
 }
--- a/share/topo/parse_test.go
+++ b/share/topo/parse_test.go
@@ -30,8 +30,8 @@
 	assert.Equal(t, c.Inventory.Services[0].Patience, 100)
 }
 
-// An operator mends one fault after the other because only the first is shown,
-// or looks for it in the wrong file.
+// A parser that reports only the first fault, or the wrong file, makes operators
+// find faults one by one.
 func TestEveryFaultNamesFileLineAndKey(t *testing.T) {
 	bad := strings.NewReplacer("slots: 2", "slots: 0", "shard: 0", "shard: 7").Replace(good)
 	rules := "out-of-service: [b]\ncarry:\n  - {server: nobody, slots: 1}\ncolour: red\n"
--- a/share/topo/routes.go
+++ b/share/topo/routes.go
@@ -9,16 +9,16 @@
 	"dandelionstile/share/route"
 )
 
-// Defaults of a route that does not say otherwise.
+// Defaults for keys that a route omits.
 const (
-	// defaultAttempts lets a request go to a second leaf when the first fails.
+	// defaultAttempts lets a request go to a second leaf if the first one fails.
 	defaultAttempts = 2
-	// defaultTimeout is as long as a query without a budget of its own may take.
+	// defaultTimeout equals the deadline of a query without a budget.
 	defaultTimeout = defaultDeadline
-	// defaultLeastShare asks for all shards: whoever can use less says so.
-	defaultLeastShare = 1
-	// defaultHealth is where a service's leafs tell their health.
-	defaultHealth = "/health"
+	// defaultMinShare requires all shards; routes that need fewer set least-share.
+	defaultMinShare = 1
+	// defaultHealthPath is where a service's leaves report their health.
+	defaultHealthPath = "/health"
 )
 
 type fileWeighted struct {
@@ -43,7 +43,7 @@
 	Regions    []string       `yaml:"regions"`
 }
 
-// fieldKeys are the file's keys of a route's fields, where they differ.
+// fieldKeys maps a route's fields to the file's keys, where they differ.
 var fieldKeys = map[route.Field]string{
 	route.FieldTimeout: "timeout-ms",
 }
@@ -56,7 +56,7 @@
 		Priority: f.Rank, Shards: f.Shards, Top: f.Top, Regions: f.Regions,
 	}
 	if r.Merged() {
-		r.MinShare = orDefault(f.LeastShare, float64(defaultLeastShare))
+		r.MinShare = orDefault(f.LeastShare, float64(defaultMinShare))
 	}
 	if f.Service != "" {
 		r.Services = []route.WeightedService{{Service: f.Service, Weight: 1}}
@@ -67,33 +67,33 @@
 	return r
 }
 
-// addRoutes takes a file's routes. Faults of routes in different files, such as
-// two with one prefix, are found once all parts are read.
+// addRoutes adds a file's routes. Faults across files, such as two routes with the
+// same prefix, are found once all parts are added.
 func (b *builder) addRoutes(src conf.Source, f filePart) {
 	for i, r := range f.Routes {
 		key := fmt.Sprintf("routes[%d]", i)
-		b.unique(src, "route", r.Name, key+".name")
+		b.define(src, "route", r.Name, key+".name")
 		b.config.Routes = append(b.config.Routes, r.route())
-		b.routes = append(b.routes, place{src, key})
+		b.routePositions = append(b.routePositions, position{src, key})
 		if r.Service != "" && len(r.Services) > 0 {
-			b.fault(src, key+".service", "both service and services are given", "list it among the services")
+			b.fault(src, key+".service", "service and services are both set", "add the service to services")
 		}
 		if r.Service != "" {
-			b.expect(src, key+".service", "service", r.Service)
+			b.reference(src, key+".service", "service", r.Service)
 		}
 		for j, s := range r.Services {
-			b.expect(src, fmt.Sprintf("%s.services[%d].service", key, j), "service", s.Service)
+			b.reference(src, fmt.Sprintf("%s.services[%d].service", key, j), "service", s.Service)
 		}
 		for j, s := range r.Shards {
-			b.expect(src, fmt.Sprintf("%s.shards[%d]", key, j), "service", s)
+			b.reference(src, fmt.Sprintf("%s.shards[%d]", key, j), "service", s)
 		}
 	}
 }
 
-// checkRoutes reports what is wrong with the routes of all files.
+// checkRoutes reports the faults of the routes of all files.
 func (b *builder) checkRoutes() {
 	for _, f := range route.Faults(b.config.Routes) {
-		at := b.routes[f.Route]
+		at := b.routePositions[f.Route]
 		key := at.key
 		if name, ok := fieldKeys[f.Field]; ok {
 			key += "." + name
@@ -104,20 +104,20 @@
 	}
 	for i, r := range b.config.Routes {
 		for j, name := range r.Regions {
-			if !b.region(name) {
-				at := b.routes[i]
+			if !b.hasRegion(name) {
+				at := b.routePositions[i]
 				b.fault(at.src, fmt.Sprintf("%s.regions[%d]", at.key, j), fmt.Sprintf("no failure domain lies in region %q", name), "")
 			}
 		}
 	}
 }
 
-func (b *builder) region(name string) bool {
+func (b *builder) hasRegion(name string) bool {
 	return slices.ContainsFunc(b.config.Inventory.Domains, func(d Domain) bool { return d.Region == name })
 }
 
-// RouteTable returns the routes with what the inventory says of their services. A
-// service's leafs share its bounds, so the least of its servers counts.
+// RouteTable returns the routes with the properties of their services. The leaves of
+// a service share one connection limit, so the lowest of its servers' limits applies.
 func (c *Config) RouteTable() *route.Table {
 	t := &route.Table{
 		Version: c.Version, Routes: c.Routes,
@@ -136,7 +136,7 @@
 	return t
 }
 
-// Connections is how many connections the server's leafs accept together.
+// Connections returns how many connections the server's leaves accept together.
 func (s Server) Connections() int {
 	n := 0
 	for _, l := range s.Leaves {
@@ -145,7 +145,7 @@
 	return n
 }
 
-// Slots is how many requests the server's leafs work on at once.
+// Slots returns how many requests the server's leaves run concurrently.
 func (s Server) Slots() int {
 	n := 0
 	for _, l := range s.Leaves {
--- a/share/topo/routes_test.go
+++ b/share/topo/routes_test.go
@@ -37,13 +37,13 @@
 	assert.Assert(t, ok && !file.Idempotent)
 	assert.Equal(t, file.Services[0].Weight, 3.0)
 	assert.Equal(t, table.Services["search"].Connections, 8)
-	assert.Equal(t, table.Services["search"].HealthPath, defaultHealth)
+	assert.Equal(t, table.Services["search"].HealthPath, defaultHealthPath)
 	_, ok = table.Match("find.example", "/other/")
 	assert.Assert(t, !ok)
 }
 
-// An operator publishes a route that cannot work: each fault comes with file,
-// line and key before anything is in force, also when two files disagree.
+// An operator publishes a route that cannot work. Each fault must name file, line and
+// key before the configuration is in force, also if two files conflict.
 func TestFaultyRoutesNameFileLineAndKey(t *testing.T) {
 	bad := strings.NewReplacer(
 		"prefix: /find/", "prefix: /find", "shards: [search]", "shards: [search, search, lost]",
--- a/share/topo/invent.go
+++ b/share/topo/topo.go
@@ -1,6 +1,6 @@
-// Package invent holds what operators write: the inventory (failure domains,
-// services, backend servers, leafs) and the rules on top of it. It reads and
-// checks both and decides nothing.
+// Package topo holds the operators' configuration: the inventory (failure domains,
+// services, backend servers, leaves), the rules on top of it, and routes. It parses
+// and validates configurations and takes no decisions from them.
 package topo
 
 import (
@@ -10,15 +10,15 @@
 	"dandelionstile/share/route"
 )
 
-// SnapshotID names one snapshot of a service's index. The layout is the generation of
-// the partition map: an index built for one layout cannot be merged with
-// another.
+// SnapshotID identifies a snapshot of a service's index. The layout is the
+// generation of the partition map; results of indexes with different layouts cannot
+// be merged.
 type SnapshotID struct {
 	Layout  uint32
 	Version uint64
 }
 
-// Less orders pins from old to new.
+// Less reports whether p is older than o.
 func (p SnapshotID) Less(o SnapshotID) bool {
 	if p.Layout != o.Layout {
 		return p.Layout < o.Layout
@@ -38,21 +38,21 @@
 	Shards int
 }
 
-// Service is one searchable index with its backend servers.
+// Service is a searchable index with its backend servers.
 type Service struct {
 	Name    string
 	Layouts []Layout
-	// WarmUp is how long a leaf takes from a cold start until it bears all of its
-	// slots, in milliseconds.
+	// WarmUp is how long a cold leaf takes until it can serve on all of its slots,
+	// in milliseconds.
 	WarmUp clock.Milli
-	// Deadline bounds a query that names no budget, in milliseconds.
+	// Deadline limits a query without a budget of its own, in milliseconds.
 	Deadline clock.Milli
-	// Patience expresses the trade between coverage and tail latency: the share
-	// of the deadline, in percent, after which an answer is given without the
-	// shards that are still missing. 100 weighs coverage most.
+	// Patience trades coverage against tail latency: it is the share of the deadline,
+	// in percent, after which a query is answered without the shards that are still
+	// missing. 100 favors coverage most.
 	Patience int
-	// HealthPath is where its servers tell their health to routed requests'
-	// hosts.
+	// HealthPath is the path at which the service's servers report their health to
+	// the hosts that route requests to them.
 	HealthPath string
 }
 
@@ -66,24 +66,23 @@
 	return Layout{}, false
 }
 
-// Hold says that a leaf carries one shard of one layout.
+// Hold states that a leaf holds one shard of one layout.
 type Hold struct {
 	Layout uint32
 	Shard  int
 }
 
-// Leaf is one searcher within a backend server.
+// Leaf is a searcher within a backend server.
 type Leaf struct {
 	Name string
-	// Slots is how many requests the leaf works on at once.
+	// Slots is how many requests the leaf runs concurrently.
 	Slots int
-	// Connections is how many connections the leaf accepts from all hosts
-	// together.
+	// Connections is how many connections the leaf accepts, from all hosts together.
 	Connections int
 	Holds       []Hold
 }
 
-// Shard returns the shard that the leaf holds under a layout.
+// Shard returns the shard that the leaf holds in a layout.
 func (l Leaf) Shard(layout uint32) (int, bool) {
 	for _, h := range l.Holds {
 		if h.Layout == layout {
@@ -93,28 +92,28 @@
 	return 0, false
 }
 
-// Server is a backend server: one instance of a service, with its leafs.
+// Server is a backend server: an instance of a service, with its leaves.
 type Server struct {
 	Name    string
 	Service string
 	Domain  string
-	// Address is the IP and port that the server's leafs are reached at.
+	// Address is the IP and port of the server's leaves.
 	Address string
 	Leaves  []Leaf
 }
 
-// Inventory is the operators' asset register.
+// Inventory lists the operators' failure domains, services and backend servers.
 type Inventory struct {
 	Domains  []Domain
 	Services []Service
 	Servers  []Server
 }
 
-// ServerLimit limits what one backend server may carry.
+// ServerLimit limits the load on one backend server.
 type ServerLimit struct {
 	Server string
-	// Slots caps the slots used on each of the server's leafs; with Out it is
-	// not read.
+	// Slots caps the slots used on each of the server's leaves; it is ignored if Out
+	// is set.
 	Slots int
 	// Out takes the server out of service.
 	Out bool
@@ -134,23 +133,22 @@
 	NeverRepeat  []NeverRepeat
 }
 
-// Config is one accepted configuration. It is never changed after it has been
-// built, so it may be shared between goroutines.
+// Config is an accepted configuration. It is immutable once built and may be shared
+// between goroutines.
 type Config struct {
 	Version   uint64
 	Inventory Inventory
 	Rules     Rules
-	// Routes say which requests are passed on as they are, and to which
-	// services.
+	// Routes define which requests are proxied unchanged, and to which services.
 	Routes []route.Route
 }
 
-// DomainOut tells whether operators have taken a failure domain out.
+// DomainOut reports whether the operators took a failure domain out of service.
 func (c *Config) DomainOut(domain string) bool {
 	return slices.Contains(c.Rules.DomainsOut, domain)
 }
 
-// ServerLimits returns the carry rules by backend server.
+// ServerLimits returns the limits by backend server.
 func (c *Config) ServerLimits() map[string]ServerLimit {
 	rules := make(map[string]ServerLimit, len(c.Rules.ServerLimits))
 	for _, r := range c.Rules.ServerLimits {
@@ -169,19 +167,18 @@
 	return Service{}, false
 }
 
-// Host is one entry host, as the platform's host list gives it.
+// Host is an entry host in the platform's host list.
 type Host struct {
 	Name   string
 	Domain string
-	// Entry and Aggregator are the addresses of the host's two programs for
-	// the links between hosts.
+	// Entry and Aggregator are the link addresses of the host's two programs.
 	Entry      string
 	Aggregator string
-	// Leaving is set when the platform is about to take the host away.
+	// Leaving is set when the platform is about to remove the host.
 	Leaving bool
 }
 
-// HostList is the platform's list of entry hosts. It may lag.
+// HostList is the platform's list of entry hosts. It may be out of date.
 type HostList struct {
 	Version uint64
 	Hosts   []Host
