--- a/share/sched/flow.go
+++ b/share/sched/flow.go
@@ -6,23 +6,22 @@
 	"dandelionstile/share/query"
 )
 
-// Submit takes a new call. It is answered at once, put on a connection, or
-// queued for a short while.
+// Submit handles a new call: it is rejected, sent, or queued briefly.
 func (e *Engine) Submit(now clock.Milli, c Call) []Action {
 	e.init(now)
-	f := e.leafs[c.Leaf]
+	f := e.leaves[c.Leaf]
 	if f == nil {
 		return []Action{refuse(c.Key, query.ReasonNotOwner, 0)}
 	}
-	if why, wait := e.refusal(now, f, c); why != query.ReasonNone {
-		r := refuse(c.Key, why, wait)
-		if why != query.ReasonNotOwner {
+	if reason, wait := e.refusalReason(now, f, c); reason != query.ReasonNone {
+		r := refuse(c.Key, reason, wait)
+		if reason != query.ReasonNotOwner {
 			fb := e.feedback(now, f)
 			r.Outcome.Feedback = &fb
 		}
 		return []Action{r}
 	}
-	if c.Canary && !c.Update && e.proven.Has(c.proof()) {
+	if c.Canary && !c.Update && e.proven.Has(c.provenKey()) {
 		return []Action{refuse(c.Key, query.ReasonProven, 0)}
 	}
 	k := &call{Call: c, leaf: f, arrived: now}
@@ -31,114 +30,114 @@
 	return e.dispatch(now, f)
 }
 
-// proof names a query on its snapshot.
-func (c Call) proof() deny.ProvenKey {
+// provenKey identifies a query and the snapshot it runs on.
+func (c Call) provenKey() deny.ProvenKey {
 	return deny.ProvenKey{Fingerprint: c.Fingerprint, Layout: c.Pin.Layout, Version: c.Pin.Version}
 }
 
-func refuse(k Key, why query.Reason, wait clock.Milli) Reply {
-	return Reply{Key: k, Outcome: query.Outcome{Call: k.ID, Kind: query.NotRun, Reason: why, RetryAfter: wait}}
+func refuse(k Key, reason query.Reason, wait clock.Milli) Reply {
+	return Reply{Key: k, Outcome: query.Outcome{Call: k.ID, Kind: query.NotRun, Reason: reason, RetryAfter: wait}}
 }
 
-// retrySoon is the advice for refusals that pass within moments.
-const retrySoon = 100 * clock.Milli(1)
+// shortRetryAfter is the Retry-After for rejections whose cause is brief.
+const shortRetryAfter = 100 * clock.Milli(1)
 
-// refusal tells why a call is not taken at all.
-func (e *Engine) refusal(now clock.Milli, f *leaf, c Call) (query.Reason, clock.Milli) {
-	if now < e.fenced {
-		return query.ReasonWaking, e.fenced - now
+// refusalReason returns why a call is rejected and when to retry, or ReasonNone.
+func (e *Engine) refusalReason(now clock.Milli, f *leaf, c Call) (query.Reason, clock.Milli) {
+	if now < e.suspendedUntil {
+		return query.ReasonWaking, e.suspendedUntil - now
 	}
 	if e.leaving {
 		return query.ReasonLeaving, 0
 	}
-	if left, blocked := e.strikes.Blocked(now, c.Fingerprint); blocked && !e.secondChance(now, c) {
+	if left, blocked := e.strikes.Blocked(now, c.Fingerprint); blocked && !e.secondCanaryAllowed(now, c) {
 		return query.ReasonQuarantined, left
 	}
-	if why := e.closed(now, f); why != query.ReasonNone {
-		return why, retrySoon
+	if reason := e.closedReason(now, f); reason != query.ReasonNone {
+		return reason, shortRetryAfter
 	}
 	if now >= c.Deadline {
 		return query.ReasonDeadline, 0
 	}
 	limit := e.limit(now, f)
 	if limit == 0 {
-		return query.ReasonCold, f.ramp.left(now, f.warm)
+		return query.ReasonCold, f.ramp.remaining(now, f.warmUp)
 	}
-	if len(f.queue) >= e.queueCap(f) && !e.makeRoom(f, c) {
-		return query.ReasonQueueFull, retrySoon
+	if len(f.queue) >= e.queueLimit(f) && !e.canDisplace(f, c) {
+		return query.ReasonQueueFull, shortRetryAfter
 	}
 	return query.ReasonNone, 0
 }
 
-// secondChance tells whether a request that brought down one server may run once
-// more: only for the query whose canary that was.
-func (e *Engine) secondChance(now clock.Milli, c Call) bool {
+// secondCanaryAllowed reports whether a request that crashed one server may run
+// a second time. Only the query whose canary crashed it may.
+func (e *Engine) secondCanaryAllowed(now clock.Milli, c Call) bool {
 	return c.SecondCanary && e.strikes.Get(now, c.Fingerprint).Count < 2
 }
 
-func (e *Engine) queueCap(f *leaf) int {
-	per := e.Policy.QueuePerSlot
-	if per == 0 {
-		per = defaultQueuePerSlot
+func (e *Engine) queueLimit(f *leaf) int {
+	perSlot := e.Policy.QueuePerSlot
+	if perSlot == 0 {
+		perSlot = defaultQueuePerSlot
 	}
-	return per * max(1, f.cap)
+	return perSlot * max(1, f.slotLimit)
 }
 
-// makeRoom tells whether a full queue is to take a call all the same, because
-// another caller has far more than its share in it. That one's newest call is
-// displaced by the next dispatch.
-func (e *Engine) makeRoom(f *leaf, c Call) bool {
-	if e.Policy.NoFairness || len(f.queue) > e.queueCap(f) {
+// canDisplace reports whether a full queue accepts a call because another caller
+// has at least two more calls queued. The next dispatch then rejects the newest
+// call of the caller with the most.
+func (e *Engine) canDisplace(f *leaf, c Call) bool {
+	if e.Policy.NoFairness || len(f.queue) > e.queueLimit(f) {
 		return false
 	}
-	mine, most := 0, 0
+	own, most := 0, 0
 	count := map[string]int{}
 	for _, q := range f.queue {
 		count[q.Caller]++
 		most = max(most, count[q.Caller])
 	}
-	mine = count[c.Caller]
-	return most > mine+1
+	own = count[c.Caller]
+	return most > own+1
 }
 
-// dispatch sends waiting calls while the leaf has room.
+// dispatch sends queued calls while the leaf has free slots.
 func (e *Engine) dispatch(now clock.Milli, f *leaf) []Action {
 	out := e.expire(now, f)
 	if len(f.queue) == 0 {
 		return out
 	}
-	if now < e.fenced || e.closed(now, f) != query.ReasonNone {
+	if now < e.suspendedUntil || e.closedReason(now, f) != query.ReasonNone {
 		return out
 	}
 	limit := e.limit(now, f)
-	for len(f.queue) > 0 && f.busy+f.ghosts(now) < limit {
+	for len(f.queue) > 0 && f.busy+f.orphanCount(now) < limit {
 		i := e.next(f)
 		if i < 0 {
 			break
 		}
-		c, fresh := f.idle(false), false
+		c, newConn := f.idleConn(false), false
 		if c == nil {
-			c, fresh = e.open(now, f), true
+			c, newConn = e.openConn(now, f), true
 		}
 		if c == nil {
 			break
 		}
-		k := f.take(i)
+		k := f.dequeue(i)
 		k.conn = c.id
 		if k.Canary {
 			e.canaries[k.Fingerprint] = k.Key
 		}
-		c.call, c.since = k, now
+		c.call, c.sentAt = k, now
 		f.busy++
-		out = append(out, Send{Leaf: f.Name, Conn: c.id, NewConn: fresh, Call: k.Call})
+		out = append(out, Send{Leaf: f.Name, Conn: c.id, NewConn: newConn, Call: k.Call})
 	}
-	if over := len(f.queue) - e.queueCap(f); over > 0 {
+	if over := len(f.queue) - e.queueLimit(f); over > 0 {
 		out = append(out, e.displace(now, f)...)
 	}
 	return out
 }
 
-// displace refuses the newest waiting call of the caller that has most.
+// displace rejects the newest queued call of the caller with the most.
 func (e *Engine) displace(now clock.Milli, f *leaf) []Action {
 	count := map[string]int{}
 	for _, q := range f.queue {
@@ -150,12 +149,12 @@
 			worst = i
 		}
 	}
-	k := f.take(worst)
-	return e.finish(now, k, query.Outcome{Kind: query.NotRun, Reason: query.ReasonQueueFull, RetryAfter: retrySoon})
+	k := f.dequeue(worst)
+	return e.finish(now, k, query.Outcome{Kind: query.NotRun, Reason: query.ReasonQueueFull, RetryAfter: shortRetryAfter})
 }
 
-// expire answers waiting calls whose deadline has passed; a leaf is never
-// asked for what nobody waits for any more.
+// expire rejects queued calls whose deadline has passed, so that no leaf works
+// on a call without a waiting caller.
 func (e *Engine) expire(now clock.Milli, f *leaf) []Action {
 	var out []Action
 	for i := 0; i < len(f.queue); {
@@ -163,53 +162,53 @@
 			i++
 			continue
 		}
-		k := f.take(i)
+		k := f.dequeue(i)
 		out = append(out, e.finish(now, k, query.Outcome{Kind: query.NotRun, Reason: query.ReasonDeadline})...)
 	}
 	return out
 }
 
-func (f *leaf) take(i int) *call {
+func (f *leaf) dequeue(i int) *call {
 	k := f.queue[i]
 	f.queue = append(f.queue[:i], f.queue[i+1:]...)
 	return k
 }
 
-// next picks the waiting call to send: of the caller with the fewest calls at
-// this leaf, the one that the order prefers. It returns -1 when none may go.
+// next returns the index of the queued call to send, or -1. It selects the
+// caller with the fewest calls at this leaf, then by Policy.Order.
 //
-// Of several canaries with one fingerprint only one runs at a time: if it
-// crashes its server, the others have not run.
+// Only one canary per fingerprint runs at a time: if it crashes its server, the
+// others have not run.
 func (e *Engine) next(f *leaf) int {
 	best := -1
-	at := f.atLeaf()
+	inFlight := f.inFlightByCaller()
 	for i, k := range f.queue {
 		if _, running := e.canaries[k.Fingerprint]; running && k.Canary {
 			continue
 		}
-		if best < 0 || e.prefer(k, f.queue[best], at) {
+		if best < 0 || e.prefer(k, f.queue[best], inFlight) {
 			best = i
 		}
 	}
 	return best
 }
 
-func (f *leaf) atLeaf() map[string]int {
+func (f *leaf) inFlightByCaller() map[string]int {
 	if len(f.queue) < 2 {
 		return nil
 	}
-	at := make(map[string]int, f.busy)
+	count := make(map[string]int, f.busy)
 	for _, c := range f.conns {
 		if c.call != nil {
-			at[c.call.Caller]++
+			count[c.call.Caller]++
 		}
 	}
-	return at
+	return count
 }
 
-func (e *Engine) prefer(a, b *call, at map[string]int) bool {
-	if !e.Policy.NoFairness && at[a.Caller] != at[b.Caller] {
-		return at[a.Caller] < at[b.Caller]
+func (e *Engine) prefer(a, b *call, inFlight map[string]int) bool {
+	if !e.Policy.NoFairness && inFlight[a.Caller] != inFlight[b.Caller] {
+		return inFlight[a.Caller] < inFlight[b.Caller]
 	}
 	switch e.Policy.Order {
 	case OrderOldest:
@@ -221,8 +220,8 @@
 	return a.Deadline < b.Deadline
 }
 
-// finish gives a call its outcome and forgets it. A call that was cancelled at
-// its leaf has been answered before, and gets no second outcome.
+// finish reports the outcome of a call and removes it. A call that was cancelled
+// at its leaf already has an outcome and gets no second one.
 func (e *Engine) finish(now clock.Milli, k *call, o query.Outcome) []Action {
 	if k.answered {
 		return nil
@@ -238,97 +237,97 @@
 	return []Action{Reply{Key: k.Key, Outcome: o}}
 }
 
-// Result is what came back for a call on a connection.
+// Result is the result of a call on a connection.
 type Result struct {
 	Leaf string
 	Conn ConnID
 	Key  Key
-	// Outcome has the kind, reason and rows.
+	// Outcome holds the kind, reason and rows.
 	Outcome query.Outcome
 	Status  LeafStatus
-	// ConnLost: the connection is gone.
+	// ConnLost is set if the connection was lost.
 	ConnLost bool
-	// NotOpened: the connection could not even be opened.
+	// DialFailed is set if the connection could not be opened.
 	DialFailed bool
 }
 
-// CallDone takes the result of a call.
+// CallDone handles the result of a call.
 func (e *Engine) CallDone(now clock.Milli, r Result) []Action {
-	f := e.leafs[r.Leaf]
+	f := e.leaves[r.Leaf]
 	if f == nil {
 		return nil
 	}
 	c := f.conns[r.Conn]
 	if c == nil || c.call == nil || c.call.Key != r.Key {
-		return nil // given up on earlier; its caller has its answer
+		return nil // the call was abandoned and has been answered
 	}
 	k := c.call
-	took := now - c.since
-	e.release(now, f, c, r)
+	took := now - c.sentAt
+	e.freeConn(now, f, c, r)
 	o := r.Outcome
 	o.Took = took
 	if o.Reason == query.ReasonReset && r.Status.restarted(f) {
 		o.Kind = query.Died
 	}
-	out := e.judge(now, f, k, r, &o)
+	out := e.applyResult(now, f, k, r, &o)
 	out = append(out, e.handOver(now, f.server)...)
 	out = append(out, e.finish(now, k, o)...)
 	out = append(out, e.dispatch(now, f)...)
 	return append(out, e.publish(f, now)...)
 }
 
-func (e *Engine) release(now clock.Milli, f *leaf, c *conn, r Result) {
+func (e *Engine) freeConn(now clock.Milli, f *leaf, c *conn, r Result) {
 	if r.ConnLost || r.DialFailed {
 		e.detach(f, c)
 		return
 	}
 	c.call = nil
 	f.busy--
-	c.opened, c.used = true, now
+	c.opened, c.lastUsed = true, now
 }
 
-// judge learns from a result.
-func (e *Engine) judge(now clock.Milli, f *leaf, k *call, r Result, o *query.Outcome) []Action {
-	out := e.observe(now, f, r.Status, false)
+// applyResult updates the state of the leaf and of its request from a result.
+func (e *Engine) applyResult(now clock.Milli, f *leaf, k *call, r Result, o *query.Outcome) []Action {
+	out := e.applyStatus(now, f, r.Status, false)
 	switch o.Kind {
 	case query.OK:
-		f.succeed(now)
-		f.health.pace.learn(now, o.Took)
+		f.recordSuccess(now)
+		f.health.latency.record(now, o.Took)
 		if k.Canary {
-			e.proven.Add(k.proof())
+			e.proven.Add(k.provenKey())
 		}
-		if e.coldBySlowness(f, o.Took) {
-			f.ramp.begin(now, true)
+		if e.detectColdStart(f, o.Took) {
+			f.ramp.restart(now, true)
 			out = append(out, LeafEvent{Leaf: f.Name, Event: "ramp started", Cause: "slow"})
 		}
 	case query.Shed:
-		// This host sends no more than the slots, so a leaf that sheds is
-		// colder than it seemed; unless another host may send to it as well.
-		own := e.leases.exclusive(now, f.server) || e.leases.settled(now, f.server)
-		if own && !r.Status.Draining && now-f.ramp.sheds >= shedPause {
-			f.ramp.sheds = now
-			f.ramp.begin(now, true)
+		// This host stays within the slots, so a leaf that sheds is colder than
+		// assumed, unless another host may be sending to it as well.
+		soleSender := e.leases.exclusive(now, f.server) || e.leases.settled(now, f.server)
+		if soleSender && !r.Status.Draining && now-f.ramp.shedAt >= shedRampInterval {
+			f.ramp.shedAt = now
+			f.ramp.restart(now, true)
 			out = append(out, LeafEvent{Leaf: f.Name, Event: "ramp started", Cause: "shed"})
 		}
 	case query.Died:
-		out = append(out, e.blame(now, k, o)...)
-		out = append(out, e.fail(now, f, true, query.ReasonReset)...)
+		out = append(out, e.recordCrash(now, k, o)...)
+		out = append(out, e.recordFailure(now, f, true, query.ReasonReset)...)
 	case query.NotRun:
 		if r.DialFailed {
-			out = append(out, e.fail(now, f, true, query.ReasonUnreachable)...)
+			out = append(out, e.recordFailure(now, f, true, query.ReasonUnreachable)...)
 		}
 	case query.Unknown:
-		out = append(out, e.fail(now, f, false, o.Reason)...)
+		out = append(out, e.recordFailure(now, f, false, o.Reason)...)
 	}
 	return out
 }
 
-// blame looks whether a request brought down the server that it was on. Only a
-// canary is blamed: a request that crashes each server it runs on never gets
-// past its canary, and what a leaf has survived before is innocent. Without the
-// distinction, the loss of a whole failure domain would quarantine whatever
-// popular queries ran there, on two servers each.
-func (e *Engine) blame(now clock.Milli, k *call, o *query.Outcome) []Action {
+// recordCrash adds a strike to the request if it was a canary. A request that
+// crashes every server never gets past its canary, and a request that a leaf has
+// completed before is not the cause. Without this distinction, the loss of a
+// failure domain would quarantine the popular queries running there, each on two
+// servers.
+func (e *Engine) recordCrash(now clock.Milli, k *call, o *query.Outcome) []Action {
 	e.proven.Drop(k.Fingerprint)
 	if !k.Canary {
 		o.Kind = query.Unknown
@@ -339,11 +338,10 @@
 	return append([]Action{ShareStrike{Strike: strike}}, e.purge(now, k.Fingerprint)...)
 }
 
-// Cancel gives up on a call whose caller no longer needs it. A waiting call
-// has not run. One at a leaf keeps its connection and its slot until the leaf
-// has answered: a slot that is counted free too early sends the leaf more than
-// it bears, and a late reply on a reused connection could be taken for the next
-// call's.
+// Cancel abandons a call that its caller no longer needs. A queued call has not
+// run. A call at a leaf keeps its connection and slot until the leaf has
+// answered: freeing the slot early would exceed the leaf's capacity, and a late
+// reply on a reused connection could be taken for the next call's.
 func (e *Engine) Cancel(now clock.Milli, key Key) []Action {
 	k := e.calls[key]
 	if k == nil {
@@ -353,29 +351,29 @@
 	if k.conn == 0 {
 		for i, q := range f.queue {
 			if q == k {
-				f.take(i)
+				f.dequeue(i)
 				break
 			}
 		}
 		return e.finish(now, k, query.Outcome{Kind: query.NotRun, Reason: query.ReasonCancelled})
 	}
-	f.overtaken(now, k)
+	f.recordAbandoned(now, k)
 	out := e.finish(now, k, query.Outcome{Kind: query.Unknown, Reason: query.ReasonCancelled})
-	if f.idle(true) != nil {
+	if f.idleConn(true) != nil {
 		out = append(out, e.abort(now, f, k)...)
 	}
 	return out
 }
 
-// LinkClosed cancels every call that came on a link which is closed.
+// LinkClosed cancels all calls that arrived on a closed link.
 func (e *Engine) LinkClosed(now clock.Milli, link uint64) []Action {
 	var out []Action
-	for _, f := range e.order {
+	for _, f := range e.byName {
 		keys := make([]Key, 0, f.busy)
 		for _, q := range f.queue {
 			keys = append(keys, q.Key)
 		}
-		for _, c := range f.sorted() {
+		for _, c := range f.sortedConns() {
 			if c.call != nil {
 				keys = append(keys, c.call.Key)
 			}
@@ -389,42 +387,42 @@
 	return out
 }
 
-// Tick runs what is due. Call it every few milliseconds. It tells whether the
-// process seems to have been paused since the last tick.
+// Tick runs all timed work. It must be called every few milliseconds. It
+// reports whether the process appears to have been paused since the last tick.
 func (e *Engine) Tick(now clock.Milli) (out []Action, paused bool) {
 	e.init(now)
-	if now-e.lastTick >= pauseGap {
+	if now-e.lastTick >= pauseThreshold {
 		paused = true
 		e.SuspendAdmission(now)
 	}
 	e.lastTick = now
-	e.average()
-	out = e.claim(now)
-	for _, f := range e.order {
+	e.updateServiceMeans()
+	out = e.renewClaims(now)
+	for _, f := range e.byName {
 		out = append(out, e.watchdog(now, f)...)
-		out = append(out, e.probes(now, f)...)
+		out = append(out, e.probeIfDue(now, f)...)
 		out = append(out, e.dispatch(now, f)...)
 		out = append(out, e.publish(f, now)...)
 	}
 	return out, paused
 }
 
-// SuspendAdmission holds new work back after a pause. A process that slept still believes
-// what was true before: a failure domain may have been taken out meanwhile, and
-// its queue holds work that nobody waits for. No new work goes out until the
-// configuration is known to be current (Unfence), or, when the host is cut off
-// from everyone, for a short span.
+// SuspendAdmission rejects new calls after a pause of the process. The state may
+// be stale: a failure domain may have been taken out meanwhile, and the callers
+// of queued calls may have given up. Calls are admitted again once the
+// configuration is known to be current (ResumeAdmission), or after
+// suspendDuration if the host is disconnected from all peers.
 func (e *Engine) SuspendAdmission(now clock.Milli) {
-	e.fenced = now + fenceSpan
-	e.leases.unsettle(now)
+	e.suspendedUntil = now + suspendDuration
+	e.leases.resetSettled(now)
 }
 
-// ResumeAdmission ends a fence: a peer has confirmed the configuration in force.
-func (e *Engine) ResumeAdmission() { e.fenced = 0 }
+// ResumeAdmission ends a suspension after a peer confirmed the configuration.
+func (e *Engine) ResumeAdmission() { e.suspendedUntil = 0 }
 
-// CallOnConn returns the call that is on a connection, if any.
+// CallOnConn returns the call that a connection is running, if any.
 func (e *Engine) CallOnConn(leafName string, id ConnID) (Key, bool) {
-	f := e.leafs[leafName]
+	f := e.leaves[leafName]
 	if f == nil || f.conns[id] == nil || f.conns[id].call == nil {
 		return Key{}, false
 	}
--- a/share/sched/health.go
+++ b/share/sched/health.go
@@ -8,60 +8,60 @@
 	"dandelionstile/share/topo"
 )
 
-// health is what is known of a leaf's server beyond its ramp.
+// health is the state of a leaf's server apart from its ramp.
 type health struct {
-	incarnation uint64
-	usual       float64 // usual service time in ms, smoothed
-	failures    int     // in a row
-	down        bool    // no new work until a probe succeeds
-	nextProbe   clock.Milli
-	backoff     clock.Milli
-	draining    bool
-	drainedAt   clock.Milli // when the leaf last said that it drains
-	progress    clock.Milli // when any connection last made progress
-	pace        pace
+	incarnation     uint64
+	meanLatency     float64 // moving average in ms
+	failures        int     // in a row
+	down            bool    // no new calls until a probe succeeds
+	nextProbeAt     clock.Milli
+	backoff         clock.Milli
+	draining        bool
+	drainReportedAt clock.Milli // when the leaf last reported that it drains
+	lastProgress    clock.Milli // on any of its connections
+	latency         recentLatency
 }
 
 const (
-	// ejectAfter is how many failures in a row close a leaf until a probe
-	// succeeds.
+	// ejectAfter is the number of consecutive failures that take a leaf out of
+	// service until a probe succeeds.
 	ejectAfter = 3
-	// probeMax bounds the pause between probes of a leaf that is down.
-	probeMax = 5 * clock.Second
-	// drainHold is how long a leaf must have stopped saying that it drains
-	// before it gets work again, unless it restarted. Its endpoints lag, and
-	// one of them alone never brings it back.
+	// maxProbeBackoff limits the time between probes of a leaf that is down.
+	maxProbeBackoff = 5 * clock.Second
+	// drainHold is how long ago a leaf must last have reported a drain before it
+	// gets calls again, unless it restarted. The state endpoints of a leaf lag
+	// behind each other, so one healthy response doesn't end a drain.
 	drainHold = 3 * clock.Second
 )
 
-// LeafStatus is what a reply or probe tells of a leaf besides its result.
+// LeafStatus is what a reply or probe reports about a leaf besides its result.
 type LeafStatus struct {
-	// Incarnation changes when the server restarts; 0 when unknown.
+	// Incarnation changes when the server restarts; 0 if unknown.
 	Incarnation uint64
 	Draining    bool
-	// Holds are the leaf's snapshots; nil when not told.
+	// Holds lists the leaf's snapshots; nil if not reported.
 	Holds []topo.SnapshotID
 }
 
-// restarted tells whether the sign comes from another incarnation than the one
-// known of.
+// restarted reports whether the status comes from another incarnation than the
+// last known one.
 func (s LeafStatus) restarted(f *leaf) bool {
 	return s.Incarnation != 0 && f.health.incarnation != 0 && s.Incarnation != f.health.incarnation
 }
 
-// closed tells why a leaf takes no new work, or ReasonNone.
-func (e *Engine) closed(now clock.Milli, f *leaf) query.Reason {
-	if f.rank < 0 || e.leases.promised(now, f.server) {
+// closedReason returns why this host sends no calls to a leaf, or ReasonNone.
+func (e *Engine) closedReason(now clock.Milli, f *leaf) query.Reason {
+	if f.rank < 0 || e.leases.granted(now, f.server) {
 		return query.ReasonNotOwner
 	}
-	return f.shut()
+	return f.outageReason()
 }
 
-// shut tells why a leaf takes no new work from anyone, or ReasonNone.
-func (f *leaf) shut() query.Reason {
+// outageReason returns why no host may send calls to a leaf, or ReasonNone.
+func (f *leaf) outageReason() query.Reason {
 	switch {
-	case f.out != query.ReasonNone:
-		return f.out
+	case f.outReason != query.ReasonNone:
+		return f.outReason
 	case f.health.draining:
 		return query.ReasonDraining
 	case f.health.down:
@@ -70,13 +70,13 @@
 	return query.ReasonNone
 }
 
-// observe takes the signs of a reply or probe.
-func (e *Engine) observe(now clock.Milli, f *leaf, s LeafStatus, probe bool) []Action {
+// applyStatus updates a leaf from the status in a reply or probe.
+func (e *Engine) applyStatus(now clock.Milli, f *leaf, s LeafStatus, fromProbe bool) []Action {
 	var out []Action
 	h := &f.health
 	if s.restarted(f) {
-		f.ramp.begin(now, true)
-		h.usual = 0
+		f.ramp.restart(now, true)
+		h.meanLatency = 0
 		h.draining = false
 		out = append(out, LeafEvent{Leaf: f.Name, Event: "ramp started", Cause: "restarted"})
 	}
@@ -90,33 +90,33 @@
 		if !h.draining {
 			out = append(out, LeafEvent{Leaf: f.Name, Event: "closed", Cause: "draining"})
 		}
-		h.draining, h.drainedAt = true, now
+		h.draining, h.drainReportedAt = true, now
 		out = append(out, e.flush(now, f, query.ReasonDraining)...)
-	} else if h.draining && probe && now-h.drainedAt >= drainHold {
+	} else if h.draining && fromProbe && now-h.drainReportedAt >= drainHold {
 		h.draining = false
-		// What it did while it drained is not known here: start from cold.
-		f.ramp.begin(now, true)
+		// Its load during the drain is unknown here, so it counts as cold.
+		f.ramp.restart(now, true)
 		out = append(out, LeafEvent{Leaf: f.Name, Event: "ramp started", Cause: "drain ended"})
 	}
 	return out
 }
 
-// succeed clears what failures left behind.
-func (f *leaf) succeed(now clock.Milli) {
+// recordSuccess resets the failure state of a leaf.
+func (f *leaf) recordSuccess(now clock.Milli) {
 	h := &f.health
 	h.failures, h.backoff = 0, 0
 	h.down = false
-	h.progress = now
-	if h.nextProbe > now+probeEvery {
-		h.nextProbe = now + probeEvery
+	h.lastProgress = now
+	if h.nextProbeAt > now+probeInterval {
+		h.nextProbeAt = now + probeInterval
 	}
 }
 
-// fail counts a failure; certain ones close the leaf at once.
-func (e *Engine) fail(now clock.Milli, f *leaf, certain bool, cause query.Reason) []Action {
+// recordFailure counts a failure. A definite one ejects the leaf at once.
+func (e *Engine) recordFailure(now clock.Milli, f *leaf, definite bool, cause query.Reason) []Action {
 	h := &f.health
 	h.failures++
-	if !certain && h.failures < ejectAfter {
+	if !definite && h.failures < ejectAfter {
 		return nil
 	}
 	var out []Action
@@ -125,65 +125,65 @@
 		out = append(out, LeafEvent{Leaf: f.Name, Event: "closed", Cause: string(cause)})
 		out = append(out, e.flush(now, f, query.ReasonUnreachable)...)
 	}
-	h.backoff = min(max(2*h.backoff, 100), probeMax)
-	h.nextProbe = now + h.backoff
+	h.backoff = min(max(2*h.backoff, 100), maxProbeBackoff)
+	h.nextProbeAt = now + h.backoff
 	return out
 }
 
-// probes sends what is due: a probe per leaf and second, over an idle
-// connection or a new one. It keeps connections warm, finds silent ones, and
-// learns restarts, drains and snapshots.
-func (e *Engine) probes(now clock.Milli, f *leaf) []Action {
+// probeIfDue probes a leaf once per second, over an idle or a new connection.
+// Probes keep connections open, detect unresponsive ones, and report restarts,
+// drains and snapshots.
+func (e *Engine) probeIfDue(now clock.Milli, f *leaf) []Action {
 	h := &f.health
-	if f.rank < 0 || now < h.nextProbe {
+	if f.rank < 0 || now < h.nextProbeAt {
 		return nil
 	}
-	c, fresh := f.idle(true), false
-	if c == nil || (len(f.conns) < min(f.cap, f.share()) && !h.down) {
-		if n := e.open(now, f); n != nil {
-			c, fresh = n, true
+	c, newConn := f.idleConn(true), false
+	if c == nil || (len(f.conns) < min(f.slotLimit, f.connShare()) && !h.down) {
+		if n := e.openConn(now, f); n != nil {
+			c, newConn = n, true
 		}
 	}
 	if c == nil {
 		return nil
 	}
-	h.nextProbe = now + probeEvery
-	if len(f.conns) < min(f.cap, f.share()) {
-		h.nextProbe = now + 50
+	h.nextProbeAt = now + probeInterval
+	if len(f.conns) < min(f.slotLimit, f.connShare()) {
+		h.nextProbeAt = now + 50
 	}
-	c.probe, c.since = true, now
-	return []Action{Probe{Leaf: f.Name, Conn: c.id, NewConn: fresh}}
+	c.probing, c.sentAt = true, now
+	return []Action{Probe{Leaf: f.Name, Conn: c.id, NewConn: newConn}}
 }
 
-// idle returns a free connection: the least recently used for a probe, the most
-// recently used for a call.
-func (f *leaf) idle(oldest bool) *conn {
+// idleConn returns an idle connection: the least recently used one for probes,
+// the most recently used one for calls.
+func (f *leaf) idleConn(oldest bool) *conn {
 	var best *conn
 	for _, c := range f.conns {
-		if c.call != nil || c.probe || !c.opened {
+		if c.call != nil || c.probing || !c.opened {
 			continue
 		}
-		if best == nil || c.used == best.used && c.id < best.id || (c.used < best.used) == oldest && c.used != best.used {
+		if best == nil || c.lastUsed == best.lastUsed && c.id < best.id || (c.lastUsed < best.lastUsed) == oldest && c.lastUsed != best.lastUsed {
 			best = c
 		}
 	}
 	return best
 }
 
-// open makes a new connection if the share allows one more.
-func (e *Engine) open(now clock.Milli, f *leaf) *conn {
-	if len(f.conns) >= f.share() {
+// openConn adds a connection if this host's share allows it.
+func (e *Engine) openConn(now clock.Milli, f *leaf) *conn {
+	if len(f.conns) >= f.connShare() {
 		return nil
 	}
 	e.lastConn++
-	c := &conn{id: e.lastConn, since: now, used: now}
+	c := &conn{id: e.lastConn, sentAt: now, lastUsed: now}
 	f.conns[c.id] = c
 	return c
 }
 
-// ProbeDone takes the result of a probe.
+// ProbeDone handles the result of a probe.
 func (e *Engine) ProbeDone(now clock.Milli, leafName string, id ConnID, s LeafStatus, err error) []Action {
-	f := e.leafs[leafName]
+	f := e.leaves[leafName]
 	if f == nil {
 		return []Action{CloseConn{Leaf: leafName, Conn: id, Reason: query.ReasonNotOwner}}
 	}
@@ -194,63 +194,63 @@
 	if err != nil {
 		delete(f.conns, id)
 		out := []Action{CloseConn{Leaf: leafName, Conn: id, Reason: query.ReasonUnreachable}}
-		out = append(out, e.fail(now, f, !c.opened, query.ReasonUnreachable)...)
+		out = append(out, e.recordFailure(now, f, !c.opened, query.ReasonUnreachable)...)
 		return append(out, e.publish(f, now)...)
 	}
-	if aborted := c.aborts; aborted != (Key{}) {
-		f.endGhosts(func(g ghost) bool { return g.key == aborted })
+	if aborted := c.aborting; aborted != (Key{}) {
+		f.removeOrphans(func(o orphan) bool { return o.key == aborted })
 	}
-	c.probe, c.opened, c.used, c.aborts = false, true, now, Key{}
-	f.succeed(now)
-	out := e.observe(now, f, s, true)
+	c.probing, c.opened, c.lastUsed, c.aborting = false, true, now, Key{}
+	f.recordSuccess(now)
+	out := e.applyStatus(now, f, s, true)
 	out = append(out, e.dispatch(now, f)...)
 	return append(out, e.publish(f, now)...)
 }
 
-// ConnClosed says that a connection was closed. One that was idle is dropped before
-// a call is put on it: the call would fail, and its request would be taken for
-// what brought the server down. A close by the server hints at a restart, so
-// the leaf is looked at right away.
+// ConnClosed handles a closed connection. An idle one is removed before a call is
+// sent over it: the call would fail, and its request would be blamed for crashing
+// the server. A close by the server may mean a restart, so the leaf is probed
+// immediately.
 func (e *Engine) ConnClosed(now clock.Milli, leafName string, id ConnID) []Action {
-	f := e.leafs[leafName]
+	f := e.leaves[leafName]
 	if f == nil {
 		return nil
 	}
 	c := f.conns[id]
-	if c == nil || c.call != nil || c.probe {
-		return nil // what is on it ends with an error of its own
+	if c == nil || c.call != nil || c.probing {
+		return nil // its call or probe reports the error
 	}
 	delete(f.conns, id)
-	f.health.nextProbe = now
-	return e.probes(now, f)
+	f.health.nextProbeAt = now
+	return e.probeIfDue(now, f)
 }
 
-// watchdog condemns connections that make no progress. Something between the
-// two ends may have lost track of a connection: it is silent for good while new
-// ones work. The connection goes; the leaf is blamed only when none of its
-// other connections makes progress either.
+// watchdog closes connections that make no progress. A device on the path may
+// have dropped the state of one connection, which then stays silent while new
+// ones work. The leaf is only charged with a failure if none of its connections
+// makes progress.
 func (e *Engine) watchdog(now clock.Milli, f *leaf) []Action {
 	var out []Action
-	limit := e.silentAfter(f)
-	for _, c := range f.sorted() {
-		span := probeTimeout
+	callTimeout := e.silenceTimeout(f)
+	for _, c := range f.sortedConns() {
+		timeout := probeTimeout
 		if c.call != nil {
-			span = limit
+			timeout = callTimeout
 		}
-		if (c.call == nil && !c.probe) || now-c.since < span {
+		if (c.call == nil && !c.probing) || now-c.sentAt < timeout {
 			continue
 		}
 		lost := c.call
 		if lost != nil {
-			f.overtaken(now, lost)
+			f.recordAbandoned(now, lost)
 		}
 		e.detach(f, c)
 		out = append(out, CloseConn{Leaf: f.Name, Conn: c.id, Reason: query.ReasonSilent})
-		if now-f.health.progress >= span {
-			out = append(out, e.fail(now, f, !c.opened, query.ReasonSilent)...)
+		if now-f.health.lastProgress >= timeout {
+			out = append(out, e.recordFailure(now, f, !c.opened, query.ReasonSilent)...)
 		}
 		if lost != nil {
-			f.lost = append(f.lost, ghost{lost.Key, min(lost.Deadline, now+probeTimeout)})
+			f.orphans = append(f.orphans, orphan{lost.Key, min(lost.Deadline, now+probeTimeout)})
 			out = append(out, e.abort(now, f, lost)...)
 			out = append(out, e.finish(now, lost, query.Outcome{Kind: query.Unknown, Reason: query.ReasonSilent})...)
 		}
@@ -258,58 +258,58 @@
 	return out
 }
 
-// abort asks the leaf to stop working on a call.
+// abort asks a leaf to stop working on a call.
 func (e *Engine) abort(now clock.Milli, f *leaf, k *call) []Action {
-	c, fresh := f.idle(true), false
+	c, newConn := f.idleConn(true), false
 	if c == nil {
-		c, fresh = e.open(now, f), true
+		c, newConn = e.openConn(now, f), true
 	}
 	if c == nil {
 		return nil
 	}
-	c.probe, c.since, c.aborts = true, now, k.Key
-	return []Action{Abort{Leaf: f.Name, Conn: c.id, NewConn: fresh, Call: k.Call}}
+	c.probing, c.sentAt, c.aborting = true, now, k.Key
+	return []Action{Abort{Leaf: f.Name, Conn: c.id, NewConn: newConn, Call: k.Call}}
 }
 
-// ghosts counts the calls that may still run at the leaf although their
-// connections were condemned. A leaf that is only slow would otherwise get more
-// than its slots: it sheds, and is taken for cold. A ghost ends when the leaf
-// confirms that it has stopped, or with its deadline.
-func (f *leaf) ghosts(now clock.Milli) int {
-	f.endGhosts(func(g ghost) bool { return now >= g.until })
-	return len(f.lost)
+// orphanCount returns how many calls may still be running at the leaf although
+// their connections were closed. Without it, a leaf that is merely slow would get
+// more calls than it has slots, shed, and be treated as cold. An orphan ends when
+// the leaf confirms the abort, or at its deadline.
+func (f *leaf) orphanCount(now clock.Milli) int {
+	f.removeOrphans(func(o orphan) bool { return now >= o.until })
+	return len(f.orphans)
 }
 
-func (f *leaf) endGhosts(ended func(ghost) bool) {
-	kept := f.lost[:0]
-	for _, g := range f.lost {
-		if !ended(g) {
-			kept = append(kept, g)
+func (f *leaf) removeOrphans(match func(orphan) bool) {
+	kept := f.orphans[:0]
+	for _, o := range f.orphans {
+		if !match(o) {
+			kept = append(kept, o)
 		}
 	}
-	f.lost = kept
+	f.orphans = kept
 }
 
-// Bounds of silentAfter.
+// Bounds of the timeout for calls without progress.
 const (
-	silentFactor             = 25
-	silentMin    clock.Milli = 150
+	silenceFactor                 = 25
+	minSilenceTimeout clock.Milli = 150
 )
 
-// silentAfter is how long a call may go without a reply: many times what the
-// leaf usually takes, so that a mere straggler keeps its connection.
-func (e *Engine) silentAfter(f *leaf) clock.Milli {
-	most := e.Policy.SilenceTimeout
-	if most == 0 {
-		most = defaultSilent
+// silenceTimeout returns how long a call may go without a reply. It is a multiple
+// of the leaf's mean latency, so that a straggler keeps its connection.
+func (e *Engine) silenceTimeout(f *leaf) clock.Milli {
+	timeout := e.Policy.SilenceTimeout
+	if timeout == 0 {
+		timeout = defaultSilenceTimeout
 	}
-	if f.health.usual == 0 {
-		return most
+	if f.health.meanLatency == 0 {
+		return timeout
 	}
-	return min(most, max(silentMin, clock.Milli(silentFactor*f.health.usual)))
+	return min(timeout, max(minSilenceTimeout, clock.Milli(silenceFactor*f.health.meanLatency)))
 }
 
-// detach takes a call off its connection and forgets the connection.
+// detach removes a connection and frees the slot of its call, if any.
 func (e *Engine) detach(f *leaf, c *conn) {
 	if c.call != nil {
 		c.call = nil
@@ -318,24 +318,24 @@
 	delete(f.conns, c.id)
 }
 
-// publish tells the entries when something they choose by has changed.
+// publish sends the state of a leaf to the entries if it changed.
 func (e *Engine) publish(f *leaf, now clock.Milli) []Action {
-	if f.rank < 0 || e.leases.promised(now, f.server) {
-		return nil // the other candidate knows better
+	if f.rank < 0 || e.leases.granted(now, f.server) {
+		return nil // left to the other candidate
 	}
 	fb := e.feedback(now, f)
-	old := f.feeding
+	old := f.published
 	if fb.Closed == old.Closed && fb.Limit == old.Limit && slices.Equal(fb.Holds, old.Holds) && old.Leaf != "" {
 		return nil
 	}
-	f.feeding = fb
+	f.published = fb
 	return []Action{Publish{Feedback: fb}}
 }
 
-// Feedback lists the state of all leafs, for an entry that has just linked up.
+// Feedback returns the state of all leaves, for a newly connected entry.
 func (e *Engine) Feedback(now clock.Milli) []query.Feedback {
-	list := make([]query.Feedback, 0, len(e.order))
-	for _, f := range e.order {
+	list := make([]query.Feedback, 0, len(e.byName))
+	for _, f := range e.byName {
 		list = append(list, e.feedback(now, f))
 	}
 	return list
@@ -344,6 +344,6 @@
 func (e *Engine) feedback(now clock.Milli, f *leaf) query.Feedback {
 	return query.Feedback{
 		Leaf: f.Name, Busy: f.busy, Queued: len(f.queue), Limit: e.limit(now, f),
-		Holds: f.holds, Closed: f.shut() != query.ReasonNone, CallTime: f.health.pace.at(now, e.usualOf(f)),
+		Holds: f.holds, Closed: f.outageReason() != query.ReasonNone, CallTime: f.health.latency.decayed(now, e.serviceMean(f)),
 	}
 }
--- a/share/sched/lease.go
+++ b/share/sched/lease.go
@@ -7,147 +7,146 @@
 	"dandelionstile/share/clock"
 )
 
-// Timing of the leases between the two candidates of a server.
+// Timing of the leases between the two candidates for a server.
 const (
-	// leaseSpan is how long a grant binds the host that gave it.
-	leaseSpan = clock.Second
-	// leaseRenew is the pause between two claims.
-	leaseRenew clock.Milli = 300
-	// settleSpan is how long two hosts share a server's leafs half and half
-	// when neither has the other's promise. It is longer than it takes until a
-	// promise can be had.
-	settleSpan = 2 * leaseSpan
-	// maxAge caps the ages that are exchanged.
+	// leaseDuration is how long a grant binds the host that gave it.
+	leaseDuration = clock.Second
+	// leaseRenewInterval is the time between two claims.
+	leaseRenewInterval clock.Milli = 300
+	// settleDuration is how long two hosts share a server's leaves equally when
+	// neither holds a lease. It is longer than obtaining a lease takes.
+	settleDuration = 2 * leaseDuration
+	// maxAge limits the ages that are exchanged.
 	maxAge = 10 * clock.Minute
 )
 
-// LeafAge tells how long ago a leaf was last known to be cold. Known is false
-// when the sender has no evidence.
+// LeafAge is the time since the last evidence that a leaf was cold. Known is
+// false if the sender has no evidence.
 type LeafAge struct {
 	Leaf  string
 	Age   clock.Milli
 	Known bool
 }
 
-// ServerAges lists the leafs of one server with their ages.
+// ServerAges lists the leaves of a server with their ages.
 type ServerAges struct {
 	Server string
 	Leafs  []LeafAge
-	// Granted: the sender keeps off the server's leafs.
+	// Granted is set if the sender won't send calls to the server's leaves.
 	Granted bool
 }
 
-// leases keeps, per server, the promise that the other candidate gave and the
-// one that this host gave.
+// leases holds, per server, the lease from the other candidate and the lease
+// granted to it.
 //
-// The failure: a standby takes over while the primary is only slow or paused,
-// both admit, and a cold leaf gets twice what it bears. A host that holds a
-// grant knows that the other candidate admits nothing until the grant ends. It
-// counts the grant from the moment it sent the claim, and the other counts
-// from the moment it answered, which is later; so the holder always lets go
-// first, whatever is paused or delayed.
+// It prevents two hosts from sending full load to a cold leaf when a standby
+// takes over from a primary that is only slow or paused. While a host holds a
+// lease, the other candidate sends nothing to the server. The holder measures
+// the lease from when it sent the claim, the other candidate from when it
+// answered, which is later. So the holder's lease always ends first, regardless
+// of pauses and delays.
 type leases struct {
-	servers map[string]*lease
-	claims  map[uint64]clock.Milli // claim id -> when it was sent
-	last    uint64
-	renewed clock.Milli
+	servers   map[string]*lease
+	claims    map[uint64]clock.Milli // send times by claim id
+	lastClaim uint64
+	renewedAt clock.Milli
 }
 
-// lease is where one server stands.
+// lease is the lease state of one server.
 type lease struct {
-	other string      // the other candidate, or ""
-	held  clock.Milli // until when the other keeps off
-	given clock.Milli // until when we keep off
-	// moved is when the candidates last changed, or a promise last bound us.
-	moved clock.Milli
-	// owed is the claim to answer once our work at the leafs is done.
-	owed uint64
-	// releasing: the server is to be given up then.
+	peer         string      // the other candidate, or ""
+	heldUntil    clock.Milli // end of the lease held by this host
+	grantedUntil clock.Milli // end of the lease granted to the peer
+	// changedAt is when the candidates last changed, or a granted lease last
+	// ended early.
+	changedAt clock.Milli
+	// pendingClaim is the claim to answer once this host's calls have ended.
+	pendingClaim uint64
+	// releasing is set if the server is to be released once they have ended.
 	releasing bool
 }
 
-func (l *leases) place(now clock.Milli, server, host string) *lease {
+func (l *leases) ensure(now clock.Milli, server, host string) *lease {
 	if l.servers == nil {
 		l.servers = map[string]*lease{}
 		l.claims = map[uint64]clock.Milli{}
 	}
 	s, ok := l.servers[server]
 	if !ok {
-		s = &lease{other: host, moved: now}
+		s = &lease{peer: host, changedAt: now}
 		l.servers[server] = s
 	}
-	if s.other != host {
-		s.other, s.held, s.moved = host, 0, now
+	if s.peer != host {
+		s.peer, s.heldUntil, s.changedAt = host, 0, now
 	}
 	return s
 }
 
-// exclusive tells whether the other candidate has promised to keep off, or
-// there is none.
+// exclusive reports whether this host holds the lease or is the only candidate.
 func (l *leases) exclusive(now clock.Milli, server string) bool {
 	s, ok := l.servers[server]
-	return ok && (s.other == "" || now < s.held)
+	return ok && (s.peer == "" || now < s.heldUntil)
 }
 
-// promised tells whether this host has promised to keep off a server.
-func (l *leases) promised(now clock.Milli, server string) bool {
+// granted reports whether the lease on a server is granted to the peer.
+func (l *leases) granted(now clock.Milli, server string) bool {
 	s, ok := l.servers[server]
-	return ok && now < s.given
+	return ok && now < s.grantedUntil
 }
 
-// settled tells whether the other candidate has had time to finish what it may
-// have had at the leafs before this host took over.
+// settled reports whether the other candidate has had time to finish the calls
+// that it may have had at the leaves before this host took over.
 func (l *leases) settled(now clock.Milli, server string) bool {
 	s, ok := l.servers[server]
-	return ok && now-max(s.moved, s.given) >= settleSpan
+	return ok && now-max(s.changedAt, s.grantedUntil) >= settleDuration
 }
 
-// unsettle treats all servers as if another host had just had them.
-func (l *leases) unsettle(now clock.Milli) {
+// resetSettled treats all servers as if another host had just used them.
+func (l *leases) resetSettled(now clock.Milli) {
 	for _, s := range l.servers {
-		s.moved = now
+		s.changedAt = now
 	}
 }
 
-// fresh tells whether this process started so recently that a promise of its
-// predecessor on this host may still be relied on.
-func (e *Engine) fresh(now clock.Milli) bool { return now-e.born < leaseSpan }
+// justStarted reports whether a lease granted by the previous process on this
+// host may still be in force.
+func (e *Engine) justStarted(now clock.Milli) bool { return now-e.startedAt < leaseDuration }
 
-// PeerUp says that another aggregator is linked: claims on the servers shared
-// with it go out at the next tick instead of when the old ones run out.
-func (e *Engine) PeerUp() { e.leases.renewed = 0 }
+// PeerUp handles a new link to another aggregator. Claims go out at the next tick
+// instead of after leaseRenewInterval.
+func (e *Engine) PeerUp() { e.leases.renewedAt = 0 }
 
-// claim renews the claims on the servers that this host is primary for.
-func (e *Engine) claim(now clock.Milli) []Action {
+// renewClaims renews the claims on the servers for which this host is primary.
+func (e *Engine) renewClaims(now clock.Milli) []Action {
 	l := &e.leases
-	if e.leaving || (l.renewed != 0 && now-l.renewed < leaseRenew) {
+	if e.leaving || (l.renewedAt != 0 && now-l.renewedAt < leaseRenewInterval) {
 		return nil
 	}
-	l.renewed = now
+	l.renewedAt = now
 	for id, at := range l.claims {
-		if now-at > leaseSpan {
+		if now-at > leaseDuration {
 			delete(l.claims, id)
 		}
 	}
 	byHost := map[string][]ServerAges{}
-	for _, f := range e.order {
-		host := l.servers[f.server].other
-		if f.rank != 0 || host == "" || l.promised(now, f.server) {
+	for _, f := range e.byName {
+		host := l.servers[f.server].peer
+		if f.rank != 0 || host == "" || l.granted(now, f.server) {
 			continue
 		}
 		byHost[host] = appendAge(byHost[host], now, f)
 	}
 	var out []Action
 	for _, h := range slices.Sorted(maps.Keys(byHost)) {
-		l.last++
-		l.claims[l.last] = now
-		out = append(out, Claim{Host: h, ID: l.last, Servers: byHost[h]})
+		l.lastClaim++
+		l.claims[l.lastClaim] = now
+		out = append(out, Claim{Host: h, ID: l.lastClaim, Servers: byHost[h]})
 	}
 	return out
 }
 
-// appendAge adds a leaf's age under its server. Leafs come in order of name,
-// so a server's leafs may be apart.
+// appendAge adds a leaf's age to the entry of its server. Leaves are sorted by
+// name, so the leaves of a server may not be adjacent.
 func appendAge(list []ServerAges, now clock.Milli, f *leaf) []ServerAges {
 	for i := range list {
 		if list[i].Server == f.server {
@@ -159,103 +158,104 @@
 }
 
 func (f *leaf) age(now clock.Milli) LeafAge {
-	// A leaf that has passed its whole ramp here is known to be warm.
-	known := f.ramp.known || f.ramp.left(now, f.warm) == 0
+	// A leaf that has passed its whole ramp on this host is known to be warm.
+	known := f.ramp.known || f.ramp.remaining(now, f.warmUp) == 0
 	return LeafAge{Leaf: f.Name, Age: min(f.ramp.age(now), maxAge), Known: known}
 }
 
-// ages lists a server's leafs and tells whether work of ours is at one.
+// ages returns the ages of a server's leaves and whether any runs calls of this
+// host.
 func (e *Engine) ages(now clock.Milli, server string) (ServerAges, bool) {
 	s := ServerAges{Server: server}
 	busy := false
-	for _, f := range e.order {
+	for _, f := range e.byName {
 		if f.server == server {
-			busy = busy || f.busy+f.ghosts(now) > 0
+			busy = busy || f.busy+f.orphanCount(now) > 0
 			s.Leafs = append(s.Leafs, f.age(now))
 		}
 	}
 	return s, busy
 }
 
-// ClaimReceived answers another host's claim. A server is granted unless this host
-// believes itself primary for it, or has just ceased to be a candidate beside
-// another: entries learn of new owners at different moments, and until all have,
-// both hosts serve, each its half. The answer always carries what is known of
-// the leafs, so that a fresh host need not take warm leafs for cold.
+// ClaimReceived answers another host's claim. A server is granted unless this
+// host considers itself primary for it, or has only just stopped being a
+// candidate: entries learn of new owners at different times, and until all know,
+// both hosts send half the load each. The answer always includes the known ages,
+// so that a newly started host needn't treat warm leaves as cold.
 func (e *Engine) ClaimReceived(now clock.Milli, host string, id uint64, servers []ServerAges) []Action {
 	e.init(now)
-	g := Grant{Host: host, ID: id, Duration: leaseSpan}
+	g := Grant{Host: host, ID: id, Duration: leaseDuration}
 	for _, s := range servers {
-		e.learn(now, s)
-		mine, busy := e.ages(now, s.Server)
-		l := e.leases.place(now, s.Server, host)
-		if e.leaving || (e.rank(s.Server) != 0 && now-l.moved >= leaseSpan) {
-			l.given, l.held = now+leaseSpan, 0
-			mine.Granted = !busy
-			l.owed = 0
+		e.mergeAges(now, s)
+		ages, busy := e.ages(now, s.Server)
+		l := e.leases.ensure(now, s.Server, host)
+		if e.leaving || (e.serverRank(s.Server) != 0 && now-l.changedAt >= leaseDuration) {
+			l.grantedUntil, l.heldUntil = now+leaseDuration, 0
+			ages.Granted = !busy
+			l.pendingClaim = 0
 			if busy {
-				// Work of ours still at the leafs counts against what they
-				// bear: the promise binds, and is told when the work is done.
-				l.owed = id
+				// Running calls count against the leaf's capacity: the grant is
+				// binding now and is sent once they have ended.
+				l.pendingClaim = id
 			}
 		}
-		g.Servers = append(g.Servers, mine)
+		g.Servers = append(g.Servers, ages)
 	}
 	return []Action{g}
 }
 
-// ReleaseReceived takes another host's word that it no longer needs servers: the
-// promises to it end.
+// ReleaseReceived ends the leases granted to another host on servers that it no
+// longer uses.
 func (e *Engine) ReleaseReceived(now clock.Milli, host string, servers []ServerAges) {
 	e.init(now)
 	for _, s := range servers {
-		e.learn(now, s)
+		e.mergeAges(now, s)
 		l := e.leases.servers[s.Server]
-		if l != nil && l.other == host && now < l.given {
-			l.given, l.moved = now, now
+		if l != nil && l.peer == host && now < l.grantedUntil {
+			l.grantedUntil, l.changedAt = now, now
 		}
 	}
 }
 
-// Leave stops the host from taking anything new: it answers what it has, and
-// lets the other candidates know that they may serve.
+// Leave stops admission on this host. Running calls are completed, and the other
+// candidates are told when they may take over.
 func (e *Engine) Leave(now clock.Milli) []Action {
 	e.init(now)
 	e.leaving = true
 	var out []Action
-	for _, f := range e.order {
+	for _, f := range e.byName {
 		l := e.leases.servers[f.server]
-		l.held, l.releasing = 0, l.other != ""
+		l.heldUntil, l.releasing = 0, l.peer != ""
 		out = append(out, e.handOver(now, f.server)...)
 	}
 	return out
 }
 
-// handOver tells the other candidate what waited for this host's work at a
-// server to end: a promise, or that the server is given up.
+// handOver sends the grant or release that was waiting for this host's calls at a
+// server to end.
 func (e *Engine) handOver(now clock.Milli, server string) []Action {
 	l := e.leases.servers[server]
-	if l == nil || (l.owed == 0 && !l.releasing) {
+	if l == nil || (l.pendingClaim == 0 && !l.releasing) {
 		return nil
 	}
-	mine, busy := e.ages(now, server)
+	ages, busy := e.ages(now, server)
 	if busy {
 		return nil
 	}
 	var out []Action
 	if l.releasing {
-		out = append(out, Release{Host: l.other, Servers: []ServerAges{mine}})
+		out = append(out, Release{Host: l.peer, Servers: []ServerAges{ages}})
 	}
-	if l.owed != 0 && now < l.given {
-		mine.Granted = true
-		out = append(out, Grant{Host: l.other, ID: l.owed, Duration: leaseSpan, Servers: []ServerAges{mine}})
+	if l.pendingClaim != 0 && now < l.grantedUntil {
+		ages.Granted = true
+		out = append(out, Grant{Host: l.peer, ID: l.pendingClaim, Duration: leaseDuration, Servers: []ServerAges{ages}})
 	}
-	l.owed, l.releasing = 0, false
+	l.pendingClaim, l.releasing = 0, false
 	return out
 }
 
-func (e *Engine) rank(server string) int {
-	for _, f := range e.order {
+func (e *Engine) serverRank(server string) int {
+	for _, f := range e.byName {
 		if f.server == server {
 			return f.rank
 		}
@@ -263,16 +263,16 @@
 	return -1
 }
 
-func (e *Engine) learn(now clock.Milli, s ServerAges) {
+func (e *Engine) mergeAges(now clock.Milli, s ServerAges) {
 	for _, a := range s.Leafs {
-		if f := e.leafs[a.Leaf]; f != nil && a.Known {
-			f.ramp.learn(now, a.Age)
+		if f := e.leaves[a.Leaf]; f != nil && a.Known {
+			f.ramp.mergeAge(now, a.Age)
 		}
 	}
 }
 
-// GrantReceived takes the answer to a claim.
-func (e *Engine) GrantReceived(now clock.Milli, host string, id uint64, servers []ServerAges, span clock.Milli) []Action {
+// GrantReceived handles the answer to a claim.
+func (e *Engine) GrantReceived(now clock.Milli, host string, id uint64, servers []ServerAges, duration clock.Milli) []Action {
 	e.init(now)
 	sent, ok := e.leases.claims[id]
 	if !ok {
@@ -280,16 +280,16 @@
 	}
 	for _, s := range servers {
 		l := e.leases.servers[s.Server]
-		if l == nil || l.other != host {
+		if l == nil || l.peer != host {
 			continue
 		}
-		e.learn(now, s)
-		if s.Granted && now >= l.given {
-			l.held = sent + min(span, leaseSpan)
+		e.mergeAges(now, s)
+		if s.Granted && now >= l.grantedUntil {
+			l.heldUntil = sent + min(duration, leaseDuration)
 		}
 	}
 	var out []Action
-	for _, f := range e.order {
+	for _, f := range e.byName {
 		out = append(out, e.dispatch(now, f)...)
 	}
 	return out
--- a/share/sched/ramp.go
+++ b/share/sched/ramp.go
@@ -4,140 +4,139 @@
 	"dandelionstile/share/clock"
 )
 
-// ramp tracks how warm a leaf is. A backend server that has just started
-// collapses under full load; the symptom is that it answers slowly, sheds, and
-// falls over again. The ramp admits a share of the slots that grows with the
-// time since the last evidence of a cold start.
+// ramp limits the load on a leaf after a cold start. A backend server that has
+// just started collapses under full load: it answers slowly, sheds, and crashes
+// again. The admitted share of the slots grows with the time since the last
+// evidence of a cold start.
 type ramp struct {
-	since clock.Milli
-	// known is false while this host has no evidence of its own and has not
-	// heard another candidate's; such a leaf is treated as just started.
-	known bool
-	slow  int // slow replies in a row, see coldBySlowness
-	sheds clock.Milli
+	coldAt clock.Milli
+	// known is false while neither this host nor another candidate has evidence
+	// of the leaf's age. Such a leaf is treated as just started.
+	known       bool
+	slowReplies int // in a row, see detectColdStart
+	shedAt      clock.Milli
 }
 
-// begin starts the ramp anew.
-func (r *ramp) begin(now clock.Milli, known bool) {
-	r.since = now
+// restart starts the ramp from the beginning.
+func (r *ramp) restart(now clock.Milli, known bool) {
+	r.coldAt = now
 	r.known = known
-	r.slow = 0
+	r.slowReplies = 0
 }
 
-// age is how long ago the leaf was last known to be cold.
-func (r *ramp) age(now clock.Milli) clock.Milli { return now - r.since }
+// age returns the time since the last evidence of a cold start.
+func (r *ramp) age(now clock.Milli) clock.Milli { return now - r.coldAt }
 
-// left is how much of the ramp lies ahead.
-func (r *ramp) left(now, warm clock.Milli) clock.Milli { return max(0, warm-r.age(now)) }
+// remaining returns the time until the ramp ends.
+func (r *ramp) remaining(now, warmUp clock.Milli) clock.Milli { return max(0, warmUp-r.age(now)) }
 
-// learn takes another candidate's age for the leaf. The younger of two known
-// ages counts, since it rests on the later evidence of a cold start; an age
-// from before this host's own evidence changes nothing.
-func (r *ramp) learn(now, age clock.Milli) {
-	since := now - age
-	if !r.known || since > r.since {
-		r.since = since
+// mergeAge applies an age reported by another candidate. The lower of two known
+// ages wins, since it rests on later evidence of a cold start; a higher age than
+// this host's own changes nothing.
+func (r *ramp) mergeAge(now, age clock.Milli) {
+	coldAt := now - age
+	if !r.known || coldAt > r.coldAt {
+		r.coldAt = coldAt
 		r.known = true
 	}
 }
 
-// allowed is how many requests a leaf may have at once at this point of its
-// ramp, if nobody else sends to it.
-func (r *ramp) allowed(now, warm clock.Milli, slots int) int {
-	if warm <= 0 || r.age(now) >= warm {
+// allowed returns how many concurrent calls a leaf can take at this point of the
+// ramp from all hosts together.
+func (r *ramp) allowed(now, warmUp clock.Milli, slots int) int {
+	if warmUp <= 0 || r.age(now) >= warmUp {
 		return slots
 	}
-	return max(1, int(clock.Milli(slots)*r.age(now)/warm))
+	return max(1, int(clock.Milli(slots)*r.age(now)/warmUp))
 }
 
-// limit is how many calls a leaf may have at once.
+// limit returns how many concurrent calls this host may send to a leaf.
 //
-// While the other candidate has not promised to leave the leaf alone, this host
-// takes half: of what a cold leaf bears at any time, and of a warm one's slots
-// for as long as the other may still have work there. Two hosts may both believe
-// themselves primary (host lists lag, processes pause); without the halving the
-// leaf would get twice what it bears. Halves sum to no more than the whole,
-// whoever is right.
+// Without a lease from the other candidate, this host takes half: of the ramp's
+// limit while the leaf is cold, and of the slots of a warm leaf while the other
+// candidate may still have calls there. Two hosts may both act as primary when
+// host lists are stale or processes pause; without halving, the leaf would get
+// twice its capacity. Two halves never exceed the whole, whichever host is the
+// primary.
 func (e *Engine) limit(now clock.Milli, f *leaf) int {
 	if e.Policy.NoRamp {
-		return f.cap
+		return f.slotLimit
 	}
-	bears := f.ramp.allowed(now, f.warm, f.Slots)
+	capacity := f.ramp.allowed(now, f.warmUp, f.Slots)
 	switch {
 	case e.leases.exclusive(now, f.server):
-	case e.fresh(now):
-		// The process that ran here before may have promised to keep off.
+	case e.justStarted(now):
+		// The previous process on this host may have granted a lease.
 		return 0
-	case bears < f.Slots && !e.leases.settled(now, f.server):
-		// A cold leaf may still work on what its former owner sent.
+	case capacity < f.Slots && !e.leases.settled(now, f.server):
+		// A cold leaf may still be running calls of its former owner.
 		return 0
-	case bears < f.Slots:
-		bears /= 2
+	case capacity < f.Slots:
+		capacity /= 2
 	case !e.leases.settled(now, f.server):
-		bears = max(1-min(f.rank, 1), bears/2) // a single slot is the primary's
+		capacity = max(1-min(f.rank, 1), capacity/2) // a single slot goes to the primary
 	}
-	return min(bears, f.cap)
+	return min(capacity, f.slotLimit)
 }
 
 const (
-	// slowFactor is how many times its own usual service time a leaf must
-	// take, slowRuns times in a row, to be taken as cold again.
-	slowFactor = 4
-	slowRuns   = 3
-	// shedPause is the least time between two ramps started by sheds.
-	shedPause = 200 * clock.Milli(1)
+	// A leaf counts as cold again after slowReplyLimit replies in a row that
+	// each took slowFactor times its own mean latency.
+	slowFactor     = 4
+	slowReplyLimit = 3
+	// shedRampInterval is the minimum time between two ramps started by sheds.
+	shedRampInterval = 200 * clock.Milli(1)
 )
 
-// coldBySlowness looks for a cold start that nothing announced: the same
-// incarnation suddenly takes several times its own usual time while its
-// neighbours do not. Comparing with the neighbours keeps a heavier mix of
-// queries, which slows all leafs alike, from cutting the whole service's
-// capacity.
-func (e *Engine) coldBySlowness(f *leaf, took clock.Milli) bool {
-	usual := f.health.usual
-	if usual == 0 {
-		f.health.usual = float64(max(took, 1))
+// detectColdStart detects an unannounced cold start: the same incarnation takes
+// several times its own mean latency while the other leaves of its service do
+// not. Without the comparison, a heavier mix of queries, which slows down all
+// leaves alike, would reduce the capacity of the whole service.
+func (e *Engine) detectColdStart(f *leaf, took clock.Milli) bool {
+	mean := f.health.meanLatency
+	if mean == 0 {
+		f.health.meanLatency = float64(max(took, 1))
 		return false
 	}
-	if float64(took) < slowFactor*max(usual, 1) || float64(took) < slowFactor*e.usualOf(f) {
-		f.ramp.slow = 0
-		f.health.usual += (float64(took) - usual) / 16
+	if float64(took) < slowFactor*max(mean, 1) || float64(took) < slowFactor*e.serviceMean(f) {
+		f.ramp.slowReplies = 0
+		f.health.meanLatency += (float64(took) - mean) / 16
 		return false
 	}
-	f.ramp.slow++
-	if f.ramp.slow < slowRuns {
+	f.ramp.slowReplies++
+	if f.ramp.slowReplies < slowReplyLimit {
 		return false
 	}
-	f.ramp.slow = 0
-	f.health.usual *= 2 // a leaf that stays slow becomes its own new normal
+	f.ramp.slowReplies = 0
+	f.health.meanLatency *= 2 // lets the mean of a permanently slow leaf catch up
 	return true
 }
 
-// usualOf is the mean usual time of a service's leafs here; the leaf's own when
-// nothing else is known.
-func (e *Engine) usualOf(f *leaf) float64 {
-	if m, ok := e.means[f.service]; ok {
+// serviceMean returns the mean latency over the leaves of f's service on this
+// host, or f's own if there is none yet.
+func (e *Engine) serviceMean(f *leaf) float64 {
+	if m, ok := e.serviceMeans[f.service]; ok {
 		return m
 	}
-	return f.health.usual
+	return f.health.meanLatency
 }
 
-// average works out the mean usual times, once per tick: each published change
-// of a leaf needs its service's.
-func (e *Engine) average() {
+// updateServiceMeans recomputes the mean latencies. It runs once per tick, since
+// each published leaf state needs the mean of its service.
+func (e *Engine) updateServiceMeans() {
 	type sum struct {
 		total float64
 		n     int
 	}
 	sums := map[string]sum{}
-	for _, f := range e.order {
-		if f.health.usual > 0 {
+	for _, f := range e.byName {
+		if f.health.meanLatency > 0 {
 			s := sums[f.service]
-			sums[f.service] = sum{s.total + f.health.usual, s.n + 1}
+			sums[f.service] = sum{s.total + f.health.meanLatency, s.n + 1}
 		}
 	}
-	clear(e.means)
+	clear(e.serviceMeans)
 	for name, s := range sums {
-		e.means[name] = max(1, s.total/float64(s.n))
+		e.serviceMeans[name] = max(1, s.total/float64(s.n))
 	}
 }
--- a/share/sched/state.go
+++ b/share/sched/state.go
@@ -6,14 +6,15 @@
 	"dandelionstile/share/query"
 )
 
-// Idle tells whether no call is waiting or at a leaf.
+// Idle reports whether no calls are queued or running.
 func (e *Engine) Idle() bool { return len(e.calls) == 0 }
 
-// Strikes lists the requests refused now.
+// Strikes returns the requests that are currently blocked.
 func (e *Engine) Strikes(now clock.Milli) []deny.Strike { return e.strikes.Active(now) }
 
-// MergeStrike takes a strike from another host and tells whether it was news.
-// Waiting calls with that fingerprint are answered as not run.
+// MergeStrike applies a strike reported by another host and reports whether it
+// was new. If the fingerprint is now blocked, queued calls with it are rejected
+// as not run.
 func (e *Engine) MergeStrike(now clock.Milli, s deny.Strike) (bool, []Action) {
 	e.init(now)
 	if !e.strikes.Merge(now, s) {
@@ -26,40 +27,41 @@
 	return true, e.purge(now, s.Fingerprint)
 }
 
-// HostDown says that the link to another host is lost: promises to keep off its leafs end, except where a leaf is cold and may
-// still have its work.
+// HostDown handles the loss of the link to another host. It ends the leases
+// granted to that host, except where a leaf is cold and may still be running its
+// calls.
 func (e *Engine) HostDown(now clock.Milli, host string) {
 	e.init(now)
-	for _, f := range e.order {
+	for _, f := range e.byName {
 		l := e.leases.servers[f.server]
-		if l != nil && l.other == host && f.ramp.left(now, f.warm) == 0 && now < l.given {
-			l.given, l.moved = now, now
+		if l != nil && l.peer == host && f.ramp.remaining(now, f.warmUp) == 0 && now < l.grantedUntil {
+			l.grantedUntil, l.changedAt = now, now
 		}
 	}
 }
 
-// purge answers the waiting calls of a fingerprint.
+// purge rejects all queued calls with a fingerprint.
 func (e *Engine) purge(now clock.Milli, fingerprint uint64) []Action {
 	var out []Action
-	for _, f := range e.order {
+	for _, f := range e.byName {
 		kept := f.queue[:0]
-		var gone []*call
+		var matched []*call
 		for _, c := range f.queue {
 			if c.Fingerprint == fingerprint {
-				gone = append(gone, c)
+				matched = append(matched, c)
 			} else {
 				kept = append(kept, c)
 			}
 		}
 		f.queue = kept
-		for _, c := range gone {
+		for _, c := range matched {
 			out = append(out, e.finish(now, c, query.Outcome{Kind: query.NotRun, Reason: query.ReasonQuarantined})...)
 		}
 	}
 	return out
 }
 
-// LeafState is a leaf as operators see it.
+// LeafState is the state of a leaf as shown to operators.
 type LeafState struct {
 	Leaf         string
 	Server       string
@@ -75,16 +77,16 @@
 	ClosedReason query.Reason
 }
 
-// State lists all leafs by name.
+// State returns the state of all leaves, sorted by name.
 func (e *Engine) State(now clock.Milli) []LeafState {
-	list := make([]LeafState, 0, len(e.order))
-	for _, f := range e.order {
+	list := make([]LeafState, 0, len(e.byName))
+	for _, f := range e.byName {
 		list = append(list, LeafState{
 			Leaf: f.Name, Server: f.server, Service: f.service,
 			Primary: f.rank == 0, Exclusive: e.leases.exclusive(now, f.server),
-			Busy: f.busy, Queued: len(f.queue), Limit: e.limit(now, f), Slots: f.cap,
-			Conns: len(f.conns), RampLeft: f.ramp.left(now, f.warm),
-			ClosedReason: e.closed(now, f),
+			Busy: f.busy, Queued: len(f.queue), Limit: e.limit(now, f), Slots: f.slotLimit,
+			Conns: len(f.conns), RampLeft: f.ramp.remaining(now, f.warmUp),
+			ClosedReason: e.closedReason(now, f),
 		})
 	}
 	return list
