--- a/share/fanout/budget.go
+++ b/share/fanout/budget.go
@@ -7,22 +7,21 @@
 	"dandelionstile/share/query"
 )
 
-// budget bounds the extra leaf calls of one service: each first call earns a
+// budget limits the extra leaf calls of one service: each first call earns a
 // fraction of a token, each retry or hedge costs one. Without it, a slow or
-// failing back end is answered with more load, which keeps it slow after the
-// cause is gone. An empty budget turns retries and hedges off; it never queues
-// them.
+// failing backend gets even more load, which keeps it slow after the cause is
+// gone. An empty budget disables retries and hedges; it never queues them.
 type budget struct {
-	tokens float64
-	full   bool // set once the initial tokens have been given
+	tokens      float64
+	initialized bool // set once the initial tokens have been added
 }
 
-// budgetBurst is how many extra calls may be saved up.
+// budgetBurst is the maximum number of extra calls that can be saved up.
 const budgetBurst = 20
 
 func (b *budget) earn(calls, percent int) {
-	if !b.full {
-		b.full = true
+	if !b.initialized {
+		b.initialized = true
 		b.tokens = budgetBurst
 	}
 	b.tokens = min(b.tokens+float64(calls*percent)/100, budgetBurst)
@@ -36,131 +35,134 @@
 	return true
 }
 
-// timing keeps the times of a service's recent leaf calls, to hedge by a
-// quantile of them.
+// timing records the recent leaf call times of a service and derives the hedge
+// delay from them.
 type timing struct {
-	now, last *hdrhistogram.Histogram
-	turned    clock.Milli
-	hedge     clock.Milli
-	dueAt     clock.Milli
-	typical   float64 // median, in ms
+	current, previous *hdrhistogram.Histogram
+	rotatedAt         clock.Milli
+	hedgeDelay        clock.Milli
+	nextUpdateAt      clock.Milli
+	median            float64 // in ms
 }
 
 const (
-	// timingSpan is how long one histogram collects before the next takes over.
-	timingSpan = 5 * clock.Second
-	// timingLeast is how few calls say too little for a quantile.
-	timingLeast = 50
-	// hedgeUnknown is the hedge delay until enough calls were seen.
-	hedgeUnknown = 50 * clock.Milli(1)
-	hedgeLeast   = 2 * clock.Milli(1)
-	// hedgeEvery is the pause between two readings of the quantile.
-	hedgeEvery = 100 * clock.Milli(1)
+	// histogramDuration is how long a histogram records before it is rotated.
+	histogramDuration = 5 * clock.Second
+	// minSamples is the number of calls below which quantiles are not used.
+	minSamples = 50
+	// defaultHedgeDelay applies until minSamples calls have been recorded.
+	defaultHedgeDelay = 50 * clock.Milli(1)
+	minHedgeDelay     = 2 * clock.Milli(1)
+	// hedgeUpdateInterval is the time between two computations of the quantile.
+	hedgeUpdateInterval = 100 * clock.Milli(1)
 )
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60000, 2) }
 
 func (t *timing) record(now, took clock.Milli) {
-	if t.now == nil {
-		t.now, t.last, t.turned = newHistogram(), newHistogram(), now
+	if t.current == nil {
+		t.current, t.previous, t.rotatedAt = newHistogram(), newHistogram(), now
 	}
-	if now-t.turned >= timingSpan {
-		t.now, t.last = t.last, t.now
-		t.now.Reset()
-		t.turned = now
+	if now-t.rotatedAt >= histogramDuration {
+		t.current, t.previous = t.previous, t.current
+		t.current.Reset()
+		t.rotatedAt = now
 	}
-	_ = t.now.RecordValue(int64(max(1, min(took, 60000)))) // in range by the bounds above
+	_ = t.current.RecordValue(int64(max(1, min(took, 60000)))) // can't fail: the value is in range
 }
 
-// delay is how long a call runs before it is hedged.
+// delay returns how long a call runs before it is hedged.
 func (t *timing) delay(now clock.Milli, quantile float64) clock.Milli {
-	if t.now == nil {
-		return hedgeUnknown
+	if t.current == nil {
+		return defaultHedgeDelay
 	}
-	if now < t.dueAt {
-		return t.hedge
+	if now < t.nextUpdateAt {
+		return t.hedgeDelay
 	}
-	t.dueAt = now + hedgeEvery
-	t.hedge = hedgeUnknown
-	h := t.last
-	if h.TotalCount() < t.now.TotalCount() {
-		h = t.now
+	t.nextUpdateAt = now + hedgeUpdateInterval
+	t.hedgeDelay = defaultHedgeDelay
+	h := t.previous
+	if h.TotalCount() < t.current.TotalCount() {
+		h = t.current
 	}
-	if h.TotalCount() >= timingLeast {
-		t.hedge = max(hedgeLeast, clock.Milli(h.ValueAtQuantile(quantile))+1)
-		t.typical = float64(h.ValueAtQuantile(50))
+	if h.TotalCount() >= minSamples {
+		t.hedgeDelay = max(minHedgeDelay, clock.Milli(h.ValueAtQuantile(quantile))+1)
+		t.median = float64(h.ValueAtQuantile(50))
 	}
-	return t.hedge
+	return t.hedgeDelay
 }
 
-// door limits how many queries of one service an entry works on at once. When
-// shards come back refused for lack of room, whole queries are turned away
-// before they cost anything: a query that misses one shard of twenty has wasted
-// the work of the other nineteen. Additive increase, multiplicative decrease.
-type door struct {
-	limit   float64
-	inside  int
-	callers map[string]int
-	cutAt   clock.Milli
-	seed    bool
+// admission limits how many queries of one service an entry runs at once. When
+// leaves reject shards for lack of room, whole queries are rejected before they
+// cost anything: a query that misses one shard of twenty has wasted the work of
+// the other nineteen. The limit follows additive increase, multiplicative
+// decrease.
+type admission struct {
+	limit       float64
+	admitted    int
+	callers     map[string]int
+	decreasedAt clock.Milli
+	initialized bool
 }
 
 const (
-	doorStart = 64
-	doorLeast = 2
-	doorMost  = 4096
-	doorCut   = 0.85
-	// doorPause is the least time between two cuts.
-	doorPause = 100 * clock.Milli(1)
-	// doorAdvice is the least time to come back after.
-	doorAdvice = 200 * clock.Milli(1)
+	initialQueryLimit   = 64
+	minQueryLimit       = 2
+	maxQueryLimit       = 4096
+	limitDecreaseFactor = 0.85
+	// limitDecreaseInterval is the minimum time between two decreases.
+	limitDecreaseInterval = 100 * clock.Milli(1)
+	// overloadRetryAfter is the minimum Retry-After of a rejected query.
+	overloadRetryAfter = 200 * clock.Milli(1)
 )
 
-// enter admits a query of a caller, or not. A caller below its fair share of a
-// full house still enters, so that one greedy caller cannot lock out the rest.
-func (d *door) enter(caller string, force bool) bool {
-	if !d.seed {
-		d.seed = true
-		d.limit = doorStart
-		d.callers = map[string]int{}
+// admit reports whether a query of a caller is admitted. At the limit, a caller
+// below its fair share is still admitted, so that a greedy caller can't lock out
+// the others.
+func (a *admission) admit(caller string, force bool) bool {
+	if !a.initialized {
+		a.initialized = true
+		a.limit = initialQueryLimit
+		a.callers = map[string]int{}
 	}
-	if float64(d.inside) >= d.limit && !force {
-		active := len(d.callers)
-		if d.callers[caller] == 0 {
+	if float64(a.admitted) >= a.limit && !force {
+		active := len(a.callers)
+		if a.callers[caller] == 0 {
 			active++
 		}
-		if active < 2 || float64(d.callers[caller]+1) > d.limit/float64(active) {
+		if active < 2 || float64(a.callers[caller]+1) > a.limit/float64(active) {
 			return false
 		}
 	}
-	d.inside++
-	d.callers[caller]++
+	a.admitted++
+	a.callers[caller]++
 	return true
 }
 
-// leave takes a query out and learns from its coverage.
-func (d *door) leave(now clock.Milli, caller string, c query.Coverage) {
-	busy := float64(d.inside) >= 0.8*d.limit
-	d.inside--
-	d.callers[caller]--
-	if d.callers[caller] <= 0 {
-		delete(d.callers, caller)
+// release removes a query and adjusts the limit to its coverage.
+func (a *admission) release(now clock.Milli, caller string, c query.Coverage) {
+	busy := float64(a.admitted) >= 0.8*a.limit
+	a.admitted--
+	a.callers[caller]--
+	if a.callers[caller] <= 0 {
+		delete(a.callers, caller)
 	}
-	if crowded(c) {
-		if now-d.cutAt >= doorPause {
-			d.cutAt = now
-			// From what is really inside: the limit may stand far above it.
-			d.limit = max(doorLeast, min(d.limit, float64(d.inside+1))*doorCut)
+	if lackedRoom(c) {
+		if now-a.decreasedAt >= limitDecreaseInterval {
+			a.decreasedAt = now
+			// Decreases from the actual number of queries, which may be far below
+			// the limit.
+			a.limit = max(minQueryLimit, min(a.limit, float64(a.admitted+1))*limitDecreaseFactor)
 		}
 		return
 	}
 	if busy {
-		d.limit = min(doorMost, d.limit+1/max(1, d.limit)*2)
+		a.limit = min(maxQueryLimit, a.limit+1/max(1, a.limit)*2)
 	}
 }
 
-// crowded tells whether an answer lacks shards because leafs had no room.
-func crowded(c query.Coverage) bool {
+// lackedRoom reports whether an answer misses shards because leaves had no room.
+func lackedRoom(c query.Coverage) bool {
 	for _, m := range c.Missing {
 		switch m.Reason {
 		case query.ReasonQueueFull, query.ReasonShed:
--- a/share/fanout/canary.go
+++ b/share/fanout/canary.go
@@ -6,57 +6,57 @@
 	"dandelionstile/share/query"
 )
 
-// maxCanaries is how many leafs may run a query before one has answered it, and
-// so how many servers a query that crashes them can bring down.
+// maxCanaries limits how many leaves may run a query before one has completed it,
+// and so how many servers a crashing query can bring down.
 const maxCanaries = 2
 
-// proof names the query on the snapshot that it is pinned to.
-func (q *running) proof() deny.ProvenKey {
+// provenKey identifies the query and the snapshot it is pinned to.
+func (q *activeQuery) provenKey() deny.ProvenKey {
 	return deny.ProvenKey{Fingerprint: q.fingerprint, Layout: q.pin.Layout, Version: q.pin.Version}
 }
 
-// sendCanary sends the query to one leaf before all others see it.
-func (e *Engine) sendCanary(now clock.Milli, q *running) ([]Action, bool) {
+// sendCanary sends the query to one leaf before the other leaves get it.
+func (e *Engine) sendCanary(now clock.Milli, q *activeQuery) ([]Action, bool) {
 	c, shard, ok := e.canaryLeaf(now, q)
 	if !ok {
 		return nil, false
 	}
 	q.canaries++
-	q.canaryTries++
+	q.canaryAttempts++
 	b := batches{}
 	e.send(now, q, shard, c, true, EventCanary, &b)
 	return b.actions(), true
 }
 
-// provenElsewhere takes an aggregator's word that a leaf has survived the query
-// before: it goes out to all shards, and to the leaf that did not have to run
-// the canary.
-func (e *Engine) provenElsewhere(now clock.Milli, q *running, a *attempt) []Action {
+// provenElsewhere handles an aggregator's report that a leaf has completed the
+// query before. The query goes out to all shards, including the leaf that did not
+// run the canary.
+func (e *Engine) provenElsewhere(now clock.Milli, q *activeQuery, a *attempt) []Action {
 	st := &q.shards[a.shard]
 	delete(st.tried, a.leaf.name)
-	e.good.Add(q.proof())
+	e.proven.Add(q.provenKey())
 	if q.canary {
-		return e.fan(now, q)
+		return e.fanOut(now, q)
 	}
 	b := batches{}
-	if list := e.candidates(now, q, a.shard); len(list) > 0 && st.flying == 0 {
+	if list := e.candidates(now, q, a.shard); len(list) > 0 && st.inFlight == 0 {
 		e.send(now, q, a.shard, e.choose(list), false, EventSent, &b)
 	}
 	return b.actions()
 }
 
-// canaryFailed moves the canary to another leaf. A leaf that refused has not
-// run it and proves nothing; but only two may ever have run it.
-func (e *Engine) canaryFailed(now clock.Milli, q *running, o query.Outcome) []Action {
+// canaryFailed retries the canary on another leaf. A leaf that rejected it has not
+// run it and proves nothing, but no more than maxCanaries leaves may run it.
+func (e *Engine) canaryFailed(now clock.Milli, q *activeQuery, o query.Outcome) []Action {
 	if !o.Kind.MayHaveRun() || o.Reason == query.ReasonSilent {
-		// A connection that went silent says nothing of the request: a server
-		// that it had brought down would have closed the connection.
+		// A silent connection is no evidence against the request: a crashed server
+		// would have closed it.
 		q.canaries--
 	}
-	if len(q.flying) > 0 {
+	if len(q.inFlight) > 0 {
 		return nil
 	}
-	if q.canaries < maxCanaries && q.canaryTries < maxTries {
+	if q.canaries < maxCanaries && q.canaryAttempts < maxAttempts {
 		if out, sent := e.sendCanary(now, q); sent {
 			return out
 		}
@@ -64,63 +64,64 @@
 	return e.answerPartial(now, q, o.Reason)
 }
 
-// crashed follows the death of a server under a query's canary. One server may
-// have died for another reason, so the query gets a second canary; when that
-// dies too, it is quarantined. In between, and before it is refused, the peers
-// are told, so that a resend through another host does not run meanwhile.
-func (e *Engine) crashed(now clock.Milli, q *running) []Action {
-	q.deaths++
+// canaryCrashed handles the crash of a server under a query's canary. The server
+// may have crashed for another reason, so the query gets a second canary; if that
+// crashes too, the query is quarantined. The peers learn of each crash before the
+// second canary and before the refusal, so that a resend through another host
+// doesn't run meanwhile.
+func (e *Engine) canaryCrashed(now clock.Milli, q *activeQuery) []Action {
+	q.crashes++
 	strike := e.strikes.Get(now, q.fingerprint)
-	if q.deaths >= maxCanaries && strike.Count < maxCanaries {
-		// Each server's aggregator counts one crash and cannot know of the
-		// other's.
+	if q.crashes >= maxCanaries && strike.Count < maxCanaries {
+		// The aggregator of each server counts one crash and doesn't know of the
+		// other.
 		strike.Count, strike.TimeLeft = maxCanaries, deny.QuarantineTime
 		e.strikes.Merge(now, strike)
 	}
-	if strike.Count < maxCanaries && len(q.flying) > 0 {
-		return []Action{ShareStrike{Strike: strike}} // the other canary decides
+	if strike.Count < maxCanaries && len(q.inFlight) > 0 {
+		return []Action{ShareStrike{Strike: strike}} // wait for the other canary
 	}
-	q.struck = true
-	q.strikeUntil = now + strikeWait
+	q.sharingStrike = true
+	q.strikeDeadline = now + strikeShareTimeout
 	return append(e.cancelAll(q), ShareStrike{Query: q.ID, Strike: strike})
 }
 
-// died takes a crash report. The aggregators count; an entry only learns, or one
-// crash would count twice.
-func (e *Engine) died(now clock.Milli, fingerprint uint64, strikes int, left clock.Milli) {
+// recordCrash merges a crash report. Only aggregators count crashes; counting here
+// as well would count each crash twice.
+func (e *Engine) recordCrash(now clock.Milli, fingerprint uint64, strikes int, left clock.Milli) {
 	e.strikes.Merge(now, deny.Strike{Fingerprint: fingerprint, Count: max(1, strikes), TimeLeft: left})
-	e.good.Drop(fingerprint)
+	e.proven.Drop(fingerprint)
 }
 
-// StrikeShared says that the peers know of a query's strike.
+// StrikeShared reports that the peers know of a query's strike.
 func (e *Engine) StrikeShared(now clock.Milli, id uint64) []Action {
 	q := e.queries[id]
-	if q == nil || !q.struck {
+	if q == nil || !q.sharingStrike {
 		return nil
 	}
 	strike := e.strikes.Get(now, q.fingerprint)
-	if strike.Count < maxCanaries && q.canaries < maxCanaries && now < q.until {
+	if strike.Count < maxCanaries && q.canaries < maxCanaries && now < q.answerBy {
 		if out, sent := e.sendCanary(now, q); sent {
-			q.struck = false
+			q.sharingStrike = false
 			return out
 		}
 	}
 	return e.answerRefused(now, q, query.ReasonCrashed, strike.TimeLeft)
 }
 
-// hedgeCanary sends a second canary when the first takes unusually long. There
-// is never a third: a request may bring down two servers at the most.
-func (e *Engine) hedgeCanary(now clock.Milli, q *running) []Action {
+// hedgeCanary sends a second canary if the first is slow. There is never a third,
+// since a request may crash at most two servers.
+func (e *Engine) hedgeCanary(now clock.Milli, q *activeQuery) []Action {
 	if e.Policy.NoHedge || q.canaries >= maxCanaries {
 		return nil
 	}
 	delay := q.service.timing.delay(now, e.hedgeQuantile())
 	for i := range q.shards {
-		if st := &q.shards[i]; st.flying > 0 && now-st.sentAt < delay {
+		if st := &q.shards[i]; st.inFlight > 0 && now-st.sentAt < delay {
 			return nil
 		}
 	}
-	if !e.extra(q.service) {
+	if !e.spendBudget(q.service) {
 		q.canaries = maxCanaries
 		return nil
 	}
--- a/share/fanout/engine.go
+++ b/share/fanout/engine.go
@@ -1,8 +1,8 @@
-// Package fanout decides, in an entry, how a query is answered: which snapshot
-// it is pinned to, which replica of each shard is asked through which
-// aggregator, what is retried or hedged, and when the answer is complete or
-// honestly partial. It is a state machine without I/O: events go in with the
-// time, actions come out.
+// Package fanout decides, in an entry, how a query is answered: which snapshot it
+// is pinned to, which replica of each shard is called through which aggregator,
+// what is retried or hedged, and when the answer is complete or returned as
+// partial. It is a state machine without I/O: events and the current time go in,
+// actions come out.
 package fanout
 
 import (
@@ -17,16 +17,16 @@
 	"dandelionstile/share/topo"
 )
 
-// Action is something for the program to do; one of the types below.
+// Action is an instruction to the program; one of the types below.
 type Action interface{ action() }
 
-// CallSpec asks one leaf for one shard.
+// CallSpec is a call to one leaf for one shard.
 type CallSpec struct {
 	ID     uint64
 	Leaf   string
 	Shard  int
 	Canary bool
-	// Again: a server died under the query's first canary; this is the second.
+	// SecondCanary is set when a server crashed under the query's first canary.
 	SecondCanary bool
 }
 
@@ -50,15 +50,15 @@
 	Calls []uint64
 }
 
-// Answered gives a query its answer.
+// Answered reports the answer of a query.
 type Answered struct {
 	Query  uint64
 	Answer query.Answer
 	Steps  []Step
 }
 
-// ShareStrike tells all peers of a strike; with a query, the program calls
-// Shared when they have it.
+// ShareStrike sends a strike to all peers. If Query is set, the program calls
+// StrikeShared once they have it.
 type ShareStrike struct {
 	Query  uint64
 	Strike deny.Strike
@@ -79,7 +79,7 @@
 	Cause query.Reason
 }
 
-// Event names a decision.
+// Event identifies a decision.
 type Event string
 
 // The events.
@@ -96,7 +96,7 @@
 	EventRefused      Event = "refused"
 )
 
-// Choice is how a replica is chosen.
+// Choice is the method by which a replica is chosen.
 type Choice uint8
 
 // The choices.
@@ -106,22 +106,21 @@
 	ChooseRandom
 )
 
-// Policy varies how the engine behaves; zero fields take the defaults. The
-// bench compares settings.
+// Policy configures the engine; zero fields take the defaults. The benchmark
+// compares policies.
 type Policy struct {
 	Choose Choice
-	// BudgetPercent is how many extra leaf calls are allowed per 100 first
-	// ones.
+	// BudgetPercent is the number of extra leaf calls allowed per 100 first calls.
 	BudgetPercent int
-	// HedgeQuantile is the quantile of leaf call times after which a call is
-	// hedged, in percent.
+	// HedgeQuantile is the quantile of leaf call times, in percent, after which a
+	// call is hedged.
 	HedgeQuantile float64
 	NoHedge       bool
 	NoCanary      bool
-	// NoBackpressure admits every query; only the baseline sets it.
+	// NoBackpressure admits every query. Only the baseline sets it.
 	NoBackpressure bool
-	// FixedRetries retries each failed call so many times without a budget;
-	// only the baseline sets it.
+	// FixedRetries is the number of retries per failed call, without a budget.
+	// Only the baseline sets it.
 	FixedRetries int
 }
 
@@ -129,71 +128,72 @@
 const (
 	defaultBudgetPercent = 5
 	defaultHedgeQuantile = 95
-	// maxTries bounds the attempts per shard, whatever the budget.
-	maxTries = 4
-	// nearby is how much farther than the nearest a replica may be to count
-	// as near, in milliseconds.
-	nearby = 2.0
-	// strikeWait is how long an answer waits until peers know of a crash.
-	strikeWait = 200 * clock.Milli(1)
-	// reserve is kept of a deadline for the way back to the caller.
-	reserve = 2 * clock.Milli(1)
+	// maxAttempts limits the attempts per shard regardless of the budget.
+	maxAttempts = 4
+	// nearbyMarginMS is how much higher than the lowest round-trip time that of a
+	// nearby replica may be.
+	nearbyMarginMS = 2.0
+	// strikeShareTimeout is how long an answer waits until the peers know of a
+	// crash.
+	strikeShareTimeout = 200 * clock.Milli(1)
+	// replyReserve is the part of a deadline reserved for the reply to the caller.
+	replyReserve = 2 * clock.Milli(1)
 )
 
-// Engine decides for one entry. Fields are set before the first call. It is
-// used from one goroutine.
+// Engine decides how an entry answers queries and updates. Fields are set before
+// the first call. It is not safe for concurrent use.
 type Engine struct {
 	Self   string
 	Domain string
 	Policy Policy
-	// Random must be seeded by the program, or with a fixed seed in tests.
+	// Random must be seeded by the program; tests use a fixed seed.
 	Random *rand.Rand
 
-	cfg      *topo.Config
-	services map[string]*service
-	leafs    map[string]*leaf
-	early    map[string]query.Feedback // of leafs not in the inventory yet
-	hosts    map[string]*host
-	queries  map[uint64]*running
-	order    []*running // in order of arrival; may hold finished ones
-	attempts map[uint64]*attempt
-	strikes  deny.Table
-	good     deny.ProvenSet
-	lastCall uint64
-	owners   assign.OwnerCache
-	updates  updates
-	now      clock.Milli // time of the event in hand
+	cfg           *topo.Config
+	services      map[string]*service
+	leaves        map[string]*leaf
+	earlyFeedback map[string]query.Feedback // on leaves that no configuration names yet
+	hosts         map[string]*host
+	queries       map[uint64]*activeQuery
+	arrivals      []*activeQuery // by arrival; may include finished ones
+	attempts      map[uint64]*attempt
+	strikes       deny.Table
+	proven        deny.ProvenSet
+	lastCall      uint64
+	owners        assign.OwnerCache
+	updates       updates
+	now           clock.Milli // time of the current event
 }
 
-// service is everything known of one service.
+// service is the state of one service.
 type service struct {
 	topo.Service
-	shards map[uint32][][]*leaf // by layout, then shard
-	timing timing
-	budget budget
-	door   door
-	pin    topo.SnapshotID
-	pinned bool
-	dirty  bool // the pin has to be chosen again
+	shards    map[uint32][][]*leaf // by layout, then shard
+	timing    timing
+	budget    budget
+	admission admission
+	pin       topo.SnapshotID
+	pinned    bool
+	dirty     bool // set when the pin must be chosen again
 }
 
-// leaf is an entry's view of one leaf.
+// leaf is an entry's view of a leaf.
 type leaf struct {
-	name    string
-	server  string
-	domain  string
-	service *service
-	owners  []string
-	out     query.Reason
-	fb      query.Feedback
-	known   bool
-	flying  int     // our calls at it
-	usual   float64 // smoothed time of our calls, in ms
-	learnt  clock.Milli
+	name        string
+	server      string
+	domain      string
+	service     *service
+	owners      []string
+	outReason   query.Reason
+	feedback    query.Feedback
+	hasFeedback bool
+	inFlight    int     // this entry's calls at the leaf
+	meanLatency float64 // moving average of this entry's calls, in ms
+	updatedAt   clock.Milli
 }
 
-// Configure puts a configuration and a host list in force. Queries that run
-// keep their pin.
+// Configure applies a configuration and a host list. Running queries keep their
+// pins.
 func (e *Engine) Configure(cfg *topo.Config, hosts []topo.Host) {
 	e.init()
 	e.cfg = cfg
@@ -211,14 +211,14 @@
 		}
 		services[s.Name] = v
 	}
-	leafs := map[string]*leaf{}
+	leaves := map[string]*leaf{}
 	e.owners.SetHosts(hosts)
 	for _, h := range hosts {
 		if e.hosts[h.Name] == nil {
 			e.hosts[h.Name] = &host{}
 		}
 	}
-	carry := cfg.ServerLimits()
+	limits := cfg.ServerLimits()
 	for _, s := range cfg.Inventory.Servers {
 		v := services[s.Service]
 		var owners []string
@@ -226,36 +226,37 @@
 			owners = append(owners, h.Name)
 		}
 		for _, l := range s.Leaves {
-			f := e.leafs[l.Name]
+			f := e.leaves[l.Name]
 			if f == nil {
 				f = &leaf{name: l.Name}
 			}
 			f.server, f.domain, f.service, f.owners = s.Name, s.Domain, v, owners
-			f.out = outOf(cfg, carry, s)
-			leafs[l.Name] = f
+			f.outReason = serverOutReason(cfg, limits, s)
+			leaves[l.Name] = f
 			for _, h := range l.Holds {
 				v.shards[h.Layout][h.Shard] = append(v.shards[h.Layout][h.Shard], f)
 			}
 		}
 	}
-	e.services, e.leafs = services, leafs
-	early := e.early
-	e.early = map[string]query.Feedback{}
-	for _, fb := range early {
-		if e.leafs[fb.Leaf] != nil {
+	e.services, e.leaves = services, leaves
+	earlyFeedback := e.earlyFeedback
+	e.earlyFeedback = map[string]query.Feedback{}
+	for _, fb := range earlyFeedback {
+		if e.leaves[fb.Leaf] != nil {
 			e.SetFeedback(fb)
 		}
 	}
 }
 
-// maxEarly bounds what is kept of leafs that no configuration names yet.
-const maxEarly = 100000
+// maxEarlyFeedback limits the feedback kept for leaves that no configuration names
+// yet.
+const maxEarlyFeedback = 100000
 
-func outOf(cfg *topo.Config, carry map[string]topo.ServerLimit, s topo.Server) query.Reason {
+func serverOutReason(cfg *topo.Config, limits map[string]topo.ServerLimit, s topo.Server) query.Reason {
 	if cfg.DomainOut(s.Domain) {
 		return query.ReasonDomainOut
 	}
-	if carry[s.Name].Out {
+	if limits[s.Name].Out {
 		return query.ReasonServerOut
 	}
 	return query.ReasonNone
@@ -266,8 +267,8 @@
 		return
 	}
 	e.hosts = map[string]*host{}
-	e.early = map[string]query.Feedback{}
-	e.queries = map[uint64]*running{}
+	e.earlyFeedback = map[string]query.Feedback{}
+	e.queries = map[uint64]*activeQuery{}
 	e.attempts = map[uint64]*attempt{}
 	e.updates.init()
 	if e.Random == nil {
@@ -278,32 +279,34 @@
 // Config returns the configuration in force, or nil.
 func (e *Engine) Config() *topo.Config { return e.cfg }
 
-// SetFeedback takes what an aggregator knows of a leaf.
+// SetFeedback applies an aggregator's report on a leaf.
 func (e *Engine) SetFeedback(fb query.Feedback) {
 	e.init()
-	f := e.leafs[fb.Leaf]
+	f := e.leaves[fb.Leaf]
 	if f == nil {
-		// A fresh entry is told of all leafs as soon as its links are up,
-		// which may be before it has a configuration. Nobody tells it again
-		// until something changes, so it is kept.
-		if len(e.early) < maxEarly {
-			e.early[fb.Leaf] = fb
+		// A new entry gets the state of all leaves as soon as its links are up,
+		// possibly before it has a configuration. The state is not sent again
+		// until it changes, so it is kept.
+		if len(e.earlyFeedback) < maxEarlyFeedback {
+			e.earlyFeedback[fb.Leaf] = fb
 		}
 		return
 	}
-	if !f.known || f.fb.Closed != fb.Closed || !slices.Equal(f.fb.Holds, fb.Holds) {
+	if !f.hasFeedback || f.feedback.Closed != fb.Closed || !slices.Equal(f.feedback.Holds, fb.Holds) {
 		f.service.dirty = true
 	}
-	f.fb, f.known = fb, true
+	f.feedback, f.hasFeedback = fb, true
 }
 
-// MergeStrike takes a strike from another host and tells whether it was news.
+// MergeStrike applies a strike reported by another host and reports whether it was
+// new.
 func (e *Engine) MergeStrike(now clock.Milli, s deny.Strike) bool { return e.strikes.Merge(now, s) }
 
-// Strikes lists the requests refused now.
+// Strikes returns the requests that are currently blocked.
 func (e *Engine) Strikes(now clock.Milli) []deny.Strike { return e.strikes.Active(now) }
 
-// cancelActions lists cancellations by host, in order, so that runs repeat.
+// cancelActions returns cancellations sorted by host, so that runs are
+// reproducible.
 func cancelActions(byHost map[string][]uint64) []Action {
 	out := make([]Action, 0, len(byHost))
 	for _, h := range slices.Sorted(maps.Keys(byHost)) {
--- a/share/fanout/engine_test.go
+++ b/share/fanout/engine_test.go
@@ -11,7 +11,7 @@
 	"dandelionstile/share/topo"
 )
 
-// pin is the snapshot that test leafs hold unless a test says otherwise.
+// pin is the snapshot that test leaves hold by default.
 var pin = topo.SnapshotID{Layout: 1, Version: 1}
 
 // testConfig has one service of two shards with two replicas each, in two
@@ -48,7 +48,7 @@
 	return e
 }
 
-// calls lists the calls of all batches.
+// calls returns the calls of all batches.
 func calls(actions []Action) []CallSpec {
 	var list []CallSpec
 	for _, a := range actions {
@@ -76,9 +76,9 @@
 	return query.Outcome{Call: call, Kind: query.OK, Rows: []query.Row{{Key: key, Score: 1}}}
 }
 
-// A fresh entry's caller gets refused for ever although all leafs are well. The
-// links come up before the configuration: the aggregators tell of their leafs,
-// the entry knows none of them yet, and nobody tells it again.
+// The links of a new entry come up before its configuration, so it gets the state
+// of leaves it doesn't know yet. If it dropped them, it would refuse queries until
+// a leaf changes.
 func TestFeedbackBeforeConfiguration(t *testing.T) {
 	e := &Engine{Self: "host-a", Domain: "a", Policy: Policy{NoCanary: true}}
 	e.HostUp("host-a")
@@ -106,8 +106,8 @@
 	assert.Equal(t, a.Extra, 0)
 }
 
-// An answer claims full coverage although a shard never answered: its replicas
-// are lost, one after the other.
+// The replicas of a shard are lost one after the other. The answer must not claim
+// full coverage.
 func TestLostReplicasAreReported(t *testing.T) {
 	e := proven()
 	sent := calls(ask(e, 1, 1))
@@ -121,8 +121,8 @@
 	assert.Equal(t, a.Extra, 1)
 }
 
-// A late reply of an overtaken call is merged after the answer has gone, or into
-// the next query's.
+// A late reply of an overtaken call must not be merged into an answered query, or
+// into the next one.
 func TestLateReplyChangesNothing(t *testing.T) {
 	e := proven()
 	sent := calls(ask(e, 1, 1))
@@ -136,8 +136,8 @@
 	assert.Equal(t, len(a.Rows), 2)
 }
 
-// The index moves on while a query runs and no replica holds its snapshot any
-// more. The answer must rest on one snapshot: the query starts over on the next.
+// The index is updated while a query runs and no replica holds its snapshot any
+// more. The query starts over on the next one, since an answer uses one snapshot.
 func TestQueryStartsOverOnTheNextSnapshot(t *testing.T) {
 	e := proven()
 	sent := calls(ask(e, 1, 1))
@@ -156,11 +156,11 @@
 	for _, r := range a.Rows {
 		assert.Assert(t, r.Key != "old")
 	}
-	assert.Equal(t, a.Extra, 1) // the call whose result was thrown away
+	assert.Equal(t, a.Extra, 1) // the call whose result was discarded
 }
 
-// Back ends fail and every caller's query is retried on top of the load, which
-// keeps them down. The budget must run dry.
+// Backends fail and retries of every query add load that keeps them down. The
+// budget must be exhausted.
 func TestRetryBudgetRunsDry(t *testing.T) {
 	e := proven()
 	extra, first := 0, 0
@@ -175,25 +175,24 @@
 	assert.Assert(t, float64(extra) <= budgetBurst+float64(first*defaultBudgetPercent)/100+1, "%d extra calls for %d", extra, first)
 }
 
-// A hedge that waits in a queue helps nobody and adds load where there is too
-// much already.
+// A queued hedge has no benefit and adds load to leaves that are already full.
 func TestHedgeGoesOnlyToAFreeLeaf(t *testing.T) {
 	e := proven()
 	sent := calls(ask(e, 1, 1))
 	for _, name := range []string{"a0", "a1", "b0", "b1"} {
 		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Busy: 2, Holds: []topo.SnapshotID{pin}})
 	}
-	assert.Equal(t, len(calls(e.Tick(1+hedgeUnknown))), 0)
+	assert.Equal(t, len(calls(e.Tick(1+defaultHedgeDelay))), 0)
 	for _, name := range []string{"a0", "a1", "b0", "b1"} {
 		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Holds: []topo.SnapshotID{pin}})
 	}
-	hedges := calls(e.Tick(2 + hedgeUnknown))
+	hedges := calls(e.Tick(2 + defaultHedgeDelay))
 	assert.Equal(t, len(hedges), 2)
 	assert.Assert(t, hedges[0].Leaf != sent[0].Leaf)
 }
 
-// A failure domain that is out must not get a call even for a shard that only it
-// could answer; the answer says why the shard is missing.
+// A failure domain that is out must get no calls, even for a shard that only it
+// holds; the answer states why the shard is missing.
 func TestDomainOutIsNotAsked(t *testing.T) {
 	e := proven()
 	cfg, hosts := testConfig()
@@ -209,8 +208,8 @@
 	}
 }
 
-// A query crashes each server that it runs on. It gets one canary, and a second
-// one once all hosts know of the first crash; then it is refused at once.
+// A query crashes every server that runs it. It gets one canary, and a second once
+// all hosts know of the first crash; then it is refused at once.
 func TestCrashingQueryRunsTwiceAtMost(t *testing.T) {
 	e := testEngine(Policy{})
 	canary := calls(ask(e, 1, 1))
@@ -230,7 +229,7 @@
 	assert.Assert(t, a.RetryAfter > 0)
 }
 
-// startUpdate runs a new update and returns its call.
+// startUpdate starts a new update and returns its call.
 func startUpdate(t *testing.T, e *Engine) (Update, SendUpdate) {
 	t.Helper()
 	e.SetIncarnation(5)
@@ -242,8 +241,8 @@
 	return u, sent
 }
 
-// An update's aggregator dies with it. Whether it ran is not known, so it is
-// never sent again by the system, nor when its caller sends it again.
+// The aggregator that runs an update is lost. Whether the update ran is unknown,
+// so it is not sent again, not even when its caller resends it.
 func TestUnknownUpdateIsNeverSentAgain(t *testing.T) {
 	e := testEngine(Policy{})
 	u, sent := startUpdate(t, e)
@@ -256,8 +255,8 @@
 	assert.Equal(t, again[0].(UpdateAnswered).Result.Kind, query.Unknown)
 }
 
-// An update that was refused before it ran is tried at another replica, and its
-// caller's resend may run too when all refused.
+// An update that was refused before it ran is retried on another replica. If all
+// replicas refuse it, its caller may resend it.
 func TestRefusedUpdateMayRunElsewhere(t *testing.T) {
 	e := testEngine(Policy{})
 	u, sent := startUpdate(t, e)
@@ -272,8 +271,7 @@
 	assert.Assert(t, isSend)
 }
 
-// An update arrives twice at the same instant: it runs once, and both callers
-// get its one result.
+// An update arrives twice at once. It runs once, and both callers get its result.
 func TestSameUpdateTwiceAtOnce(t *testing.T) {
 	e := testEngine(Policy{})
 	u, sent := startUpdate(t, e)
@@ -289,8 +287,8 @@
 	assert.Equal(t, reused.Reason, query.ReasonReused)
 }
 
-// The owner of an id is away. Nothing runs now, but an earlier sending may have
-// run, so the caller must not be told otherwise.
+// The owner of an id is unreachable. Nothing runs now, but an earlier request may
+// have run, so the result must be unknown.
 func TestUnreachableOwnerIsUnknown(t *testing.T) {
 	e := testEngine(Policy{})
 	u, _ := startUpdate(t, e)
@@ -302,18 +300,18 @@
 	assert.Assert(t, out[0].(UpdateAnswered).Result.RetryAfter > 0)
 }
 
-// One caller fills the house; another, far below its share, is turned away with
-// it.
+// One caller reaches the admission limit. Another, far below its fair share, must
+// still be admitted.
 func TestGreedyCallerDoesNotLockOthersOut(t *testing.T) {
-	var d door
-	for d.enter("greedy", false) {
+	var d admission
+	for d.admit("greedy", false) {
 	}
-	assert.Assert(t, d.enter("modest", false))
-	assert.Assert(t, !d.enter("greedy", false))
+	assert.Assert(t, d.admit("modest", false))
+	assert.Assert(t, !d.admit("greedy", false))
 }
 
-// A query is refused while its first crash goes round; its caller must be told
-// when to come back.
+// A query is refused while its first crash is reported to the peers. Its caller
+// must get a time to retry after.
 func TestQuarantinedAnswerSaysWhenToComeBack(t *testing.T) {
 	e := testEngine(Policy{})
 	canary := calls(ask(e, 1, 1))
@@ -323,9 +321,8 @@
 	assert.Assert(t, a.RetryAfter > 0)
 }
 
-// A caller closes its connection while its query's calls are under way. They are
-// called off, so that their slots serve others, and what comes in later changes
-// nothing.
+// A caller disconnects while calls of its query are in flight. They are cancelled
+// to free their slots, and late outcomes have no effect.
 func TestCallsEndWhenTheCallerLeaves(t *testing.T) {
 	e := proven()
 	sent := calls(ask(e, 1, 1))
--- a/share/fanout/hosts.go
+++ b/share/fanout/hosts.go
@@ -7,50 +7,50 @@
 	"dandelionstile/share/query"
 )
 
-// host is an entry's view of one aggregator.
+// host is an entry's view of an aggregator.
 type host struct {
-	up      bool
-	leaving bool
-	rtt     float64 // in ms
-	heard   clock.Milli
-	flying  int         // our calls at it
-	since   clock.Milli // since when calls have been out without a break
+	up          bool
+	leaving     bool
+	rtt         float64 // in ms
+	lastReplyAt clock.Milli
+	inFlight    int         // this entry's calls at the host
+	busySince   clock.Milli // when inFlight last rose from 0
 }
 
-// hostSilent is how long an aggregator with calls of ours may give no word on
-// any of them before others are preferred. A paused process keeps its links for
-// seconds; without this, calls go into it all the while.
-const hostSilent = 150 * clock.Milli(1)
+// hostSilenceTimeout is how long an aggregator with calls may go without a reply
+// before others are preferred. A paused process keeps its links for seconds, and
+// would otherwise get calls all that time.
+const hostSilenceTimeout = 150 * clock.Milli(1)
 
-func (h *host) send(now clock.Milli) {
-	if h.flying == 0 {
-		h.since = now
+func (h *host) recordSend(now clock.Milli) {
+	if h.inFlight == 0 {
+		h.busySince = now
 	}
-	h.flying++
+	h.inFlight++
 }
 
-// hostLeast is how many calls must be out for silence to mean anything: a few
-// may all be at leafs that are slow.
-const hostLeast = 4
+// minCallsForSilence is the number of calls in flight from which silence counts: a
+// few calls may all be at slow leaves.
+const minCallsForSilence = 4
 
-// silent tells whether a host seems to stand still.
+// silent reports whether a host appears to be stalled.
 func (h *host) silent(now clock.Milli) bool {
-	return h.flying >= hostLeast && now-max(h.heard, h.since) > hostSilent+clock.Milli(h.rtt)
+	return h.inFlight >= minCallsForSilence && now-max(h.lastReplyAt, h.busySince) > hostSilenceTimeout+clock.Milli(h.rtt)
 }
 
-// HostUp says that an aggregator is linked.
+// HostUp reports that an aggregator is connected.
 func (e *Engine) HostUp(name string) {
 	e.init()
 	e.host(name).up = true
 }
 
-// HostLeaving says whether an aggregator is on its way out.
+// HostLeaving sets whether an aggregator is leaving.
 func (e *Engine) HostLeaving(name string, leaving bool) {
 	e.init()
 	e.host(name).leaving = leaving
 }
 
-// RecordRTT gives a measured round trip to an aggregator, in milliseconds.
+// RecordRTT records a measured round-trip time to an aggregator, in ms.
 func (e *Engine) RecordRTT(name string, rtt float64) {
 	e.init()
 	h := e.host(name)
@@ -69,8 +69,8 @@
 	return h
 }
 
-// HostDown says that the link to an aggregator is gone. What was sent over it
-// may have run.
+// HostDown handles the loss of the link to an aggregator. Calls sent over it may
+// have run.
 func (e *Engine) HostDown(now clock.Milli, name string) []Action {
 	e.init()
 	e.host(name).up = false
@@ -91,11 +91,11 @@
 	return append(out, e.updatesHostDown(now, name)...)
 }
 
-// owner returns the aggregator to reach a leaf through: the first candidate
-// that is linked, answers and stays, or else one that is linked. The skip names
-// hosts that have refused already.
-func (e *Engine) owner(f *leaf, skip map[string]bool) string {
-	second := ""
+// aggregatorFor returns the aggregator through which to call a leaf: the first
+// candidate that is connected, responsive and not leaving, or else the first that
+// is connected. Hosts in skip have already refused.
+func (e *Engine) aggregatorFor(f *leaf, skip map[string]bool) string {
+	fallback := ""
 	for _, name := range f.owners {
 		h := e.hosts[name]
 		if h == nil || !h.up || skip[name] {
@@ -104,9 +104,9 @@
 		if !h.leaving && !h.silent(e.now) {
 			return name
 		}
-		if second == "" {
-			second = name
+		if fallback == "" {
+			fallback = name
 		}
 	}
-	return second
+	return fallback
 }
--- a/share/fanout/outcome.go
+++ b/share/fanout/outcome.go
@@ -5,8 +5,8 @@
 	"dandelionstile/share/query"
 )
 
-// CallDone takes the final word on a call. A late one, whose query has its
-// answer or was pinned anew, changes nothing.
+// CallDone handles the outcome of a call. A late outcome, of a query that was
+// answered or pinned again meanwhile, has no effect.
 func (e *Engine) CallDone(now clock.Milli, o query.Outcome) []Action {
 	if o.Feedback != nil {
 		e.SetFeedback(*o.Feedback)
@@ -16,15 +16,15 @@
 		return nil
 	}
 	delete(e.attempts, o.Call)
-	a.leaf.flying--
+	a.leaf.inFlight--
 	e.now = now
 	h := e.host(a.host)
-	h.flying--
-	h.heard = now
+	h.inFlight--
+	h.lastReplyAt = now
 	q := a.query
-	q.landed(a)
+	q.removeAttempt(a)
 	st := &q.shards[a.shard]
-	st.flying--
+	st.inFlight--
 	if o.Kind == query.NotRun {
 		st.reached--
 	}
@@ -32,99 +32,99 @@
 		return nil
 	}
 	if o.Kind == query.OK {
-		return e.succeeded(now, q, a, o)
+		return e.callSucceeded(now, q, a, o)
 	}
-	return e.failed(now, q, a, o)
+	return e.callFailed(now, q, a, o)
 }
 
-func (e *Engine) succeeded(now clock.Milli, q *running, a *attempt, o query.Outcome) []Action {
-	took := now - a.sent
+func (e *Engine) callSucceeded(now clock.Milli, q *activeQuery, a *attempt, o query.Outcome) []Action {
+	took := now - a.sentAt
 	q.service.timing.record(now, took)
-	a.leaf.learn(now, took)
+	a.leaf.recordLatency(now, took)
 	q.rows = append(q.rows, o.Rows...)
 	e.settle(now, q, a.shard, query.ReasonNone)
-	e.beaten(now, q, a.shard)
+	e.recordOvertaken(now, q, a.shard)
 	out := e.cancelShard(q, a.shard)
 	if q.canary {
-		e.good.Add(q.proof())
-		return append(out, e.fan(now, q)...)
+		e.proven.Add(q.provenKey())
+		return append(out, e.fanOut(now, q)...)
 	}
-	return append(out, e.complete(now, q)...)
+	return append(out, e.answerIfComplete(now, q)...)
 }
 
-// learn smooths the usual time of a leaf.
-func (f *leaf) learn(now, took clock.Milli) {
-	f.learnt = now
-	if f.usual == 0 {
-		f.usual = float64(took)
+// recordLatency updates the mean latency of a leaf.
+func (f *leaf) recordLatency(now, took clock.Milli) {
+	f.updatedAt = now
+	if f.meanLatency == 0 {
+		f.meanLatency = float64(took)
 		return
 	}
-	f.usual += (float64(took) - f.usual) / 8
+	f.meanLatency += (float64(took) - f.meanLatency) / 8
 }
 
-// settle ends a shard: with a result when the reason is none.
-func (e *Engine) settle(now clock.Milli, q *running, i int, why query.Reason) {
+// settle ends a shard, with a result if the reason is ReasonNone.
+func (e *Engine) settle(now clock.Milli, q *activeQuery, i int, reason query.Reason) {
 	st := &q.shards[i]
 	if st.settled {
 		return
 	}
 	st.settled = true
-	st.missing = why
-	q.open--
-	if why != query.ReasonNone {
-		q.note(now, Step{Event: EventMissing, Shard: i, Cause: why})
+	st.missingReason = reason
+	q.openShards--
+	if reason != query.ReasonNone {
+		q.addStep(now, Step{Event: EventMissing, Shard: i, Cause: reason})
 	}
 }
 
-// cancelShard cancels the calls of a shard that are still out.
-func (e *Engine) cancelShard(q *running, shard int) []Action {
-	if q.shards[shard].flying == 0 {
+// cancelShard cancels the calls of a shard in flight.
+func (e *Engine) cancelShard(q *activeQuery, shard int) []Action {
+	if q.shards[shard].inFlight == 0 {
 		return nil
 	}
 	return e.cancel(q, func(a *attempt) bool { return a.shard == shard })
 }
 
-// beaten learns from calls of a shard that another call has overtaken: they
-// took at least as long as they have run. Else a straggler whose calls are
-// always overtaken would keep the reputation it had before.
-func (e *Engine) beaten(now clock.Milli, q *running, shard int) {
-	for _, a := range q.flying {
-		if a.shard == shard && float64(now-a.sent) > a.leaf.usual {
-			a.leaf.learn(now, now-a.sent)
+// recordOvertaken records the time that overtaken calls of a shard have run as a
+// lower bound of their latency. Otherwise a straggler whose calls are always
+// overtaken would keep its former mean latency.
+func (e *Engine) recordOvertaken(now clock.Milli, q *activeQuery, shard int) {
+	for _, a := range q.inFlight {
+		if a.shard == shard && float64(now-a.sentAt) > a.leaf.meanLatency {
+			a.leaf.recordLatency(now, now-a.sentAt)
 		}
 	}
 }
 
-// cancelAll cancels all calls of a query that are still out.
-func (e *Engine) cancelAll(q *running) []Action {
+// cancelAll cancels all calls of a query in flight.
+func (e *Engine) cancelAll(q *activeQuery) []Action {
 	return e.cancel(q, func(*attempt) bool { return true })
 }
 
-func (e *Engine) cancel(q *running, match func(*attempt) bool) []Action {
+func (e *Engine) cancel(q *activeQuery, match func(*attempt) bool) []Action {
 	byHost := map[string][]uint64{}
-	kept := q.flying[:0]
-	for _, a := range q.flying {
+	kept := q.inFlight[:0]
+	for _, a := range q.inFlight {
 		if !match(a) {
 			kept = append(kept, a)
 			continue
 		}
 		byHost[a.host] = append(byHost[a.host], a.id)
-		a.leaf.flying--
-		e.host(a.host).flying--
-		q.shards[a.shard].flying--
+		a.leaf.inFlight--
+		e.host(a.host).inFlight--
+		q.shards[a.shard].inFlight--
 		delete(e.attempts, a.id)
 	}
-	q.flying = kept
+	q.inFlight = kept
 	return cancelActions(byHost)
 }
 
-// landed takes an attempt off its query's list.
-func (q *running) landed(a *attempt) {
-	for i, other := range q.flying {
+// removeAttempt removes an attempt from its query.
+func (q *activeQuery) removeAttempt(a *attempt) {
+	for i, other := range q.inFlight {
 		if other == a {
-			last := len(q.flying) - 1
-			q.flying[i] = q.flying[last]
-			q.flying = q.flying[:last]
+			last := len(q.inFlight) - 1
+			q.inFlight[i] = q.inFlight[last]
+			q.inFlight = q.inFlight[:last]
 			return
 		}
 	}
--- a/share/fanout/pins.go
+++ b/share/fanout/pins.go
@@ -7,16 +7,16 @@
 	"dandelionstile/share/topo"
 )
 
-// usable tells whether a leaf may get new work for a pin.
+// usable reports whether a leaf may get new calls for a pin.
 func (e *Engine) usable(f *leaf, pin topo.SnapshotID) bool {
-	if f.out != query.ReasonNone || !f.known || f.fb.Closed || !slices.Contains(f.fb.Holds, pin) {
+	if f.outReason != query.ReasonNone || !f.hasFeedback || f.feedback.Closed || !slices.Contains(f.feedback.Holds, pin) {
 		return false
 	}
-	return e.owner(f, nil) != ""
+	return e.aggregatorFor(f, nil) != ""
 }
 
-// choosePin picks the newest snapshot that all shards have somewhere in reach,
-// or else the one that covers most. An answer rests on this one snapshot alone.
+// choosePin chooses the newest snapshot that has a usable replica of every shard,
+// or else the one that covers most shards. An answer uses a single snapshot.
 func (e *Engine) choosePin(s *service) (topo.SnapshotID, bool) {
 	if !s.dirty {
 		return s.pin, s.pinned
@@ -27,7 +27,7 @@
 		for _, replicas := range shards {
 			seen := map[topo.SnapshotID]bool{}
 			for _, f := range replicas {
-				for _, p := range f.fb.Holds {
+				for _, p := range f.feedback.Holds {
 					if p.Layout == layout && !seen[p] && e.usable(f, p) {
 						seen[p] = true
 						covered[p]++
@@ -56,8 +56,7 @@
 	return e.choosePin(s)
 }
 
-// Coverage tells, for a service's current pin, how many shards could be answered
-// now.
+// Coverage returns how many shards of a service's current pin can be answered now.
 func (e *Engine) Coverage(name string) query.Coverage {
 	s := e.services[name]
 	if s == nil {
@@ -78,7 +77,7 @@
 			c.Answered++
 			continue
 		}
-		c.Missing = append(c.Missing, query.Missing{Shard: shard, Reason: e.whyNone(replicas)})
+		c.Missing = append(c.Missing, query.Missing{Shard: shard, Reason: e.noReplicaReason(replicas)})
 	}
 	return c
 }
@@ -92,16 +91,16 @@
 	return false
 }
 
-// whyNone explains why no replica of a shard can be asked.
-func (e *Engine) whyNone(replicas []*leaf) query.Reason {
-	why := query.ReasonNoReplica
+// noReplicaReason returns why no replica of a shard can be called.
+func (e *Engine) noReplicaReason(replicas []*leaf) query.Reason {
+	reason := query.ReasonNoReplica
 	for _, f := range replicas {
 		switch {
-		case f.out != query.ReasonNone:
-			why = f.out
-		case e.owner(f, nil) == "":
+		case f.outReason != query.ReasonNone:
+			reason = f.outReason
+		case e.aggregatorFor(f, nil) == "":
 			return query.ReasonUnreachable
 		}
 	}
-	return why
+	return reason
 }
--- a/share/fanout/query.go
+++ b/share/fanout/query.go
@@ -19,100 +19,100 @@
 	Deadline clock.Milli
 }
 
-// running is a query that has no answer yet.
-type running struct {
+// activeQuery is a query that has not been answered yet.
+type activeQuery struct {
 	Request
-	service     *service
-	fingerprint uint64
-	key         string // the fingerprint as a placement key
-	arrived     clock.Milli
-	until       clock.Milli // when it is answered with what is there
-	pin         topo.SnapshotID
-	pins        int // how often it was pinned
-	shards      []shard
-	open        int // shards without a result or reason
-	canary      bool
-	canaries    int // canaries that run or have run
-	canaryTries int
-	flying      []*attempt
-	rows        []query.Row
-	past        int // calls for pins that were given up
-	first       int // shards of the current pin that were asked
-	deaths      int // servers that died under its canaries
-	struck      bool
-	strikeUntil clock.Milli
-	done        bool
-	trail       []Step
+	service        *service
+	fingerprint    uint64
+	key            string // the fingerprint in hexadecimal, for placement
+	arrived        clock.Milli
+	answerBy       clock.Milli // when it is answered with the results so far
+	pin            topo.SnapshotID
+	pinCount       int // how often it was pinned
+	shards         []shardState
+	openShards     int // shards that are not settled
+	canary         bool
+	canaries       int // canaries that are running or have run
+	canaryAttempts int
+	inFlight       []*attempt
+	rows           []query.Row
+	priorCalls     int // calls for former pins
+	firstCalls     int // shards of the current pin that were called
+	crashes        int // servers that crashed under its canaries
+	sharingStrike  bool
+	strikeDeadline clock.Milli
+	done           bool
+	steps          []Step
 }
 
-// shard is where one shard of a query stands.
-type shard struct {
-	settled bool
-	missing query.Reason // why it has no result; set when settled without one
-	tries   int
-	reached int // calls that may have reached a leaf
-	flying  int
-	tried   map[string]bool // leafs asked
-	hosts   map[string]bool // aggregators that refused as not the owner
-	last    query.Reason
-	retryAt clock.Milli
-	waits   int
-	sentAt  clock.Milli // when the newest attempt was sent
-	hedged  bool
+// shardState is the state of one shard of a query.
+type shardState struct {
+	settled       bool
+	missingReason query.Reason // why it has no result; set when settled without one
+	attempts      int
+	reached       int // calls that may have reached a leaf
+	inFlight      int
+	tried         map[string]bool // leaves that were called
+	refusedBy     map[string]bool // aggregators that refused for reasons of their own
+	lastReason    query.Reason
+	retryAt       clock.Milli
+	waits         int
+	sentAt        clock.Milli // when the latest attempt was sent
+	hedged        bool
 }
 
-// attempt is one call that has no outcome yet.
+// attempt is a call without an outcome yet.
 type attempt struct {
-	id    uint64
-	query *running
-	shard int
-	leaf  *leaf
-	host  string
-	sent  clock.Milli
+	id     uint64
+	query  *activeQuery
+	shard  int
+	leaf   *leaf
+	host   string
+	sentAt clock.Milli
 }
 
-func (q *running) note(now clock.Milli, s Step) {
+func (q *activeQuery) addStep(now clock.Milli, s Step) {
 	s.At = now
-	q.trail = append(q.trail, s)
+	q.steps = append(q.steps, s)
 }
 
-// StartQuery takes a query. The answer may come at once.
+// StartQuery starts a query. The answer may be among the returned actions.
 func (e *Engine) StartQuery(now clock.Milli, r Request) []Action {
 	e.init()
 	e.now = now
 	s := e.services[r.Service]
 	if s == nil {
-		return refused(r.ID, query.ReasonNotReady, lonelyAdvice)
+		return refuse(r.ID, query.ReasonNotReady, defaultRetryAfter)
 	}
 	fingerprint := deny.Fingerprint(r.Service, r.Text)
 	if left, blocked := e.strikes.Blocked(now, fingerprint); blocked {
-		return refused(r.ID, query.ReasonQuarantined, left)
+		return refuse(r.ID, query.ReasonQuarantined, left)
 	}
 	pin, ok := e.choosePin(s)
 	if !ok {
-		return refused(r.ID, query.ReasonNotReady, lonelyAdvice)
+		return refuse(r.ID, query.ReasonNotReady, defaultRetryAfter)
 	}
-	if !s.door.enter(r.Caller, e.Policy.NoBackpressure) {
-		return refused(r.ID, query.ReasonOverload, doorAdvice+clock.Milli(e.Random.IntN(int(doorAdvice))))
+	if !s.admission.admit(r.Caller, e.Policy.NoBackpressure) {
+		return refuse(r.ID, query.ReasonOverload, overloadRetryAfter+clock.Milli(e.Random.IntN(int(overloadRetryAfter))))
 	}
-	q := &running{
+	q := &activeQuery{
 		Request: r, service: s, fingerprint: fingerprint,
 		key: strconv.FormatUint(fingerprint, 16), arrived: now,
 	}
-	span := max(0, r.Deadline-now-reserve)
-	q.until = now + span*clock.Milli(s.Patience)/100
+	span := max(0, r.Deadline-now-replyReserve)
+	q.answerBy = now + span*clock.Milli(s.Patience)/100
 	e.queries[r.ID] = q
-	e.order = append(e.order, q)
-	q.note(now, Step{Event: EventPinned, Cause: query.Reason(pin.String())})
+	e.arrivals = append(e.arrivals, q)
+	q.addStep(now, Step{Event: EventPinned, Cause: query.Reason(pin.String())})
 	q.pinTo(pin, len(s.shards[pin.Layout]))
-	if !e.Policy.NoCanary && (e.strikes.HasStrikes(fingerprint) || !e.good.Has(q.proof())) {
+	if !e.Policy.NoCanary && (e.strikes.HasStrikes(fingerprint) || !e.proven.Has(q.provenKey())) {
 		q.canary = true
-		// A server that the query brought down earlier counts as a canary.
+		// A server that the query crashed earlier counts as a canary.
 		q.canaries = min(e.strikes.Get(now, fingerprint).Count, maxCanaries-1)
 		if out, sent := e.sendCanary(now, q); sent {
 			if s.Patience < 100 && q.canaries < maxCanaries {
-				// The service weighs tail latency: whichever canary is back
-				// first lets the rest go.
+				// The service favors tail latency: the first canary to return
+				// releases the other calls.
 				more, _ := e.sendCanary(now, q)
 				out = append(out, more...)
 			}
@@ -120,44 +120,45 @@
 		}
 		q.canary = false
 	}
-	return e.fan(now, q)
+	return e.fanOut(now, q)
 }
 
-// lonelyAdvice is when to come back to a host that is not ready yet.
-const lonelyAdvice = 500 * clock.Milli(1)
+// defaultRetryAfter is the Retry-After of a host that is not ready yet and of
+// updates without a result.
+const defaultRetryAfter = 500 * clock.Milli(1)
 
-func refused(id uint64, why query.Reason, wait clock.Milli) []Action {
-	return []Action{Answered{Query: id, Answer: query.Answer{Refused: why, RetryAfter: wait}}}
+func refuse(id uint64, reason query.Reason, wait clock.Milli) []Action {
+	return []Action{Answered{Query: id, Answer: query.Answer{Refused: reason, RetryAfter: wait}}}
 }
 
-func (q *running) pinTo(pin topo.SnapshotID, shards int) {
-	q.past, _ = q.load()
+func (q *activeQuery) pinTo(pin topo.SnapshotID, shards int) {
+	q.priorCalls, _ = q.callCounts()
 	q.pin = pin
-	q.pins++
+	q.pinCount++
 	q.rows = nil
-	q.first = 0
-	q.shards = make([]shard, shards)
-	q.open = shards
+	q.firstCalls = 0
+	q.shards = make([]shardState, shards)
+	q.openShards = shards
 }
 
-// fan asks all shards that have no result yet and no call under way.
-func (e *Engine) fan(now clock.Milli, q *running) []Action {
+// fanOut calls all shards that have neither a result nor a call in flight.
+func (e *Engine) fanOut(now clock.Milli, q *activeQuery) []Action {
 	q.canary = false
 	b := batches{}
 	for i := range q.shards {
 		st := &q.shards[i]
-		if st.settled || st.flying > 0 {
+		if st.settled || st.inFlight > 0 {
 			continue
 		}
 		list := e.candidates(now, q, i)
 		if len(list) == 0 {
-			e.settle(now, q, i, e.whyMissing(q, i))
+			e.settle(now, q, i, e.missingReason(q, i))
 			continue
 		}
 		e.send(now, q, i, e.choose(list), false, EventSent, &b)
 	}
-	q.service.budget.earn(q.first, e.budgetPercent())
-	return append(b.actions(), e.complete(now, q)...)
+	q.service.budget.earn(q.firstCalls, e.budgetPercent())
+	return append(b.actions(), e.answerIfComplete(now, q)...)
 }
 
 func (e *Engine) budgetPercent() int {
@@ -167,46 +168,46 @@
 	return e.Policy.BudgetPercent
 }
 
-func (e *Engine) whyMissing(q *running, shard int) query.Reason {
-	if last := q.shards[shard].last; last != query.ReasonNone {
+func (e *Engine) missingReason(q *activeQuery, shard int) query.Reason {
+	if last := q.shards[shard].lastReason; last != query.ReasonNone {
 		return last
 	}
-	return e.whyNone(q.service.shards[q.pin.Layout][shard])
+	return e.noReplicaReason(q.service.shards[q.pin.Layout][shard])
 }
 
 // send adds a call to a batch.
-func (e *Engine) send(now clock.Milli, q *running, i int, c candidate, canary bool, ev Event, b *batches) {
+func (e *Engine) send(now clock.Milli, q *activeQuery, i int, c candidate, canary bool, ev Event, b *batches) {
 	st := &q.shards[i]
 	if st.tried == nil {
 		st.tried = map[string]bool{}
 	}
 	if st.reached == 0 {
-		q.first++
+		q.firstCalls++
 	}
 	st.tried[c.leaf.name] = true
-	st.tries++
+	st.attempts++
 	st.reached++
-	st.flying++
+	st.inFlight++
 	st.sentAt = now
 	st.retryAt = 0
-	c.leaf.flying++
-	e.host(c.host).send(now)
+	c.leaf.inFlight++
+	e.host(c.host).recordSend(now)
 	e.lastCall++
-	a := &attempt{id: e.lastCall, query: q, shard: i, leaf: c.leaf, host: c.host, sent: now}
+	a := &attempt{id: e.lastCall, query: q, shard: i, leaf: c.leaf, host: c.host, sentAt: now}
 	e.attempts[a.id] = a
-	q.flying = append(q.flying, a)
+	q.inFlight = append(q.inFlight, a)
 	if ev != EventSent {
-		q.note(now, Step{Event: ev, Shard: i, Leaf: c.leaf.name, Host: c.host, Cause: st.last})
+		q.addStep(now, Step{Event: ev, Shard: i, Leaf: c.leaf.name, Host: c.host, Cause: st.lastReason})
 	}
-	b.add(q, c.host, CallSpec{ID: e.lastCall, Leaf: c.leaf.name, Shard: i, Canary: canary, SecondCanary: q.deaths > 0})
+	b.add(q, c.host, CallSpec{ID: e.lastCall, Leaf: c.leaf.name, Shard: i, Canary: canary, SecondCanary: q.crashes > 0})
 }
 
-// batches gathers a query's calls by aggregator.
+// batches groups the calls of a query by aggregator.
 type batches struct {
 	list []SendBatch
 }
 
-func (b *batches) add(q *running, host string, c CallSpec) {
+func (b *batches) add(q *activeQuery, host string, c CallSpec) {
 	for i := range b.list {
 		if b.list[i].Host == host && b.list[i].Query == q.ID {
 			b.list[i].Calls = append(b.list[i].Calls, c)
--- a/share/fanout/retry.go
+++ b/share/fanout/retry.go
@@ -6,37 +6,37 @@
 	"dandelionstile/share/query"
 )
 
-// maxWaits is how often a shard waits for room before it is given up.
+// maxWaits limits how often a shard is retried after a wait.
 const maxWaits = 3
 
-// failed decides what follows a call without a result.
-func (e *Engine) failed(now clock.Milli, q *running, a *attempt, o query.Outcome) []Action {
+// callFailed decides how to continue after a call without a result.
+func (e *Engine) callFailed(now clock.Milli, q *activeQuery, a *attempt, o query.Outcome) []Action {
 	st := &q.shards[a.shard]
 	if o.Reason == query.ReasonProven {
 		return e.provenElsewhere(now, q, a)
 	}
-	st.last = o.Reason
-	q.note(now, Step{Event: EventFailed, Shard: a.shard, Leaf: a.leaf.name, Host: a.host, Cause: o.Reason})
+	st.lastReason = o.Reason
+	q.addStep(now, Step{Event: EventFailed, Shard: a.shard, Leaf: a.leaf.name, Host: a.host, Cause: o.Reason})
 	switch {
 	case o.Kind == query.Died:
-		e.died(now, q.fingerprint, o.Strikes, o.RetryAfter)
-		return e.crashed(now, q)
-	case o.Reason == query.ReasonQuarantined && q.deaths > 0 && q.canary:
-		// Its own first canary's death was heard of there before the second ran.
+		e.recordCrash(now, q.fingerprint, o.Strikes, o.RetryAfter)
+		return e.canaryCrashed(now, q)
+	case o.Reason == query.ReasonQuarantined && q.crashes > 0 && q.canary:
+		// The aggregator learned of the first canary's crash before the second ran.
 		return e.canaryFailed(now, q, o)
 	case o.Reason == query.ReasonQuarantined:
 		left := max(o.RetryAfter, e.strikes.Get(now, q.fingerprint).TimeLeft, deny.SuspectTime)
 		return e.answerRefused(now, q, query.ReasonQuarantined, left)
 	case q.canary:
 		return e.canaryFailed(now, q, o)
-	case st.flying > 0:
-		return nil // a hedge is still out
+	case st.inFlight > 0:
+		return nil // a hedge is in flight
 	}
 	b := batches{}
 	if e.retry(now, q, a, o, &b) {
 		return b.actions()
 	}
-	if wait, again := e.waits(now, q, st, o); again {
+	if wait, again := e.retryWait(now, q, st, o); again {
 		st.retryAt = now + wait
 		return nil
 	}
@@ -45,17 +45,17 @@
 			return out
 		}
 	}
-	e.settle(now, q, a.shard, st.last)
-	return e.complete(now, q)
+	e.settle(now, q, a.shard, st.lastReason)
+	return e.answerIfComplete(now, q)
 }
 
-// retry asks another replica, or the same leaf through its other candidate.
-func (e *Engine) retry(now clock.Milli, q *running, a *attempt, o query.Outcome, b *batches) bool {
+// retry calls another replica, or the same leaf through its other candidate.
+func (e *Engine) retry(now clock.Milli, q *activeQuery, a *attempt, o query.Outcome, b *batches) bool {
 	st := &q.shards[a.shard]
-	if now >= q.until || st.tries >= maxTries+e.Policy.FixedRetries {
+	if now >= q.answerBy || st.attempts >= maxAttempts+e.Policy.FixedRetries {
 		return false
 	}
-	if c, ok := e.sidestep(now, q, a, o); ok {
+	if c, ok := e.otherAggregator(now, q, a, o); ok {
 		e.send(now, q, a.shard, c, false, EventRetried, b)
 		return true
 	}
@@ -63,20 +63,20 @@
 	if len(list) == 0 {
 		return false
 	}
-	// A call that never reached a leaf costs leafs nothing when it is made
-	// again; all others draw on the budget.
-	if o.Kind != query.NotRun && !e.extra(q.service) {
-		q.note(now, Step{Event: EventHeldByBudget, Shard: a.shard, Cause: o.Reason})
-		st.last = o.Reason
+	// A call that never reached a leaf costs the leaves nothing when repeated; all
+	// other retries draw on the budget.
+	if o.Kind != query.NotRun && !e.spendBudget(q.service) {
+		q.addStep(now, Step{Event: EventHeldByBudget, Shard: a.shard, Cause: o.Reason})
+		st.lastReason = o.Reason
 		return false
 	}
 	e.send(now, q, a.shard, e.choose(list), false, EventRetried, b)
 	return true
 }
 
-// sidestep reaches the same leaf through its other candidate, when the first
+// otherAggregator returns the same leaf through its other candidate if the first
 // refused for reasons of its own.
-func (e *Engine) sidestep(now clock.Milli, q *running, a *attempt, o query.Outcome) (candidate, bool) {
+func (e *Engine) otherAggregator(now clock.Milli, q *activeQuery, a *attempt, o query.Outcome) (candidate, bool) {
 	if o.Kind != query.NotRun {
 		return candidate{}, false
 	}
@@ -86,23 +86,24 @@
 		return candidate{}, false
 	}
 	st := &q.shards[a.shard]
-	if st.hosts == nil {
-		st.hosts = map[string]bool{}
+	if st.refusedBy == nil {
+		st.refusedBy = map[string]bool{}
 	}
-	st.hosts[a.host] = true
-	return e.candidate(now, a.leaf, st.hosts)
+	st.refusedBy[a.host] = true
+	return e.candidate(now, a.leaf, st.refusedBy)
 }
 
-// extra takes one extra call from the budget.
-func (e *Engine) extra(s *service) bool {
+// spendBudget takes one extra call from the budget and reports whether it may be
+// made.
+func (e *Engine) spendBudget(s *service) bool {
 	return e.Policy.FixedRetries > 0 || s.budget.spend(1)
 }
 
-// waits tells whether a shard is to be asked again a little later: nothing ran,
-// and the cause passes within moments. A leaf that changes hands or warms up is
-// waited for by all services; one without room only by those that weigh coverage
-// above all.
-func (e *Engine) waits(now clock.Milli, q *running, st *shard, o query.Outcome) (clock.Milli, bool) {
+// retryWait returns how long to wait before a shard is retried, and whether to
+// retry at all: only if nothing ran and the cause is brief. All services wait for a
+// leaf that changes owner or warms up; only services that favor coverage wait for a
+// full one.
+func (e *Engine) retryWait(now clock.Milli, q *activeQuery, st *shardState, o query.Outcome) (clock.Milli, bool) {
 	if o.Kind != query.NotRun || st.waits >= maxWaits {
 		return 0, false
 	}
@@ -115,34 +116,34 @@
 	default:
 		return 0, false
 	}
-	wait := max(waitLeast, min(o.RetryAfter, waitMost))
-	if now+wait >= q.until {
+	wait := max(minRetryWait, min(o.RetryAfter, maxRetryWait))
+	if now+wait >= q.answerBy {
 		return 0, false
 	}
 	st.waits++
 	return wait, true
 }
 
-// waitLeast and waitMost bound one wait.
+// Bounds of retryWait.
 const (
-	waitLeast clock.Milli = 10
-	waitMost  clock.Milli = 50
+	minRetryWait clock.Milli = 10
+	maxRetryWait clock.Milli = 50
 )
 
-// repin starts a query over on the snapshot that is now best, when its own is
-// gone. What it gathered is thrown away: an answer rests on one snapshot.
-func (e *Engine) repin(now clock.Milli, q *running) ([]Action, bool) {
+// repin restarts a query on the snapshot that is now best, if its own is gone. Its
+// results are discarded, since an answer uses a single snapshot.
+func (e *Engine) repin(now clock.Milli, q *activeQuery) ([]Action, bool) {
 	q.service.dirty = true
 	pin, ok := e.choosePin(q.service)
-	late := now-q.arrived > (q.until-q.arrived)/2
-	if !ok || pin == q.pin || q.pins > 1 || late {
+	late := now-q.arrived > (q.answerBy-q.arrived)/2
+	if !ok || pin == q.pin || q.pinCount > 1 || late {
 		return nil, false
 	}
-	if !q.service.budget.spend(min(budgetBurst, float64(q.first))) {
+	if !q.service.budget.spend(min(budgetBurst, float64(q.firstCalls))) {
 		return nil, false
 	}
 	out := e.cancelAll(q)
-	q.note(now, Step{Event: EventRepinned, Cause: query.Reason(pin.String())})
+	q.addStep(now, Step{Event: EventRepinned, Cause: query.Reason(pin.String())})
 	q.pinTo(pin, len(q.service.shards[pin.Layout]))
-	return append(out, e.fan(now, q)...), true
+	return append(out, e.fanOut(now, q)...), true
 }
--- a/share/fanout/tick.go
+++ b/share/fanout/tick.go
@@ -5,17 +5,17 @@
 	"dandelionstile/share/query"
 )
 
-// Idle tells whether no query or update is under way.
+// Idle reports whether no queries or updates are running.
 func (e *Engine) Idle() bool { return len(e.queries) == 0 && e.updates.idle() }
 
-// Tick runs what is due: answers, retries and hedges. Call it every few
-// milliseconds.
+// Tick runs all timed work: answers, retries and hedges. It must be called every
+// few milliseconds.
 func (e *Engine) Tick(now clock.Milli) []Action {
 	e.init()
 	e.now = now
 	var out []Action
-	kept := e.order[:0]
-	for _, q := range e.order {
+	kept := e.arrivals[:0]
+	for _, q := range e.arrivals {
 		if !q.done {
 			out = append(out, e.tick(now, q)...)
 		}
@@ -23,24 +23,24 @@
 			kept = append(kept, q)
 		}
 	}
-	clear(e.order[len(kept):])
-	e.order = kept
+	clear(e.arrivals[len(kept):])
+	e.arrivals = kept
 	return append(out, e.tickUpdates(now)...)
 }
 
-func (e *Engine) tick(now clock.Milli, q *running) []Action {
-	if q.struck {
-		if now >= q.strikeUntil {
+func (e *Engine) tick(now clock.Milli, q *activeQuery) []Action {
+	if q.sharingStrike {
+		if now >= q.strikeDeadline {
 			return e.StrikeShared(now, q.ID)
 		}
 		return nil
 	}
-	if now >= q.until {
-		why := query.ReasonDeadline
+	if now >= q.answerBy {
+		reason := query.ReasonDeadline
 		if q.service.Patience < 100 {
-			why = query.ReasonPatience
+			reason = query.ReasonPatience
 		}
-		return e.answerPartial(now, q, why)
+		return e.answerPartial(now, q, reason)
 	}
 	if q.canary {
 		return e.hedgeCanary(now, q)
@@ -53,14 +53,14 @@
 			continue
 		}
 		if st.retryAt != 0 && now >= st.retryAt {
-			e.again(now, q, i, &b)
+			e.retryShard(now, q, i, &b)
 			continue
 		}
-		if st.flying == 1 && !st.hedged && now-st.sentAt >= delay {
+		if st.inFlight == 1 && !st.hedged && now-st.sentAt >= delay {
 			e.hedge(now, q, i, &b)
 		}
 	}
-	return append(b.actions(), e.complete(now, q)...)
+	return append(b.actions(), e.answerIfComplete(now, q)...)
 }
 
 func (e *Engine) hedgeQuantile() float64 {
@@ -70,25 +70,24 @@
 	return e.Policy.HedgeQuantile
 }
 
-// again asks a shard whose leafs had no room a moment ago.
-func (e *Engine) again(now clock.Milli, q *running, i int, b *batches) {
+// retryShard calls a shard again after a wait.
+func (e *Engine) retryShard(now clock.Milli, q *activeQuery, i int, b *batches) {
 	st := &q.shards[i]
 	st.retryAt = 0
-	st.tries = 0
+	st.attempts = 0
 	st.tried = nil
-	st.hosts = nil
+	st.refusedBy = nil
 	list := e.candidates(now, q, i)
 	if len(list) == 0 {
-		e.settle(now, q, i, e.whyMissing(q, i))
+		e.settle(now, q, i, e.missingReason(q, i))
 		return
 	}
 	e.send(now, q, i, e.choose(list), false, EventRetried, b)
 }
 
-// hedge asks a second replica when a call takes unusually long. Only a leaf
-// that seems free is asked, and only while the budget lasts: a hedge that waits
-// in a queue helps nobody.
-func (e *Engine) hedge(now clock.Milli, q *running, i int, b *batches) {
+// hedge calls a second replica if a call is slow. Only leaves with a free slot are
+// called, and only within the budget: a queued hedge has no benefit.
+func (e *Engine) hedge(now clock.Milli, q *activeQuery, i int, b *batches) {
 	if e.Policy.NoHedge {
 		return
 	}
@@ -96,7 +95,7 @@
 	list := e.candidates(now, q, i)
 	free := list[:0]
 	for _, c := range list {
-		if c.leaf.free() && now+clock.Milli(c.rtt) < q.until {
+		if c.leaf.hasFreeSlot() && now+clock.Milli(c.rtt) < q.answerBy {
 			free = append(free, c)
 		}
 	}
@@ -104,8 +103,8 @@
 		return
 	}
 	st.hedged = true
-	if !e.extra(q.service) {
-		q.note(now, Step{Event: EventHeldByBudget, Shard: i})
+	if !e.spendBudget(q.service) {
+		q.addStep(now, Step{Event: EventHeldByBudget, Shard: i})
 		return
 	}
 	e.send(now, q, i, e.choose(free), false, EventHedged, b)
--- a/share/fanout/update.go
+++ b/share/fanout/update.go
@@ -12,9 +12,9 @@
 	"dandelionstile/share/query"
 )
 
-// Update is a caller's change on one leaf.
+// Update is a caller's update. It runs on one leaf.
 type Update struct {
-	// RequestID is this entry's own name for the request.
+	// RequestID identifies the request on this entry.
 	RequestID uint64
 	ID        dedup.ID
 	Service   string
@@ -24,8 +24,8 @@
 	Deadline  clock.Milli
 }
 
-// content identifies what an update would do.
-func (u Update) content() uint64 {
+// contentHash returns a hash of the operation and its arguments.
+func (u Update) contentHash() uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	for _, s := range []string{u.Service, u.Operation, u.Key, u.Body} {
@@ -35,7 +35,7 @@
 	return d.Sum64()
 }
 
-// UpdateResult is what a caller gets for an update.
+// UpdateResult is the result of an update.
 type UpdateResult struct {
 	Kind       query.Kind
 	Reason     query.Reason
@@ -45,7 +45,7 @@
 	Strikes int
 }
 
-// SendUpdate hands an update to an aggregator. It is sent once.
+// SendUpdate sends an update to an aggregator. It is sent once.
 type SendUpdate struct {
 	Host        string
 	Call        uint64
@@ -54,13 +54,13 @@
 	Update      Update
 }
 
-// Forward hands an update to the host that minted its id.
+// Forward sends an update to the host that minted its id.
 type Forward struct {
 	Host   string
 	Update Update
 }
 
-// UpdateAnswered gives an update its result.
+// UpdateAnswered reports the result of an update.
 type UpdateAnswered struct {
 	RequestID uint64
 	Result    UpdateResult
@@ -70,12 +70,12 @@
 func (Forward) action()        {}
 func (UpdateAnswered) action() {}
 
-// updates holds the updates under way on this host.
+// updates holds the running updates of this host.
 type updates struct {
-	book    dedup.Registry[UpdateResult]
-	running map[uint64]*runningUpdate // by call
-	byID    map[dedup.ID]*runningUpdate
-	away    map[uint64]*forwarded // by number
+	registry  dedup.Registry[UpdateResult]
+	running   map[uint64]*runningUpdate // by call id
+	byID      map[dedup.ID]*runningUpdate
+	forwarded map[uint64]*forwardedUpdate // by request id
 }
 
 type runningUpdate struct {
@@ -83,10 +83,10 @@
 	call    uint64
 	host    string
 	tried   map[string]bool
-	waiting []uint64 // numbers of all requests that wait for the result
+	waiting []uint64 // ids of all requests that wait for the result
 }
 
-type forwarded struct {
+type forwardedUpdate struct {
 	Update
 	host string
 }
@@ -94,38 +94,38 @@
 func (u *updates) init() {
 	u.running = map[uint64]*runningUpdate{}
 	u.byID = map[dedup.ID]*runningUpdate{}
-	u.away = map[uint64]*forwarded{}
+	u.forwarded = map[uint64]*forwardedUpdate{}
 }
 
-func (u *updates) idle() bool { return len(u.running) == 0 && len(u.away) == 0 }
+func (u *updates) idle() bool { return len(u.running) == 0 && len(u.forwarded) == 0 }
 
-// SetIncarnation names this process as the owner of the ids that it mints. Call it
-// once, before anything is minted.
+// SetIncarnation sets the incarnation under which this process mints ids. It must
+// be called once, before the first id is minted.
 func (e *Engine) SetIncarnation(incarnation uint64) {
 	e.init()
-	e.updates.book.Host = e.Self
-	e.updates.book.Incarnation = incarnation
+	e.updates.registry.Host = e.Self
+	e.updates.registry.Incarnation = incarnation
 }
 
-// Mint returns new ids for updates.
+// Mint returns n new ids for updates.
 func (e *Engine) Mint(now clock.Milli, n int) ([]dedup.ID, error) {
 	e.init()
-	return e.updates.book.Mint(now, n)
+	return e.updates.registry.Mint(now, n)
 }
 
-// StartUpdate takes an update. An id minted elsewhere is forwarded to its
-// owner; the owner alone decides whether it runs.
+// StartUpdate starts an update. An id minted by another host is forwarded to that
+// owner, which alone decides whether the update runs.
 func (e *Engine) StartUpdate(now clock.Milli, u Update) []Action {
 	e.init()
-	book := &e.updates.book
-	if u.ID.Host != book.Host {
-		e.updates.away[u.RequestID] = &forwarded{Update: u, host: u.ID.Host}
+	registry := &e.updates.registry
+	if u.ID.Host != registry.Host {
+		e.updates.forwarded[u.RequestID] = &forwardedUpdate{Update: u, host: u.ID.Host}
 		return []Action{Forward{Host: u.ID.Host, Update: u}}
 	}
 	if left, blocked := e.strikes.Blocked(now, fingerprintOf(u)); blocked {
 		return answerUpdate(u.RequestID, UpdateResult{Kind: query.NotRun, Reason: query.ReasonQuarantined, RetryAfter: left})
 	}
-	verdict, result := book.Begin(now, u.ID, u.content())
+	verdict, result := registry.Begin(now, u.ID, u.contentHash())
 	switch verdict {
 	case dedup.Run:
 		return e.runUpdate(now, u)
@@ -146,8 +146,8 @@
 	return deny.Fingerprint(u.Service, u.Operation+"\x00"+u.Key+"\x00"+u.Body)
 }
 
-func answerUpdate(number uint64, r UpdateResult) []Action {
-	return []Action{UpdateAnswered{RequestID: number, Result: r}}
+func answerUpdate(requestID uint64, r UpdateResult) []Action {
+	return []Action{UpdateAnswered{RequestID: requestID, Result: r}}
 }
 
 func (e *Engine) runUpdate(now clock.Milli, u Update) []Action {
@@ -156,18 +156,18 @@
 	return e.sendUpdate(now, r, query.ReasonNone)
 }
 
-// sendUpdate hands the update to the next replica. It is called again only
-// after an outcome that says that nothing ran.
+// sendUpdate sends the update to the next replica. It is only called again after
+// an outcome that shows that nothing ran.
 func (e *Engine) sendUpdate(now clock.Milli, r *runningUpdate, last query.Reason) []Action {
 	if now >= r.Deadline {
-		return e.endUpdate(r, UpdateResult{Kind: query.NotRun, Reason: query.ReasonDeadline, RetryAfter: lonelyAdvice})
+		return e.endUpdate(r, UpdateResult{Kind: query.NotRun, Reason: query.ReasonDeadline, RetryAfter: defaultRetryAfter})
 	}
 	c, ok := e.updateLeaf(now, r)
 	if !ok {
 		if last == query.ReasonNone {
 			last = query.ReasonNoReplica
 		}
-		return e.endUpdate(r, UpdateResult{Kind: query.NotRun, Reason: last, RetryAfter: lonelyAdvice})
+		return e.endUpdate(r, UpdateResult{Kind: query.NotRun, Reason: last, RetryAfter: defaultRetryAfter})
 	}
 	r.tried[c.leaf.name] = true
 	e.lastCall++
@@ -178,8 +178,8 @@
 	}}
 }
 
-// updateLeaf picks the replica that runs an update. All hosts prefer the same
-// one for a key.
+// updateLeaf chooses the replica that runs an update. All hosts prefer the same
+// replica for a key.
 func (e *Engine) updateLeaf(now clock.Milli, r *runningUpdate) (candidate, bool) {
 	s := e.services[r.Service]
 	if s == nil {
@@ -209,8 +209,8 @@
 	return list[i], true
 }
 
-// UpdateDone takes the final word on an update that was sent to an
-// aggregator. It is tried elsewhere only when nothing ran.
+// UpdateDone handles the outcome of an update sent to an aggregator. It is retried
+// on another replica only if nothing ran.
 func (e *Engine) UpdateDone(now clock.Milli, call uint64, res UpdateResult) []Action {
 	r := e.updates.running[call]
 	if r == nil {
@@ -221,20 +221,20 @@
 	case !res.Kind.MayHaveRun():
 		return e.sendUpdate(now, r, res.Reason)
 	case res.Kind == query.Died:
-		e.died(now, fingerprintOf(r.Update), res.Strikes, res.RetryAfter)
+		e.recordCrash(now, fingerprintOf(r.Update), res.Strikes, res.RetryAfter)
 		res.Kind, res.RetryAfter = query.Unknown, 0
 	}
 	return e.endUpdate(r, res)
 }
 
-// endUpdate answers everyone who waits for an update. One that did not run may
-// be sent again with the same id.
+// endUpdate answers all requests that wait for an update. An update that did not
+// run may be sent again with the same id.
 func (e *Engine) endUpdate(r *runningUpdate, res UpdateResult) []Action {
 	delete(e.updates.byID, r.ID)
 	if res.Kind.MayHaveRun() {
-		e.updates.book.Finish(r.ID, res)
+		e.updates.registry.Finish(r.ID, res)
 	} else {
-		e.updates.book.Release(r.ID)
+		e.updates.registry.Release(r.ID)
 	}
 	var out []Action
 	for _, n := range r.waiting {
@@ -243,23 +243,23 @@
 	return out
 }
 
-// ForwardDone takes the owner's answer to a forwarded update.
-func (e *Engine) ForwardDone(number uint64, res UpdateResult) []Action {
-	if _, ok := e.updates.away[number]; !ok {
+// ForwardDone handles the owner's answer to a forwarded update.
+func (e *Engine) ForwardDone(requestID uint64, res UpdateResult) []Action {
+	if _, ok := e.updates.forwarded[requestID]; !ok {
 		return nil
 	}
-	delete(e.updates.away, number)
-	return answerUpdate(number, res)
+	delete(e.updates.forwarded, requestID)
+	return answerUpdate(requestID, res)
 }
 
-// ForwardFailed says that an update's owner was not reached. Nothing ran now,
-// but an earlier sending of the id may have run, so the answer is unknown.
-func (e *Engine) ForwardFailed(number uint64) []Action {
-	return e.ForwardDone(number, UpdateResult{Kind: query.Unknown, Reason: query.ReasonOwnerAway, RetryAfter: lonelyAdvice})
+// ForwardFailed handles an owner that could not be reached. Nothing ran this time,
+// but an earlier request with the same id may have run, so the result is unknown.
+func (e *Engine) ForwardFailed(requestID uint64) []Action {
+	return e.ForwardDone(requestID, UpdateResult{Kind: query.Unknown, Reason: query.ReasonOwnerAway, RetryAfter: defaultRetryAfter})
 }
 
-// updatesHostDown ends the updates that were sent over a link that is gone:
-// they may have run.
+// updatesHostDown ends the updates that were sent over a lost link. They may have
+// run.
 func (e *Engine) updatesHostDown(now clock.Milli, host string) []Action {
 	var lost []uint64
 	for call, r := range e.updates.running {
@@ -275,10 +275,10 @@
 	return out
 }
 
-// OwnerDown ends the updates that were forwarded to a host whose link is gone.
+// OwnerDown ends the updates that were forwarded to a host whose link was lost.
 func (e *Engine) OwnerDown(host string) []Action {
 	var lost []uint64
-	for n, f := range e.updates.away {
+	for n, f := range e.updates.forwarded {
 		if f.host == host {
 			lost = append(lost, n)
 		}
@@ -291,33 +291,33 @@
 	return out
 }
 
-// tickUpdates answers the updates whose deadline has passed. One that was sent
-// may still run; its outcome is recorded when it comes, for a resend.
+// tickUpdates answers the updates whose deadline has passed. An update that was
+// sent may still be running; its outcome is recorded for a resend.
 func (e *Engine) tickUpdates(now clock.Milli) []Action {
 	var out []Action
-	var late []*runningUpdate
+	var expired []*runningUpdate
 	for _, r := range e.updates.running {
 		if now >= r.Deadline && len(r.waiting) > 0 {
-			late = append(late, r)
+			expired = append(expired, r)
 		}
 	}
-	sort.Slice(late, func(i, j int) bool { return late[i].call < late[j].call })
-	for _, r := range late {
+	sort.Slice(expired, func(i, j int) bool { return expired[i].call < expired[j].call })
+	for _, r := range expired {
 		for _, n := range r.waiting {
 			out = append(out, UpdateAnswered{RequestID: n, Result: UpdateResult{
-				Kind: query.Unknown, Reason: query.ReasonDeadline, RetryAfter: lonelyAdvice,
+				Kind: query.Unknown, Reason: query.ReasonDeadline, RetryAfter: defaultRetryAfter,
 			}})
 		}
 		r.waiting = nil
 	}
-	var away []uint64
-	for n, f := range e.updates.away {
+	var expiredForwards []uint64
+	for n, f := range e.updates.forwarded {
 		if now >= f.Deadline {
-			away = append(away, n)
+			expiredForwards = append(expiredForwards, n)
 		}
 	}
-	sort.Slice(away, func(i, j int) bool { return away[i] < away[j] })
-	for _, n := range away {
+	sort.Slice(expiredForwards, func(i, j int) bool { return expiredForwards[i] < expiredForwards[j] })
+	for _, n := range expiredForwards {
 		out = append(out, e.ForwardFailed(n)...)
 	}
 	return out
