--- a/share/router/aggregators.go
+++ b/share/router/aggregators.go
@@ -9,17 +9,17 @@
 	"dandelionstile/share/route"
 )
 
-// The leaves of a failure domain are asked by a few of its hosts, the aggregators;
+// The leaves of a failure domain are called by a few of its hosts, the aggregators;
 // other hosts forward their queries to one of them. The load pattern: many hosts,
-// each with few queries. If each of them asked the leaves itself, it would know a
-// leaf by a call now and then, hold connections that are mostly idle, and have too
-// small a part of the budget to make a second call.
+// each with few queries. If each of them called the leaves itself, it would rarely
+// measure a leaf, hold mostly idle connections, and have too small a part of the
+// budget for a single hedge or retry.
 //
 // All hosts choose the same aggregators, from the list of hosts alone: those with
-// most processor, and among equals by the hash of their addresses, so that the loss
-// of one moves no other.
+// the highest capacity, and among equals by the hash of their addresses, so that the
+// loss of one aggregator doesn't change the others.
 
-// before orders hosts by how well they serve as aggregators.
+// before orders hosts by preference as aggregators.
 func (p Peer) before(o Peer) int {
 	if p.Capacity != o.Capacity {
 		return cmp.Compare(o.Capacity, p.Capacity)
@@ -31,12 +31,12 @@
 	return cmp.Compare(p.Address, o.Address)
 }
 
-// setAggregators orders the hosts of each failure domain: the aggregators, each
-// host's in an order of its own so that all together use them alike, and then the
-// others, which stand in for them.
+// setAggregators orders the hosts of each failure domain: first the aggregators, in
+// an order that differs from host to host so that their load is even, then the other
+// hosts, which replace aggregators that fail.
 func (e *Engine) setAggregators() {
 	self := Peer{Address: e.Self.Address, Domain: e.Self.Domain, Capacity: e.Self.Capacity}
-	for domain, peers := range e.near {
+	for domain, peers := range e.peersByDomain {
 		slices.SortFunc(peers, func(a, b *peer) int { return a.before(b.Peer) })
 		first := e.Policy.Aggregators
 		if domain == e.Self.Domain {
@@ -54,49 +54,51 @@
 		first = min(first, len(peers))
 		slices.SortFunc(peers[:first], func(a, b *peer) int { return cmp.Compare(a.rank, b.rank) })
 	}
-	if len(e.near[e.Self.Domain]) == 0 {
+	if len(e.peersByDomain[e.Self.Domain]) == 0 {
 		e.aggregator = true
 	}
 }
 
-// An aggregator's part of what all hosts share, connections to a leaf, the rate of
-// a cold one and the reserve of second calls, is larger than that of other hosts,
-// which call leaves of other failure domains, or their own where no aggregator can
-// be reached. Hosts whose lists differ may together take more than all of it; a
-// host that has lost sight of its failure domain therefore takes no such part.
+// Hosts share the connections to a leaf, the request rate of a cold leaf and the
+// reserve of the budget. An aggregator takes a larger part of these than other
+// hosts, which call leaves of other failure domains, or of their own if no
+// aggregator is reachable. Hosts with different lists of hosts may together exceed
+// the total; therefore a host that no longer sees most of its failure domain doesn't
+// take an aggregator's part.
 
 const (
-	// aggregatorsPart is the part of all aggregators.
-	aggregatorsPart = 0.75
-	// minSeen is the share of the failure domain's hosts that an aggregator must
-	// see, and peakMemory for how long hosts count that are not seen any more.
-	minSeen    = 0.5
-	peakMemory = 30 * clock.Second
+	// aggregatorsShare is the part of all aggregators together.
+	aggregatorsShare = 0.75
+	// minVisibleShare is the share of the failure domain's hosts that an
+	// aggregator must see, and recentMaxWindow how long hosts count after they
+	// were last seen.
+	minVisibleShare = 0.5
+	recentMaxWindow = 30 * clock.Second
 )
 
-// peak is the largest of a number's values of late.
-type peak struct {
+// recentMax is the largest recent value of a number.
+type recentMax struct {
 	value int
 	at    clock.Milli
 }
 
-func (p *peak) feed(now clock.Milli, value int) int {
-	if value >= p.value || now > p.at+peakMemory {
+func (p *recentMax) observe(now clock.Milli, value int) int {
+	if value >= p.value || now > p.at+recentMaxWindow {
 		p.value, p.at = value, now
 	}
 	return p.value
 }
 
-// mayClaim tells whether this host takes an aggregator's part.
-func (e *Engine) mayClaim(now clock.Milli) bool {
-	seen := len(e.near[e.Self.Domain]) + 1
-	most := e.domainHosts.feed(now, seen)
-	return e.aggregator && float64(seen) >= minSeen*float64(most)
+// canClaim reports whether this host takes an aggregator's part.
+func (e *Engine) canClaim(now clock.Milli) bool {
+	visible := len(e.peersByDomain[e.Self.Domain]) + 1
+	recent := e.domainHosts.observe(now, visible)
+	return e.aggregator && float64(visible) >= minVisibleShare*float64(recent)
 }
 
-// tiered tells whether any failure domain has hosts that are not aggregators.
+// tiered reports whether any failure domain has hosts that are not aggregators.
 func (e *Engine) tiered() bool {
-	for domain := range e.near {
+	for domain := range e.peersByDomain {
 		if e.tieredIn(domain) {
 			return true
 		}
@@ -104,33 +106,34 @@
 	return false
 }
 
-// tieredIn tells whether a failure domain has hosts that are not aggregators.
+// tieredIn reports whether a failure domain has hosts that are not aggregators.
 func (e *Engine) tieredIn(domain string) bool {
-	hosts := len(e.near[domain])
+	hosts := len(e.peersByDomain[domain])
 	if domain == e.Self.Domain {
 		hosts = e.domainHosts.value
 	}
 	return hosts > e.Policy.Aggregators
 }
 
-// leafSharers is how many hosts share a leaf, if all were as this one.
+// leafSharers returns the number of hosts that would share a leaf if each took as
+// large a part as this one.
 func (e *Engine) leafSharers(f *leaf) float64 {
 	hosts := float64(e.hosts)
 	switch {
 	case !e.sharded[f.Service] || !e.tieredIn(f.Domain):
 		return hosts
-	case e.claims && f.Domain == e.Self.Domain:
-		return float64(e.Policy.Aggregators) / aggregatorsPart
+	case e.claimsShare && f.Domain == e.Self.Domain:
+		return float64(e.Policy.Aggregators) / aggregatorsShare
 	}
-	return hosts / (1 - aggregatorsPart)
+	return hosts / (1 - aggregatorsShare)
 }
 
-// budgetSharers is how many hosts share a service's reserve of second calls, if all were
-// as this one.
+// budgetSharers returns the number of hosts that would share a service's budget
+// reserve if each took as large a part as this one.
 func (e *Engine) budgetSharers(s *service) float64 {
 	hosts := float64(e.hosts)
 	domains := map[string]bool{}
-	for _, f := range s.leafs {
+	for _, f := range s.leaves {
 		if !e.sharded[f.Service] || !e.tieredIn(f.Domain) {
 			return hosts
 		}
@@ -139,14 +142,14 @@
 	switch {
 	case len(domains) == 0:
 		return hosts
-	case e.claims && domains[e.Self.Domain]:
-		return float64(len(domains)*e.Policy.Aggregators) / aggregatorsPart
+	case e.claimsShare && domains[e.Self.Domain]:
+		return float64(len(domains)*e.Policy.Aggregators) / aggregatorsShare
 	}
-	return hosts / (1 - aggregatorsPart)
+	return hosts / (1 - aggregatorsShare)
 }
 
-// shards names the services that are shards of a route.
-func shards(t *route.Table) map[string]bool {
+// shardServices returns the services that are shards of a route.
+func shardServices(t *route.Table) map[string]bool {
 	names := map[string]bool{}
 	for i := range t.Routes {
 		for _, name := range t.Routes[i].Shards {
--- a/share/router/arrive.go
+++ b/share/router/arrive.go
@@ -9,11 +9,10 @@
 	"dandelionstile/share/route"
 )
 
-// defaultWait is taken for callers that do not say how long they wait and
-// routes without a timeout.
+// defaultWait is the wait of callers that name none, on routes without a timeout.
 const defaultWait = 10 * clock.Second
 
-// arrive takes a request in, or turns it away at once.
+// arrive admits or refuses a request.
 func (e *Engine) arrive(now clock.Milli, a Arrive) {
 	q := &query{id: a.Query, request: a.Request, arrived: now, forwarded: a.Forwarded}
 	if e.table == nil {
@@ -37,8 +36,8 @@
 		e.refuse(now, q, Harmful, "leafs went down under it")
 		return
 	}
-	passed := e.deadlines(now, q, a)
-	names, ok := e.asked(r, a)
+	elapsed := e.setDeadlines(now, q, a)
+	names, ok := e.requestedServices(r, a)
 	if !ok {
 		e.refuse(now, q, Stale, "a shard that is asked for is not in the route")
 		return
@@ -47,15 +46,15 @@
 		e.service(name)
 		q.shards = append(q.shards, &shard{query: q, service: name})
 	}
-	if cause := e.unreachable(now, q); cause != "" {
+	if cause := e.unreachableCause(now, q); cause != "" {
 		e.refuse(now, q, NoLeaf, cause)
 		return
 	}
-	here, away := q.shards, []handover(nil)
+	local, remote := q.shards, []forwardGroup(nil)
 	if !a.Forwarded {
-		here, away = e.split(now, q)
+		local, remote = e.split(now, q)
 	}
-	if !e.accepts(now, q, here) {
+	if !e.acceptsQuery(now, q, local) {
 		e.refuse(now, q, NoRoom, "too few shards can answer in time")
 		return
 	}
@@ -65,25 +64,26 @@
 	e.queries[q.id] = q
 	e.do(Note{
 		Kind: NoteAdmitted, Request: q.request.ID, Query: q.id, Route: r.Name, Version: q.version, Total: len(q.shards),
-		Wait: a.Wait, SinceFirstAttempt: passed, Due: q.target - now, Remote: a.Remote, Forwarded: q.forwarded, Late: q.late,
+		Wait: a.Wait, SinceFirstAttempt: elapsed, Due: q.target - now, Remote: a.Remote, Forwarded: q.forwarded, Late: q.late,
 	})
-	for _, h := range away {
+	for _, h := range remote {
 		e.forward(now, q, h.peer, h.shards)
 	}
-	for _, s := range here {
-		// The host that asks the leafs earns the second calls; if both did, two
-		// hosts together would make twice as many as allowed.
+	for _, s := range local {
+		// The host that calls the leaves earns the budget; if both hosts did,
+		// together they would make twice as many extra calls as allowed.
 		e.services[s.service].budget.Earn()
-		e.place(now, s)
+		e.dispatch(now, s)
 	}
 	e.settle(now, q)
 	if !q.over {
-		e.plan(now, q)
+		e.schedule(now, q)
 	}
 }
 
-// admit counts a query among those under way, or refuses it. Late queries are
-// counted only while some are turned away: they say nothing of who is in time.
+// admit counts a query as in flight, or refuses it. Late queries are counted only
+// while the limiter refuses queries: their outcome says nothing about queries that
+// can still be in time.
 func (e *Engine) admit(now clock.Milli, q *query) bool {
 	if !q.route.Merged() || q.forwarded {
 		return true
@@ -102,9 +102,9 @@
 	return true
 }
 
-// asked returns the services that a request is for; false if another host asks
-// for shards that the route does not have here.
-func (e *Engine) asked(r *route.Route, a Arrive) ([]string, bool) {
+// requestedServices returns the services that a request is for; false if another
+// host asks for shards that the route does not have here.
+func (e *Engine) requestedServices(r *route.Route, a Arrive) ([]string, bool) {
 	if !r.Merged() {
 		return []string{e.nextService(r)}, !a.Forwarded
 	}
@@ -119,67 +119,67 @@
 	return a.Shards, len(a.Shards) > 0
 }
 
-// deadlines works out by when the request must be answered, and returns how
-// much of the caller's time had passed before it came here.
-func (e *Engine) deadlines(now clock.Milli, q *query, a Arrive) clock.Milli {
+// setDeadlines sets the query's target and deadline, and returns the estimated
+// time between the caller's first attempt and the request's arrival.
+func (e *Engine) setDeadlines(now clock.Milli, q *query, a Arrive) clock.Milli {
 	r := q.route
 	wait := a.Wait
 	if wait <= 0 {
 		wait = defaultWait
 	}
-	q.end = now + wait
+	q.deadline = now + wait
 	if a.Forwarded {
 		q.late = a.Late
-		q.target = min(now+max(a.Target-forwardSlack, leastTime), q.end)
+		q.target = min(now+max(a.Target-forwardSlack, minAnswerTime), q.deadline)
 		return 0
 	}
 	if r.Timeout > 0 {
-		q.end = min(q.end, now+r.Timeout)
+		q.deadline = min(q.deadline, now+r.Timeout)
 	}
-	w := e.waits[r.Name]
+	w := e.waitEstimates[r.Name]
 	if w == nil {
-		w = newFullWait(r.Timeout)
-		e.waits[r.Name] = w
+		w = newWaitEstimate(r.Timeout)
+		e.waitEstimates[r.Name] = w
 	}
-	passed := w.passed(wait)
+	elapsed := w.elapsed(wait)
 	w.learn(wait)
-	target := now + r.Target - passed - e.callers.roundTrip(a.Remote, passed) - e.Policy.Margin
+	target := now + r.Target - elapsed - e.callers.roundTrip(a.Remote, elapsed) - e.Policy.Margin
 	switch {
 	case r.Target <= 0:
-		target = q.end
-	case target < now+leastTime:
-		// It is answered with what has come in by a new target: to wait for
-		// all shards until the end keeps the caller for little more.
+		target = q.deadline
+	case target < now+minAnswerTime:
+		// It is answered with the shards available at a new target: waiting for
+		// all shards until the deadline delays the caller for little gain.
 		q.late = true
 		target = now + r.Target
 	}
-	q.target = min(target, q.end)
-	return passed
+	q.target = min(target, q.deadline)
+	return elapsed
 }
 
-// forwardSlack is taken off a forwarded request's target for the turn of the host
-// that has the caller.
+// forwardSlack is taken off a forwarded request's target for the processing at the
+// host that answers the caller.
 const forwardSlack clock.Milli = 4
 
-// leastTime is what an answer takes at least; with less left, the target is
-// taken as missed and the query as late.
-const leastTime clock.Milli = 15
+// minAnswerTime is the least time in which a query can be answered; with less left,
+// the target counts as missed and the query as late.
+const minAnswerTime clock.Milli = 15
 
-// roundRobin shares a route's requests between its services by their weights.
+// roundRobin distributes a route's requests over its services by weight.
 type roundRobin struct{ credit map[string]float64 }
 
-// nextService chooses the service of the next request: each service earns its weight,
-// the one with most credit is taken and pays for the round. The shares are
-// exact over any run of requests, and do not follow the services' load: the
-// operators' weights are a decision, not a hint.
+// nextService chooses the service of the next request: each service earns its
+// weight, and the one with most credit is chosen and pays the sum of all weights.
+// The shares are exact over any run of requests and don't follow the services'
+// load: the operators' weights are a decision, not a hint.
 func (e *Engine) nextService(r *route.Route) string {
 	if len(r.Services) == 1 {
 		return r.Services[0].Service
 	}
-	t := e.rounds[r.Name]
+	t := e.roundRobins[r.Name]
 	if t == nil {
 		t = &roundRobin{credit: map[string]float64{}}
-		e.rounds[r.Name] = t
+		e.roundRobins[r.Name] = t
 	}
 	sum, best := 0.0, -1
 	for i, w := range r.Services {
@@ -193,12 +193,13 @@
 	return r.Services[best].Service
 }
 
-// unreachable tells why no answer is possible: too few shards have a leaf at all.
-func (e *Engine) unreachable(now clock.Milli, q *query) string {
-	have := 0
+// unreachableCause returns why a query cannot be answered, if too few of its shards
+// have a usable leaf; otherwise it returns "".
+func (e *Engine) unreachableCause(now clock.Milli, q *query) string {
+	reachable := 0
 	for _, s := range q.shards {
 		if e.reachable(now, s) {
-			have++
+			reachable++
 		}
 	}
 	need := 1
@@ -208,15 +209,15 @@
 	case q.route.Merged():
 		need = q.route.MinShards()
 	}
-	if have >= need {
+	if reachable >= need {
 		return ""
 	}
 	return "too few shards have a leaf"
 }
 
-// reachable tells whether a shard has a leaf that may be asked.
+// reachable reports whether a shard has a leaf that may be called.
 func (e *Engine) reachable(now clock.Milli, s *shard) bool {
-	for _, f := range e.services[s.service].leafs {
+	for _, f := range e.services[s.service].leaves {
 		if e.usable(f, s) && (!f.unhealthy || now >= f.probeAt) {
 			return true
 		}
@@ -224,15 +225,15 @@
 	return false
 }
 
-// gone drops a request whose caller has left.
-func (e *Engine) gone(now clock.Milli, g CallerGone) {
+// callerGone ends a request whose caller has closed its connection.
+func (e *Engine) callerGone(now clock.Milli, g CallerGone) {
 	q := e.queries[g.Query]
 	if q == nil {
 		return
 	}
 	e.do(Note{
 		Kind: NoteCallerGone, Request: q.request.ID, Query: q.id, Route: q.route.Name, Version: q.version,
-		Took: now - q.arrived, Count: q.in, Total: len(q.shards),
+		Took: now - q.arrived, Count: q.answered, Total: len(q.shards),
 	})
 	e.close(now, q)
 }
--- a/share/router/caller.go
+++ b/share/router/caller.go
@@ -6,49 +6,49 @@
 	"dandelionstile/share/clock"
 )
 
-// The load pattern: many callers share an address, and some of them ask again and
-// again. Only the first request of a connection tells how far its caller is: it was sent one
-// round trip after the caller began to connect. Time that has passed for another
-// reason must not shorten the time of the others behind the address.
+// The load pattern: many callers share an address, and some of them retry. Only the
+// first request of a connection shows the caller's distance: it is sent one round
+// trip after the caller begins to connect. Time that has passed for other reasons
+// must not shorten the targets of other callers at the address.
 
 const (
-	// maxCallers bounds the memory for callers.
+	// maxCallers bounds the number of remembered addresses and connections.
 	maxCallers = 4096
-	// maxRoundTrip is the longest round trip to a caller that is believed: a first
-	// request that took longer on its way is one that was sent again.
+	// maxRoundTrip is the longest plausible round trip to a caller: a first
+	// request that took longer is a retry.
 	maxRoundTrip clock.Milli = 120
 )
 
-// callers remembers how far away callers are. The zero value knows none.
+// callers estimates the round trip to callers. The zero value is empty.
 type callers struct {
 	// roundTrips holds the shortest round trip to each address.
 	roundTrips map[string]clock.Milli
-	// recent and former are connections that have carried a request. Those that are not
-	// used for a while leave with former.
+	// recent and former are connections that have carried a request. Connections
+	// that stay unused leave with former.
 	recent, former map[string]bool
 }
 
-// roundTrip returns the round trip to a caller, 0 if it is not known. A caller that
-// opens a connection spends one round trip on it before its first request, so that the
-// time that has passed by then tells the round trip; later requests on the connection
-// name their full wait, and the answer needs the same time back.
-func (c *callers) roundTrip(remote string, passed clock.Milli) clock.Milli {
+// roundTrip returns the round trip to a caller, 0 if unknown. A caller that opens a
+// connection spends one round trip on it before its first request, so that the
+// elapsed time at the first request is the round trip; later requests on the
+// connection name their full wait, and the answer takes the same time back.
+func (c *callers) roundTrip(remote string, elapsed clock.Milli) clock.Milli {
 	address := remote
 	if i := strings.LastIndexByte(remote, ':'); i >= 0 {
 		address = remote[:i]
 	}
 	known, ok := c.roundTrips[address]
-	if c.used(remote) || passed <= 0 || passed > maxRoundTrip || ok && passed >= known {
+	if c.used(remote) || elapsed <= 0 || elapsed > maxRoundTrip || ok && elapsed >= known {
 		return known
 	}
 	if c.roundTrips == nil || len(c.roundTrips) >= maxCallers {
 		c.roundTrips = map[string]clock.Milli{}
 	}
-	c.roundTrips[address] = passed
-	return passed
+	c.roundTrips[address] = elapsed
+	return elapsed
 }
 
-// used records a request on a connection and returns whether it had one before.
+// used records a request on a connection and reports whether it had one before.
 func (c *callers) used(remote string) bool {
 	if c.recent[remote] {
 		return true
--- a/share/router/crash.go
+++ b/share/router/crash.go
@@ -7,40 +7,40 @@
 	"dandelionstile/share/deny"
 )
 
-// CrashReports are what other hosts have seen.
+// CrashReports are crash reports received from other hosts.
 type CrashReports struct{ List []crash.Report }
 
-// SendCrashReports passes reports on to other hosts.
+// SendCrashReports sends crash reports to other hosts.
 type SendCrashReports struct{ List []crash.Report }
 
 func (CrashReports) event()      {}
 func (SendCrashReports) action() {}
 
 // connCheckPause is the least time between two connection checks of one leaf:
-// where many answers are lost, one new connection tells as much as many.
+// where many replies are lost, one new connection shows as much as many.
 const connCheckPause clock.Milli = 500
 
 func fingerprint(r *call.Request) uint64 {
 	return deny.Fingerprint(r.Method+" "+r.Host+r.Target, string(r.Body))
 }
 
-// heardOfCrashes takes what other hosts have seen, and passes on what is new here.
-func (e *Engine) heardOfCrashes(now clock.Milli, s CrashReports) {
-	var news []crash.Report
-	for _, one := range s.List {
-		if one.Age < crash.ReportTTL && !e.crashes.Proven(now, one.Fingerprint) && e.crashes.Add(now-one.Age, one.Fingerprint, one.Leaf) {
-			news = append(news, one)
+// addCrashReports adds other hosts' crash reports and forwards the new ones.
+func (e *Engine) addCrashReports(now clock.Milli, s CrashReports) {
+	var added []crash.Report
+	for _, r := range s.List {
+		if r.Age < crash.ReportTTL && !e.crashes.Proven(now, r.Fingerprint) && e.crashes.Add(now-r.Age, r.Fingerprint, r.Leaf) {
+			added = append(added, r)
 		}
 	}
-	if len(news) > 0 {
-		e.do(SendCrashReports{List: news})
+	if len(added) > 0 {
+		e.do(SendCrashReports{List: added})
 	}
 }
 
-// checkConn finds out whether a leaf went down with the call that just broke. The
-// next request to it would show so, but a leaf that failed is avoided, and a
-// request that is sent once in a while would bring down many leafs before three
-// of them were seen to be gone in time.
+// checkConn checks whether a leaf crashed during the call that just broke. The next
+// request to it would show that too, but a failed leaf is avoided, and a request that
+// is sent only now and then would crash many leaves before three of the crashes were
+// detected in time.
 func (e *Engine) checkConn(now clock.Milli, f *leaf) {
 	if f.removed || now < f.connCheckAt {
 		return
@@ -49,9 +49,9 @@
 	e.do(CheckConn{Leaf: f.ID, Address: f.Address})
 }
 
-// absent takes word that nobody listens at a leaf's address.
-func (e *Engine) absent(now clock.Milli, a ConnRefused) {
-	f := e.leafs[a.Leaf]
+// connRefused handles the report that no process listens at a leaf's address.
+func (e *Engine) connRefused(now clock.Milli, a ConnRefused) {
+	f := e.leaves[a.Leaf]
 	if f == nil {
 		return
 	}
@@ -59,7 +59,7 @@
 	e.callFailed(now, f, 1, "nobody listens", 0)
 }
 
-// leafDown is called when nobody listens at a leaf's address any more.
+// leafDown attributes a leaf's crash to the requests that it was running.
 func (e *Engine) leafDown(now clock.Milli, f *leaf) {
 	list := e.crashes.LeafDown(now, f.ID)
 	if len(list) == 0 {
--- a/share/router/crash_test.go
+++ b/share/router/crash_test.go
@@ -29,14 +29,14 @@
 // breaks, and the next request that goes there finds nobody.
 func (r *rig) down(s Send) {
 	r.ends(s, call.Broken)
-	r.engine.leafDown(r.now, r.engine.leafs[s.Leaf])
+	r.engine.leafDown(r.now, r.engine.leaves[s.Leaf])
 	for _, a := range r.engine.actions {
 		if tell, ok := a.(SendCrashReports); ok {
 			r.told = append(r.told, tell.List...)
 		}
 	}
-	r.engine.leafs[s.Leaf].unhealthy = true
-	r.engine.leafs[s.Leaf].probeAt = r.now + 100000
+	r.engine.leaves[s.Leaf].unhealthy = true
+	r.engine.leaves[s.Leaf].probeAt = r.now + 100000
 }
 
 // A request brings down each leaf that runs it, and its caller sends it again
@@ -150,7 +150,7 @@
 			at[r.last().Leaf] = true
 		}
 		for _, s := range sends {
-			if !r.engine.leafs[s.Leaf].unhealthy {
+			if !r.engine.leaves[s.Leaf].unhealthy {
 				r.down(s)
 			}
 		}
--- a/share/router/done.go
+++ b/share/router/done.go
@@ -7,10 +7,10 @@
 	"dandelionstile/share/clock"
 )
 
-// done takes the end of a call.
+// done handles the end of a call.
 func (e *Engine) done(now clock.Milli, d Done) {
 	if r := e.forwards[d.Call]; r != nil {
-		e.forwarded(now, r, d)
+		e.forwardDone(now, r, d)
 		return
 	}
 	a := e.calls[d.Call]
@@ -21,53 +21,53 @@
 	a.over = true
 	f, s := a.leaf, a.shard
 	svc := e.service(f.Service)
-	f.drop(a)
+	f.removeCall(a)
 	e.do(CallEnded{Service: f.Service, Domain: f.Domain, Kind: d.Kind, Took: now - a.sent})
-	e.learn(now, a, d)
+	e.observeCall(now, a, d)
 	f.calledAt = now
-	e.tell(now, f)
+	e.reportLeaf(now, f)
 	if !a.orphan {
-		e.result(now, a, d)
+		e.applyResult(now, a, d)
 		e.settle(now, s.query)
 		if !s.query.over {
-			e.plan(now, s.query)
+			e.schedule(now, s.query)
 		}
 	}
-	e.wake(now, svc)
+	e.dispatchWaiting(now, svc)
 }
 
-// learn updates what is believed of the leaf.
-func (e *Engine) learn(now clock.Milli, a *attempt, d Done) {
+// observeCall updates a leaf's statistics and health.
+func (e *Engine) observeCall(now clock.Milli, a *attempt, d Done) {
 	f := a.leaf
 	took := float64(now - a.sent)
 	switch {
 	case d.Kind == call.Answered && d.Reply.Successful():
 		f.observe(now, took)
 		e.regions[f.region].observe(took)
-		e.answered(now, a.shard.query)
-		if f.replied(now) {
+		e.markProven(now, a.shard.query)
+		if f.recordReply(now) {
 			e.do(Note{Kind: NoteLeafHealthy, Leaf: f.ID, Service: f.Service, Cause: "it answered", Took: now - a.sent})
 		}
 	case d.Kind == call.Answered, d.Kind == call.Shed:
-		f.judge(now, 1)
-		f.failures = 0
+		f.recordOutcome(now, 1)
+		f.failedInRow = 0
 	case d.Kind == call.Cancelled:
-		// Its reply would have taken longer still.
-		if took > f.lat {
+		// Its reply would have taken even longer.
+		if took > f.latency {
 			f.observe(now, took)
 		}
-		if took > f.expected(now, e.usual(f))+hedgeDeviations*f.dev+stallSlack {
+		if took > f.expected(now, e.typicalLatency(f))+hedgeDeviations*f.deviation+stallSlackMs {
 			e.callFailed(now, f, unhealthyAfter, "no reply", now-a.sent)
 		}
 	case d.Kind == call.Foreign:
 		e.callFailed(now, f, 1, "another leaf has its address", now-a.sent)
 	case d.Kind == call.Withdrawn:
-		if took > openSlack+openFloors*e.floor(f) {
+		if took > openSlackMs+openLatencies*e.minLatency(f) {
 			e.callFailed(now, f, 1, "no connection yet", now-a.sent)
 		}
 	case d.Kind == call.Full:
-		f.judge(now, 1)
-		f.failures = 0
+		f.recordOutcome(now, 1)
+		f.failedInRow = 0
 	case d.Kind == call.NotSent:
 		e.leafDown(now, f)
 		e.callFailed(now, f, 1, d.Cause, now-a.sent)
@@ -78,31 +78,32 @@
 	}
 }
 
-// answered lets a good reply speak for a request, once for each query.
-func (e *Engine) answered(now clock.Milli, q *query) {
-	if !q.well {
-		q.well = true
+// markProven records once per query that a leaf has answered its request, which
+// clears the request of crash reports.
+func (e *Engine) markProven(now clock.Milli, q *query) {
+	if !q.proven {
+		q.proven = true
 		e.crashes.RecordAnswer(now, q.fingerprint)
 	}
 }
 
-// A connection is open after one way there and back. A call that was given up
-// before that says something of its leaf only if it had time for more: with the
-// least reply time of the leaf's region, which holds one way there and back, half
-// as much again and what a busy host takes.
+// A connection is open after one round trip. A call that was cancelled before that
+// counts against its leaf only if it had time for more: one and a half times the
+// minimum latency of the leaf's region, which includes one round trip, and the delay
+// at a busy host.
 const (
-	openFloors = 1.5
-	openSlack  = 40.0
+	openLatencies = 1.5
+	openSlackMs   = 40.0
 )
 
-func (e *Engine) callFailed(now clock.Milli, f *leaf, most int, cause string, took clock.Milli) {
-	if f.failed(now, most) && !f.removed {
+func (e *Engine) callFailed(now clock.Milli, f *leaf, limit int, cause string, took clock.Milli) {
+	if f.recordFailure(now, limit) && !f.removed {
 		e.do(Note{Kind: NoteLeafUnhealthy, Leaf: f.ID, Service: f.Service, Cause: cause, Took: took})
 	}
 }
 
-// result applies the end of a call to its shard.
-func (e *Engine) result(now clock.Milli, a *attempt, d Done) {
+// applyResult applies the end of a call to its shard.
+func (e *Engine) applyResult(now clock.Milli, a *attempt, d Done) {
 	s := a.shard
 	q := s.query
 	if !d.Kind.NotRun() {
@@ -113,12 +114,12 @@
 	if s.settled() {
 		return
 	}
-	if d.Kind == call.Answered && e.takes(now, q, d.Reply) {
+	if d.Kind == call.Answered && e.acceptsReply(now, q, d.Reply) {
 		s.reply = d.Reply
-		s.in = true
-		q.in++
-		q.newest = s
-		e.release(now, s)
+		s.answered = true
+		q.answered++
+		q.lastAnswered = s
+		e.orphanCalls(now, s)
 		return
 	}
 	s.cause = d.Kind.String()
@@ -131,32 +132,32 @@
 	if s.pending() > 0 {
 		return
 	}
-	if !e.mayAsk(s, d.Kind.NotRun()) {
+	if !e.canCall(s, d.Kind.NotRun()) {
 		e.abandon(s, "no attempt is left")
 		return
 	}
 	if d.Kind.Unsent() {
-		// A call that never left this host has cost no leaf anything, and
-		// another takes nothing from the budget.
-		e.place(now, s)
+		// A call that never left this host cost no leaf anything, so that another
+		// one isn't charged to the budget.
+		e.dispatch(now, s)
 		return
 	}
 	s.hedgeAt = now
 	e.hedge(now, s)
-	e.giveUp(now, s)
+	e.abandonHopeless(now, s)
 }
 
-// mayAsk tells whether another leaf may run a shard's request, given that none
+// canCall reports whether another leaf may run a shard's request, given that none
 // is running it now.
-func (e *Engine) mayAsk(s *shard, notRun bool) bool {
+func (e *Engine) canCall(s *shard, notRun bool) bool {
 	q := s.query
-	return (q.route.Idempotent || notRun) && s.tries < q.route.Attempts && len(s.calls) < q.route.Attempts+mostSends
+	return (q.route.Idempotent || notRun) && s.tries < q.route.Attempts && len(s.calls) < q.route.Attempts+maxRejectedCalls
 }
 
-// takes tells whether a reply settles its shard. A leaf's failure is never a
-// part of a merged answer; as the reply to a request for one leaf it is handed
-// on when no other leaf may be asked.
-func (e *Engine) takes(now clock.Milli, q *query, r *call.Reply) bool {
+// acceptsReply reports whether a reply settles its shard. A leaf's failure is never
+// a part of a merged answer; as the reply to a request for one leaf it is returned to
+// the caller if no other leaf may be called.
+func (e *Engine) acceptsReply(now clock.Milli, q *query, r *call.Reply) bool {
 	if r.Successful() {
 		return true
 	}
@@ -164,32 +165,33 @@
 		return false
 	}
 	serverFault := r.Status >= 500
-	return !serverFault || !e.mayRetry(now, q.shards[0])
+	return !serverFault || !e.canRetry(now, q.shards[0])
 }
 
-// mayRetry tells whether another leaf can run the request in place of one that
+// canRetry reports whether another leaf can run the request in place of one that
 // failed.
-func (e *Engine) mayRetry(now clock.Milli, s *shard) bool {
-	return e.mayAsk(s, false) && now < s.query.end && e.services[s.service].budget.Tokens >= 1 && e.pick(now, s, false).leaf != nil
+func (e *Engine) canRetry(now clock.Milli, s *shard) bool {
+	return e.canCall(s, false) && now < s.query.deadline && e.services[s.service].budget.Tokens >= 1 && e.selectLeaf(now, s, false).leaf != nil
 }
 
-// mostSends bounds the calls for one shard that leafs turned down: a service
-// that has no room is not asked at every leaf.
-const mostSends = 3
+// maxRejectedCalls bounds the calls for one shard that leaves rejected: a service
+// without capacity is not tried at every leaf.
+const maxRejectedCalls = 3
 
-func (e *Engine) withheld(now clock.Milli, s *shard, cause string) {
-	if s.query.held {
+// noteWithheld logs once per query that a hedge or retry was not made.
+func (e *Engine) noteWithheld(now clock.Milli, s *shard, cause string) {
+	if s.query.withheld {
 		return
 	}
-	s.query.held = true
+	s.query.withheld = true
 	e.do(Note{
-		Kind: NoteWithheld, Request: s.query.request.ID, Query: s.query.id, Service: s.service, Leaf: s.last,
+		Kind: NoteWithheld, Request: s.query.request.ID, Query: s.query.id, Service: s.service, Leaf: s.lastTarget,
 		Cause: cause, Took: now - s.query.arrived, BudgetLeft: e.services[s.service].budget.Tokens,
 	})
 }
 
-// release gives up the shard's other calls once one has answered.
-func (e *Engine) release(now clock.Milli, s *shard) {
+// orphanCalls orphans the shard's remaining calls.
+func (e *Engine) orphanCalls(now clock.Milli, s *shard) {
 	for _, a := range s.calls {
 		if !a.over && !a.orphan {
 			e.orphan(now, a)
@@ -197,19 +199,19 @@
 	}
 }
 
-// orphanGrace is how long a call that nobody needs may still run before its
-// connection is closed: most end within it, and a new connection would hold one
-// of the leaf's slots for longer than the rest of the call.
+// orphanGrace is how long an orphaned call may still run before its connection is
+// closed: most calls end within it, and a new connection would occupy one of the
+// leaf's slots for longer than the rest of the call.
 const orphanGrace clock.Milli = 60
 
-// orphan lets a call run out, for a short time.
+// orphan lets a call that is no longer needed run for orphanGrace.
 func (e *Engine) orphan(now clock.Milli, a *attempt) {
 	a.orphan = true
-	heap.Push(&e.alarms, alarm{at: now + orphanGrace, call: a})
+	heap.Push(&e.timers, timer{at: now + orphanGrace, call: a})
 }
 
-// expire closes the connection of a call that nobody needs.
-func (e *Engine) expire(a *attempt) {
+// cancelOrphan closes the connection of an orphaned call.
+func (e *Engine) cancelOrphan(a *attempt) {
 	if a.over {
 		return
 	}
--- a/share/router/finish.go
+++ b/share/router/finish.go
@@ -7,42 +7,42 @@
 	"dandelionstile/share/crash"
 )
 
-// look is called when a query's time has come: to ask second leafs, to answer
-// in part, or to give up.
-func (e *Engine) look(now clock.Milli, q *query) {
-	q.wakeAt = 0
-	if now >= q.target && e.enough(q) {
+// checkQuery handles a query's timer: it hedges slow shards, answers with the
+// available shards, or gives up.
+func (e *Engine) checkQuery(now clock.Milli, q *query) {
+	q.timerAt = 0
+	if now >= q.target && e.sufficient(q) {
 		e.answer(now, q)
 		return
 	}
-	if now >= q.end {
+	if now >= q.deadline {
 		e.refuse(now, q, Late, "time is up")
 		return
 	}
-	if e.impatient(now, q) {
+	if e.queueTimedOut(now, q) {
 		e.refuse(now, q, NoRoom, "no leaf had room")
 		return
 	}
-	e.miss(now, q)
+	e.recordMiss(now, q)
 	e.hedgeSlow(now, q)
 	e.settle(now, q)
 	if !q.over {
-		e.plan(now, q)
+		e.schedule(now, q)
 	}
 }
 
-// miss tells the limiter once of a query that is not answered by its target.
-func (e *Engine) miss(now clock.Milli, q *query) {
+// recordMiss records once in the limiter that a query missed its target.
+func (e *Engine) recordMiss(now clock.Milli, q *query) {
 	if !q.counted || q.missed || now < q.target {
 		return
 	}
 	q.missed = true
-	e.tellLimiter(now, false)
+	e.recordOutcome(now, false)
 }
 
-// tellLimiter tells the limiter of a query, and the log when that begins or ends that
-// queries are turned away.
-func (e *Engine) tellLimiter(now clock.Milli, inTime bool) {
+// recordOutcome feeds a query's outcome to the limiter, and logs when the limit is
+// set or lifted.
+func (e *Engine) recordOutcome(now clock.Milli, inTime bool) {
 	l := &e.limiter
 	was := l.Active()
 	if inTime {
@@ -63,85 +63,86 @@
 	})
 }
 
-// plan sets when a query is looked at next.
-func (e *Engine) plan(now clock.Milli, q *query) {
-	at := q.end
+// schedule sets a query's next timer.
+func (e *Engine) schedule(now clock.Milli, q *query) {
+	at := q.deadline
 	if q.target > now {
 		at = min(at, q.target)
 	}
 	for _, s := range q.shards {
-		if s.settled() || s.waiting || s.away != nil {
+		if s.settled() || s.queued || s.forward != nil {
 			continue
 		}
 		at = min(at, max(s.hedgeAt, now+1))
 	}
 	if !q.ran && q.unsent() {
-		at = min(at, max(e.patience(q), now+1))
+		at = min(at, max(e.queueDeadline(q), now+1))
 	}
-	e.arm(q, at)
+	e.setTimer(q, at)
 }
 
-// unsent tells whether no leaf was asked yet.
+// unsent reports whether no leaf has been called yet.
 func (q *query) unsent() bool {
 	for _, s := range q.shards {
-		if len(s.calls) > 0 || s.away != nil {
+		if len(s.calls) > 0 || s.forward != nil {
 			return false
 		}
 	}
 	return true
 }
 
-// patience is when a request that no leaf has room for is turned away.
-func (e *Engine) patience(q *query) clock.Milli {
+// queueDeadline returns when a request that got no leaf is refused.
+func (e *Engine) queueDeadline(q *query) clock.Milli {
 	return q.arrived + clock.Milli(e.Policy.MaxWaitShare*float64(q.route.Target))
 }
 
-// impatient tells whether a request that no leaf has room for is turned away.
-// Parts of another host's query are not: they are answered with what there is
-// in time, while a refusal would have the same leafs asked once more.
-func (e *Engine) impatient(now clock.Milli, q *query) bool {
-	return !q.forwarded && q.unsent() && now >= e.patience(q)
+// queueTimedOut reports whether a request that got no leaf is refused. Parts of
+// another host's query are not: they are answered with the shards available in time,
+// while a refusal would have the same leaves called once more.
+func (e *Engine) queueTimedOut(now clock.Milli, q *query) bool {
+	return !q.forwarded && q.unsent() && now >= e.queueDeadline(q)
 }
 
-// enough tells whether the shards that are in make an answer.
-func (e *Engine) enough(q *query) bool {
+// sufficient reports whether the answered shards make an answer.
+func (e *Engine) sufficient(q *query) bool {
 	if !q.route.Merged() {
-		return q.in == 1
+		return q.answered == 1
 	}
 	if q.forwarded {
 		return true
 	}
-	return q.in >= q.route.MinShards()
+	return q.answered >= q.route.MinShards()
 }
 
-// settle ends a query for which nothing is left to wait for.
+// settle ends a query that has nothing left to wait for.
 func (e *Engine) settle(now clock.Milli, q *query) {
 	if q.over {
 		return
 	}
-	open := len(q.shards) - q.in - q.lost
+	open := len(q.shards) - q.answered - q.lost
 	switch {
-	case open == 0 && e.enough(q):
+	case open == 0 && e.sufficient(q):
 		e.answer(now, q)
-	case (now >= q.target || q.late && !q.forwarded && e.limiter.Active()) && e.enough(q):
-		// While queries are turned away, a late one is not worth the work on its
-		// last shards.
+	case (now >= q.target || q.late && !q.forwarded && e.limiter.Active()) && e.sufficient(q):
+		// While the limiter refuses queries, the last shards of a late query aren't
+		// worth their load.
 		e.answer(now, q)
-	case !q.route.Merged() && q.lost == 1, q.route.Merged() && !q.forwarded && q.in+open < q.route.MinShards():
-		e.refuse(now, q, e.failure(q), "too few shards can still answer")
+	case !q.route.Merged() && q.lost == 1, q.route.Merged() && !q.forwarded && q.answered+open < q.route.MinShards():
+		e.refuse(now, q, e.failureReason(q), "too few shards can still answer")
 	}
 }
 
-// failure tells a request that no leaf has run from one that may have run.
-func (e *Engine) failure(q *query) Refusal {
-	if q.touched() {
+// failureReason distinguishes a request that no leaf has run from one that may have
+// run.
+func (e *Engine) failureReason(q *query) Refusal {
+	if q.mayHaveRun() {
 		return Failed
 	}
 	return NoLeaf
 }
 
-// touched tells whether a leaf may have begun to work on the request.
-func (q *query) touched() bool {
+// mayHaveRun reports whether a leaf may have begun to run the request.
+func (q *query) mayHaveRun() bool {
 	if q.ran {
 		return true
 	}
@@ -156,97 +157,97 @@
 func (e *Engine) answer(now clock.Milli, q *query) {
 	n := Note{
 		Kind: NoteAnswered, Request: q.request.ID, Query: q.id, Route: q.route.Name, Version: q.version,
-		Took: now - q.arrived, Count: q.in, Total: len(q.shards), Extra: q.extra, Forwarded: q.forwarded,
+		Took: now - q.arrived, Count: q.answered, Total: len(q.shards), Extra: q.extraCalls, Forwarded: q.forwarded,
 	}
 	n.Late = q.late || now > q.target+e.Policy.Margin
 	a := Answer{Query: q.id}
 	if q.route.Merged() {
-		a.Merged = &Merged{Parts: q.parts(), Missing: q.absent(), Top: q.route.Top}
-		if q.in < len(q.shards) {
+		a.Merged = &Merged{Parts: q.parts(), Missing: q.missingServices(), Top: q.route.Top}
+		if q.answered < len(q.shards) {
 			n.Kind = NotePartial
 			n.Missing = q.missing()
 		}
 	} else {
 		a.Reply = q.shards[0].reply
-		n.Service, n.Leaf = q.shards[0].service, q.shards[0].last
+		n.Service, n.Leaf = q.shards[0].service, q.shards[0].lastTarget
 		n.Cause = ""
 	}
-	if n.Late && n.Service == "" && q.newest != nil {
-		n.Service, n.Leaf = q.newest.service, q.newest.last
+	if n.Late && n.Service == "" && q.lastAnswered != nil {
+		n.Service, n.Leaf = q.lastAnswered.service, q.lastAnswered.lastTarget
 	}
 	if q.counted && !q.missed {
-		e.tellLimiter(now, true)
+		e.recordOutcome(now, true)
 	}
 	e.do(a)
 	e.do(n)
 	e.close(now, q)
 }
 
-// refuse ends a request without a leaf's reply, at once.
-func (e *Engine) refuse(now clock.Milli, q *query, why Refusal, cause string) {
-	if why == Late && !q.touched() {
-		why = NoRoom
+// refuse ends a request without a leaf's reply.
+func (e *Engine) refuse(now clock.Milli, q *query, reason Refusal, cause string) {
+	if reason == Late && !q.mayHaveRun() {
+		reason = NoRoom
 	}
 	n := Note{
 		Kind: NoteRefused, Request: q.request.ID, Query: q.id, Version: q.version,
-		Cause: why.String() + ": " + cause, Refusal: why, Took: now - q.arrived, Count: q.in, Total: len(q.shards), Extra: q.extra,
+		Cause: reason.String() + ": " + cause, Refusal: reason, Took: now - q.arrived, Count: q.answered, Total: len(q.shards), Extra: q.extraCalls,
 		Missing: q.missing(), Forwarded: q.forwarded,
 	}
 	if q.route != nil {
 		n.Route = q.route.Name
 	}
-	e.do(Answer{Query: q.id, Refusal: why, RetryAfter: e.comeBack(now, q, why)})
+	e.do(Answer{Query: q.id, Refusal: reason, RetryAfter: e.retryAfter(now, q, reason)})
 	e.do(n)
 	e.close(now, q)
 }
 
-// Times to come back after, in ms.
+// Times after which callers should retry, in ms.
 const (
-	// againConfig is when to come back to a host that has had time to learn its
-	// configuration and has not: it does not reach anybody who has one.
-	againConfig clock.Milli = 500
-	// againStart is the same for a host that has just started and learns its
-	// configuration in a moment: well within callers' usual targets.
-	againStart clock.Milli = 120
-	// startTime is how long a host counts as just started.
-	startTime = clock.Second
-	// againLeaf is about what a leaf needs to be seen again.
-	againLeaf clock.Milli = 300
-	// againRoom is about one and a half targets: what was under way has ended by
-	// then, so that callers do not come back into the same crowd.
-	againRoom clock.Milli = 300
-	// againSpread is the width over which returns are spread, so that callers
-	// sent away together do not come back together.
-	againSpread = 200
+	// retryNoConfig applies to a host that has had time to receive its
+	// configuration and has not: it reaches no host that has one.
+	retryNoConfig clock.Milli = 500
+	// retryStarting applies to a host that has just started and receives its
+	// configuration shortly: well within callers' usual targets.
+	retryStarting clock.Milli = 120
+	// startupWindow is how long a host counts as just started.
+	startupWindow = clock.Second
+	// retryNoLeaf is about the time until a leaf is seen again.
+	retryNoLeaf clock.Milli = 300
+	// retryNoRoom is about one and a half targets: queries in flight have ended
+	// by then, so that the retries don't meet the same overload.
+	retryNoRoom clock.Milli = 300
+	// retrySpreadMs is the width over which retries are spread, so that callers
+	// refused together don't retry together.
+	retrySpreadMs = 200
 )
 
-// comeBack is when a caller that was refused may find room.
-func (e *Engine) comeBack(now clock.Milli, q *query, why Refusal) clock.Milli {
-	// Consecutive requests are spread evenly, without chance: the golden
-	// ratio's multiples are.
-	spread := clock.Milli(q.id*618%1000) * againSpread / 1000
-	if q.crowded && (why == Failed || why == NoLeaf) {
-		return againRoom + spread
+// retryAfter returns when a refused caller should retry.
+func (e *Engine) retryAfter(now clock.Milli, q *query, reason Refusal) clock.Milli {
+	// Multiples of the golden ratio spread consecutive requests evenly, without
+	// randomness.
+	spread := clock.Milli(q.id*618%1000) * retrySpreadMs / 1000
+	if q.peerFull && (reason == Failed || reason == NoLeaf) {
+		return retryNoRoom + spread
 	}
-	switch why {
+	switch reason {
 	case NoConfig:
-		if now < e.startedAt+startTime {
-			return againStart + spread/2
+		if now < e.startedAt+startupWindow {
+			return retryStarting + spread/2
 		}
-		return againConfig + spread
+		return retryNoConfig + spread
 	case Stale:
-		return againConfig + spread
+		return retryNoConfig + spread
 	case NoLeaf:
-		return againLeaf + spread
+		return retryNoLeaf + spread
 	case NoRoom:
-		return againRoom + spread
+		return retryNoRoom + spread
 	case Harmful:
 		return crash.ReportTTL
 	}
 	return spread
 }
 
-// close lets go of a request's calls and forgets it.
+// close removes a request and orphans its remaining calls.
 func (e *Engine) close(now clock.Milli, q *query) {
 	q.over = true
 	delete(e.queries, q.id)
@@ -254,9 +255,9 @@
 		e.limiter.InFlight--
 	}
 	for _, s := range q.shards {
-		e.release(now, s)
-		if s.away != nil {
-			e.leaveForward(now, s.away)
+		e.orphanCalls(now, s)
+		if s.forward != nil {
+			e.orphanForward(now, s.forward)
 		}
 	}
 }
--- a/share/router/forward.go
+++ b/share/router/forward.go
@@ -7,13 +7,12 @@
 	"dandelionstile/share/clock"
 )
 
-// Shards of a query without a leaf in this host's failure domain would each
-// cross to another one, or to another region. They are handed together to a
-// host there, which asks the leafs over short ways and sends one merged answer
-// back, instead of a request and a reply for each shard over links that are
-// billed by the byte.
+// Each shard of a query that has no leaf in this host's failure domain would cross to
+// another domain or region. Such shards are forwarded together to a host there, which
+// calls the leaves over short round trips and returns one merged answer, instead of a
+// request and a reply for each shard over links that are billed by the byte.
 
-// forward is a part of a query handed to another host.
+// forward is a part of a query that is forwarded to another host.
 type forward struct {
 	id     uint64
 	query  *query
@@ -24,89 +23,89 @@
 	over   bool
 }
 
-// lateForward is how many targets another host may take for parts of a late query.
-// With one, it sent what it had by then, and queries that lacked a few parts
-// failed as a whole.
-const lateForward = 3
+// lateTargets is the number of targets that another host may take for parts of a
+// late query. With one, it returned the shards available by then, and queries that
+// lacked a few shards failed as a whole.
+const lateTargets = 3
 
-// forward hands shards of a query to another host.
+// forward sends shards of a query to another host.
 func (e *Engine) forward(now clock.Milli, q *query, p *peer, group []*shard) {
 	e.lastCall++
 	r := &forward{id: e.lastCall, query: q, peer: p, shards: group, sent: now}
 	e.forwards[r.id] = r
-	p.out = append(p.out, r)
+	p.inFlight = append(p.inFlight, r)
 	names := make([]string, len(group))
 	for i, s := range group {
-		s.away = r
+		s.forward = r
 		s.tries++
 		s.sentAt = now
-		s.last = p.Address
+		s.lastTarget = p.Address
 		names[i] = s.service
 	}
 	due := q.target
 	if q.late {
-		due = min(now+lateForward*q.route.Target, q.end)
+		due = min(now+lateTargets*q.route.Target, q.deadline)
 	}
 	e.do(Forward{
 		Call: r.id, Request: q.request, Address: p.Address, Version: q.version, Shards: names,
-		Target: due - now - clock.Milli(e.trip(p)), Timeout: q.end - now, Late: q.late,
+		Target: due - now - clock.Milli(e.roundTrip(p)), Timeout: q.deadline - now, Late: q.late,
 	})
 	e.do(Note{Kind: NoteForwarded, Request: q.request.ID, Query: q.id, Leaf: p.Address, Version: q.version, Total: len(group)})
 }
 
-// forwarded takes the end of forwarded shards.
-func (e *Engine) forwarded(now clock.Milli, r *forward, d Done) {
+// forwardDone handles the end of a forward.
+func (e *Engine) forwardDone(now clock.Milli, r *forward, d Done) {
 	delete(e.forwards, r.id)
 	r.over = true
 	p, q := r.peer, r.query
-	for i, one := range p.out {
-		if one == r {
-			p.out = append(p.out[:i], p.out[i+1:]...)
+	for i, other := range p.inFlight {
+		if other == r {
+			p.inFlight = append(p.inFlight[:i], p.inFlight[i+1:]...)
 			break
 		}
 	}
-	e.judge(now, r, d)
+	e.recordForward(now, r, d)
 	if r.orphan {
 		return
 	}
 	for _, s := range r.shards {
-		s.away = nil
+		s.forward = nil
 	}
 	switch {
 	case d.Kind == call.Answered && d.Reply.Successful():
 		e.merge(now, r, d.Reply)
 	case d.Refusal == NoRoom:
-		// Its leaves are known there better than here.
-		e.failed(now, r, d)
-		q.crowded = true
+		// The other host knows the leaves there better than this one.
+		e.noteForwardFailed(now, r, d)
+		q.peerFull = true
 		for _, s := range r.shards {
 			s.tries--
 			e.abandon(s, "the other host has no room")
 		}
 	case d.Kind.NotRun():
-		e.failed(now, r, d)
+		e.noteForwardFailed(now, r, d)
 		for _, s := range r.shards {
 			s.tries--
 			e.services[s.service].budget.Earn()
-			e.place(now, s)
+			e.dispatch(now, s)
 		}
 	default:
 		q.ran = true
-		e.failed(now, r, d)
+		e.noteForwardFailed(now, r, d)
 		e.fallBack(now, r, d)
 	}
 	e.settle(now, q)
 	if !q.over {
-		e.plan(now, q)
+		e.schedule(now, q)
 	}
 }
 
-// merge takes the answer of another host for the shards that it has.
+// merge takes the shards that another host's answer contains.
 func (e *Engine) merge(now clock.Milli, r *forward, reply *call.Reply) {
 	q := r.query
 	q.ran = true
 	if reply.Stamp != "" {
-		e.answered(now, q)
+		e.markProven(now, q)
 		q.merged = append(q.merged, reply)
 	}
 	missing := make(map[string]bool, len(reply.Missing))
@@ -119,15 +118,15 @@
 			lacking = append(lacking, s)
 			continue
 		}
-		s.in = true
-		q.in++
-		q.newest = s
+		s.answered = true
+		q.answered++
+		q.lastAnswered = s
 	}
-	open := len(q.shards) - q.in - q.lost - len(lacking)
-	need := q.route.MinShards() - q.in - open
+	open := len(q.shards) - q.answered - q.lost - len(lacking)
+	need := q.route.MinShards() - q.answered - open
 	for _, s := range lacking {
 		s.cause = "the other host had no reply in time"
-		if need > 0 && e.askAgain(now, s) {
+		if need > 0 && e.retryHere(now, s) {
 			need--
 			continue
 		}
@@ -135,47 +134,47 @@
 	}
 }
 
-// askAgain asks a leaf from here for a shard that another host has no reply
-// for, as a second call. Without it, a query that lacks a few parts at its
-// target would fail, and its caller would ask for all shards once more.
-func (e *Engine) askAgain(now clock.Milli, s *shard) bool {
-	if !e.mayAsk(s, false) || !e.services[s.service].budget.Spend() {
+// retryHere calls a leaf from this host for a shard that another host got no reply
+// for, at the expense of the budget. Without it, a query that lacks a few shards at
+// its target would fail, and its caller would ask for all shards once more.
+func (e *Engine) retryHere(now clock.Milli, s *shard) bool {
+	if !e.canCall(s, false) || !e.services[s.service].budget.Spend() {
 		return false
 	}
-	s.query.extra++
-	e.place(now, s)
+	s.query.extraCalls++
+	e.dispatch(now, s)
 	return !s.lost
 }
 
-// fallBack asks leafs from here for shards whose host has failed. The host may
-// have asked one leaf for each; it has asked no second one yet if it failed
-// soon, so that one more call stays within the attempts of the route.
+// fallBack calls leaves from this host for the shards of a failed forward. The other
+// host may have called one leaf for each shard; if it failed soon, it hasn't called a
+// second one, so that one more call stays within the route's attempts.
 func (e *Engine) fallBack(now clock.Milli, r *forward, d Done) {
-	soon := now-r.sent < clock.Milli(e.trip(r.peer))+hedgeLeast
+	early := now-r.sent < clock.Milli(e.roundTrip(r.peer))+minHedgeDelay
 	for _, s := range r.shards {
-		if soon && e.askAgain(now, s) {
+		if early && e.retryHere(now, s) {
 			continue
 		}
 		e.abandon(s, "the host it was handed to failed: "+d.Kind.String())
 	}
 }
 
-func (e *Engine) failed(now clock.Milli, r *forward, d Done) {
+func (e *Engine) noteForwardFailed(now clock.Milli, r *forward, d Done) {
 	e.do(Note{
 		Kind: NoteForwardFailed, Request: r.query.request.ID, Query: r.query.id, Leaf: r.peer.Address,
 		Cause: d.Kind.String() + ": " + d.Cause, Took: now - r.sent, Total: len(r.shards),
 	})
 }
 
-// forwardOrphanGrace is how long forwarded shards that nobody needs may still take: its
-// answer is due at about the time when the query was answered without it.
+// forwardOrphanGrace is how long an orphaned forward may still run: its answer is due
+// at about the time when the query was answered without it.
 const forwardOrphanGrace clock.Milli = 150
 
-// leaveForward lets forwarded shards run out.
-func (e *Engine) leaveForward(now clock.Milli, r *forward) {
+// orphanForward lets a forward that is no longer needed run for forwardOrphanGrace.
+func (e *Engine) orphanForward(now clock.Milli, r *forward) {
 	if r.orphan || r.over {
 		return
 	}
 	r.orphan = true
-	heap.Push(&e.alarms, alarm{at: now + forwardOrphanGrace, forward: r})
+	heap.Push(&e.timers, timer{at: now + forwardOrphanGrace, forward: r})
 }
--- a/share/router/forward_test.go
+++ b/share/router/forward_test.go
@@ -153,7 +153,7 @@
 func TestForwardedPartWaitsForRoom(t *testing.T) {
 	r := newRig(t)
 	r.handle(Facts{Table: table(6, merged(1)), Leaves: pairs(1)})
-	for _, f := range r.engine.leafs {
+	for _, f := range r.engine.leaves {
 		f.limit = 0
 	}
 	r.handle(Arrive{
--- a/share/router/leaf.go
+++ b/share/router/leaf.go
@@ -15,155 +15,156 @@
 	leaf  *leaf
 	shard *shard
 	sent  clock.Milli
-	// orphan calls belong to a request that needs them no more.
+	// orphan calls belong to a request that no longer needs them.
 	orphan bool
 	over   bool
 }
 
-// leaf is what this host believes of one leaf.
+// leaf is this host's state of one leaf.
 type leaf struct {
 	roster.Leaf
 	region string
-	// limit is how many connections this host may use.
-	limit int
-	out   []*attempt // calls under way, oldest first
-	// lat and dev are the smoothed time of replies and its mean deviation, in
-	// ms; at is when they were last fed.
-	lat, dev float64
-	at       clock.Milli
-	// fails is the recent share of calls that failed, at judged.
-	fails  float64
-	judged clock.Milli
-	// failures counts calls in a row that ended without a reply.
-	failures  int
-	unhealthy bool
-	probeAt   clock.Milli
-	// connCheckAt is when a broken call may next be followed by a connection check.
+	// limit is the number of connections that this host may use.
+	limit    int
+	inFlight []*attempt // calls in flight, oldest first
+	// latency and deviation are the smoothed reply time and its mean deviation, in
+	// ms; latencyAt is when they were last updated.
+	latency, deviation float64
+	latencyAt          clock.Milli
+	// failureRatio is the smoothed share of failed calls at failureRatioAt.
+	failureRatio   float64
+	failureRatioAt clock.Milli
+	// failedInRow counts consecutive calls that ended without a reply.
+	failedInRow int
+	unhealthy   bool
+	probeAt     clock.Milli
+	// connCheckAt is when a broken call may next trigger a connection check.
 	connCheckAt clock.Milli
 	// relapses counts how often in a row the leaf became unhealthy again soon
-	// after its health check had cleared it.
-	relapses    int
-	recoveredAt clock.Milli
-	coldUntil   clock.Milli
-	pace        warmup.Limiter
-	removed     bool
-	// hosts is how many hosts share the leaf, if all were as this one.
-	hosts float64
-	told  report.LastReport
-	// calledAt is when a call from here ended last.
+	// after a successful health check.
+	relapses      int
+	recoveredAt   clock.Milli
+	coldUntil     clock.Milli
+	warmupLimiter warmup.Limiter
+	removed       bool
+	// hosts is the number of hosts that would share the leaf if each took as large
+	// a part as this one.
+	hosts      float64
+	lastReport report.LastReport
+	// calledAt is when the last call from this host ended.
 	calledAt clock.Milli
 }
 
 const (
-	// latencyGain and deviationGain are TCP's smoothing of round trips: recent
-	// enough to see a leaf turn slow within some eight calls.
+	// latencyGain and deviationGain smooth like TCP's round-trip estimate: fast
+	// enough to detect that a leaf has turned slow within about eight calls.
 	latencyGain   = 1.0 / 4
 	deviationGain = 1.0 / 4
-	// failureGain weighs the last call's outcome; 1/6 sees a leaf that fails
-	// two calls of five within a handful.
+	// failureGain is the weight of the last call's outcome; 1/6 detects a leaf
+	// that fails two of five calls within a handful of calls.
 	failureGain = 1.0 / 6
-	// forgetAfter and forgetHalf let a leaf's bad time fade when it gets no
-	// calls, so that it is tried again after a second or so.
-	forgetAfter clock.Milli = 300
-	forgetHalf  float64     = 700 // ms
-	// failuresHalf is in how many ms the failures of a leaf without calls count
-	// for half.
-	failuresHalf = 1500.0
-	// unhealthyAfter is how many calls in a row without a sign of life make a
-	// leaf unhealthy; one may be a lost answer. One that breaks connections it
-	// has accepted lives, and its failures are weighed by failureCost: counted
-	// like silence, leafs that lose some of their answers would all be
-	// unhealthy at times, and queries refused for want of a leaf.
+	// decayDelay and latencyHalfLifeMs reduce the high latency of a leaf that gets
+	// no calls, so that it is tried again after about a second.
+	decayDelay        clock.Milli = 300
+	latencyHalfLifeMs float64     = 700
+	// failureHalfLifeMs is the time in ms in which the failure rate of a leaf
+	// without calls halves.
+	failureHalfLifeMs = 1500.0
+	// unhealthyAfter is the number of consecutive calls without a sign of life
+	// that make a leaf unhealthy; a single one may be a lost reply. A leaf that
+	// breaks connections it has accepted is alive, and its failures are weighed by
+	// failureCostMs: if they counted like silence, all leaves that lose some of
+	// their replies would be unhealthy at times, and queries would be refused for
+	// want of a leaf.
 	unhealthyAfter = 2
-	// brokenAfter is how many broken connections in a row do.
+	// brokenAfter is the number of consecutive broken connections that do.
 	brokenAfter = 6
-	// probeEvery is the pause between two probes of an unhealthy leaf. It
-	// doubles, up to eight times, while the leaf's health check clears it and
-	// its calls fail again within relapseTime.
-	probeEvery  clock.Milli = 500
-	mostDoubles             = 3
-	relapseTime             = 3 * clock.Second
-	// probeWait is when an unanswered probe is taken as failed.
-	probeWait = 2 * clock.Second
+	// probeInterval is the pause between two probes of an unhealthy leaf. It
+	// doubles, up to eight times the value, while the leaf passes its health check
+	// and its calls fail again within relapseWindow.
+	probeInterval     clock.Milli = 500
+	maxProbeDoublings             = 3
+	relapseWindow                 = 3 * clock.Second
+	// probeTimeout is when an unanswered probe counts as failed.
+	probeTimeout = 2 * clock.Second
 )
 
-// expected is the time a reply should take, in ms, given the usual time of
-// leafs in its region.
-func (f *leaf) expected(now clock.Milli, usual float64) float64 {
-	if f.at == 0 {
-		return usual
+// expected returns the expected reply time in ms, given the typical latency of
+// leaves in its region.
+func (f *leaf) expected(now clock.Milli, typical float64) float64 {
+	if f.latencyAt == 0 {
+		return typical
 	}
-	idle := float64(now - f.at - forgetAfter)
-	if idle <= 0 || f.lat <= usual {
-		return f.lat
+	idle := float64(now - f.latencyAt - decayDelay)
+	if idle <= 0 || f.latency <= typical {
+		return f.latency
 	}
-	return usual + (f.lat-usual)*math.Exp2(-idle/(forgetHalf*f.memory()))
+	return typical + (f.latency-typical)*math.Exp2(-idle/(latencyHalfLifeMs*f.decayFactor()))
 }
 
 const (
-	// fewHosts is for how many hosts the times of forgetting are made.
-	fewHosts = 8
-	// mostMemory bounds how much longer many hosts remember.
-	mostMemory = 8
+	// baseHosts is the number of hosts for which the half-lives are set.
+	baseHosts = 8
+	// maxDecayFactor bounds how much longer the half-lives become with many hosts.
+	maxDecayFactor = 8
 )
 
-// memory is by how much longer this host remembers a leaf's bad time than one of
-// few hosts does. Each host of many calls a leaf seldom; if each tried a slow
-// leaf again as soon as one of a few does, all together would try it at every
-// call.
-func (f *leaf) memory() float64 {
-	return min(max(1, f.hosts/fewHosts), mostMemory)
+// decayFactor returns how much longer the half-lives are than with few hosts. Each
+// of many hosts rarely calls a given leaf; if each tried a slow leaf again as soon as
+// one of few hosts does, together they would try it at every call.
+func (f *leaf) decayFactor() float64 {
+	return min(max(1, f.hosts/baseHosts), maxDecayFactor)
 }
 
-// observe feeds the time of a reply.
+// observe updates the latency with a reply time.
 func (f *leaf) observe(now clock.Milli, took float64) {
-	if f.at == 0 {
-		f.lat, f.dev = took, took/2
+	if f.latencyAt == 0 {
+		f.latency, f.deviation = took, took/2
 	} else {
-		f.dev += (math.Abs(took-f.lat) - f.dev) * deviationGain
-		f.lat += (took - f.lat) * latencyGain
+		f.deviation += (math.Abs(took-f.latency) - f.deviation) * deviationGain
+		f.latency += (took - f.latency) * latencyGain
 	}
-	f.at = now
+	f.latencyAt = now
 }
 
-// overdue is how long the oldest call is past the time it should have taken;
-// 0 when it is not. A leaf that stands still shows so before any call fails.
+// overdue returns the age of the oldest call if it should have been answered by now,
+// otherwise 0. It shows that a leaf has stalled before any call fails.
 func (f *leaf) overdue(now clock.Milli) float64 {
-	if len(f.out) == 0 {
+	if len(f.inFlight) == 0 {
 		return 0
 	}
-	age := float64(now - f.out[0].sent)
-	if age <= f.lat+3*f.dev+stallSlack {
+	age := float64(now - f.inFlight[0].sent)
+	if age <= f.latency+3*f.deviation+stallSlackMs {
 		return 0
 	}
 	return age
 }
 
-// stallSlack keeps ordinary jitter of a few ms from looking like a stall.
-const stallSlack = 12.0
+// stallSlackMs keeps ordinary jitter of a few ms from counting as a stall.
+const stallSlackMs = 12.0
 
-func (f *leaf) add(a *attempt) { f.out = append(f.out, a) }
+func (f *leaf) addCall(a *attempt) { f.inFlight = append(f.inFlight, a) }
 
-func (f *leaf) drop(a *attempt) {
-	for i, one := range f.out {
-		if one == a {
-			f.out = append(f.out[:i], f.out[i+1:]...)
+func (f *leaf) removeCall(a *attempt) {
+	for i, c := range f.inFlight {
+		if c == a {
+			f.inFlight = append(f.inFlight[:i], f.inFlight[i+1:]...)
 			return
 		}
 	}
 }
 
-// failed records a call without a proper reply, and how many in a row make
-// the leaf unhealthy.
-func (f *leaf) failed(now clock.Milli, most int) (becameUnhealthy bool) {
-	f.judge(now, 1)
-	f.failures++
-	if f.unhealthy || f.failures < most {
+// recordFailure records a call without a proper reply; limit is the number of
+// consecutive failures that make the leaf unhealthy.
+func (f *leaf) recordFailure(now clock.Milli, limit int) (becameUnhealthy bool) {
+	f.recordOutcome(now, 1)
+	f.failedInRow++
+	if f.unhealthy || f.failedInRow < limit {
 		return false
 	}
 	f.unhealthy = true
-	if f.recoveredAt != 0 && now-f.recoveredAt < relapseTime {
-		f.relapses = min(f.relapses+1, mostDoubles)
+	if f.recoveredAt != 0 && now-f.recoveredAt < relapseWindow {
+		f.relapses = min(f.relapses+1, maxProbeDoublings)
 	} else {
 		f.relapses = 0
 	}
@@ -171,35 +172,35 @@
 	return true
 }
 
-func (f *leaf) probePause() clock.Milli { return probeEvery << f.relapses }
+func (f *leaf) probePause() clock.Milli { return probeInterval << f.relapses }
 
-// recovered believes an unhealthy leaf's good health.
-func (f *leaf) recovered(now clock.Milli) {
+// markHealthy marks an unhealthy leaf as healthy after a successful probe.
+func (f *leaf) markHealthy(now clock.Milli) {
 	f.unhealthy = false
-	f.failures = 0
+	f.failedInRow = 0
 	f.recoveredAt = now
 }
 
-// judge feeds the outcome of a call: 1 for a failure, 0 for a reply.
-func (f *leaf) judge(now clock.Milli, outcome float64) {
-	f.fails = f.failing(now) + (outcome-f.failing(now))*failureGain
-	f.judged = now
+// recordOutcome updates the failure rate with a call: 1 for a failure, 0 for a reply.
+func (f *leaf) recordOutcome(now clock.Milli, outcome float64) {
+	f.failureRatio = f.currentFailureRatio(now) + (outcome-f.currentFailureRatio(now))*failureGain
+	f.failureRatioAt = now
 }
 
-// failing is the share of calls that are expected to fail. It fades while the
-// leaf gets none, so that it is tried again.
-func (f *leaf) failing(now clock.Milli) float64 {
-	return f.fails * math.Exp2(-float64(now-f.judged)/(failuresHalf*f.memory()))
+// currentFailureRatio returns the expected share of failed calls. It decays while the leaf
+// gets none, so that the leaf is tried again.
+func (f *leaf) currentFailureRatio(now clock.Milli) float64 {
+	return f.failureRatio * math.Exp2(-float64(now-f.failureRatioAt)/(failureHalfLifeMs*f.decayFactor()))
 }
 
-// replied records a proper reply.
-func (f *leaf) replied(now clock.Milli) (becameHealthy bool) {
-	f.judge(now, 0)
-	f.failures = 0
+// recordReply records a proper reply.
+func (f *leaf) recordReply(now clock.Milli) (becameHealthy bool) {
+	f.recordOutcome(now, 0)
+	f.failedInRow = 0
 	was := f.unhealthy
 	f.unhealthy = false
 	return was
 }
 
-// cold tells whether the leaf bears only a part of its load.
+// cold reports whether the leaf has just started and takes only part of its load.
 func (f *leaf) cold(now clock.Milli) bool { return now < f.coldUntil }
--- a/share/router/limit_test.go
+++ b/share/router/limit_test.go
@@ -27,14 +27,14 @@
 	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
 	r.engine.limiter = limited(20)
 	first := r.arrive("/all/x", 1500)
-	back := r.arrive("/all/x", 1200-againRoom)
+	back := r.arrive("/all/x", 1200-retryNoRoom)
 	for _, q := range []uint64{first, back} {
 		assert.Equal(t, r.answers[q].Refusal, NoRoom)
-		assert.Assert(t, r.answers[q].RetryAfter >= againRoom)
+		assert.Assert(t, r.answers[q].RetryAfter >= retryNoRoom)
 	}
 	assert.Equal(t, len(r.sends), 0)
 	r.engine.limiter.InFlight = 0
-	r.arrive("/all/x", 1200-againRoom)
+	r.arrive("/all/x", 1200-retryNoRoom)
 	assert.Equal(t, len(r.sends), 4)
 }
 
--- a/share/router/peer.go
+++ b/share/router/peer.go
@@ -8,71 +8,71 @@
 	"dandelionstile/share/rank"
 )
 
-// peer is another host and how forwarded requests fared there.
+// peer is the state of another host as a target for forwarding.
 type peer struct {
 	Peer
 	region string
-	// way is the round trip to it in ms, smoothed; 0 is not known.
-	way float64
-	out []*forward
+	// roundTrip is the smoothed round trip to it in ms; 0 if unknown.
+	roundTrip float64
+	inFlight  []*forward
 	// rank orders the aggregators of a failure domain, differently on each host.
 	rank uint64
-	// until is the end of a pause after a failure, and pause its length.
-	until clock.Milli
-	pause clock.Milli
+	// pausedUntil is the end of the pause after a failure, and pause its length.
+	pausedUntil clock.Milli
+	pause       clock.Milli
 }
 
 const (
-	// unknownFarWay and unknownNearWay are the round trips in ms to other
-	// regions, and within the own, that are taken until one is known.
-	unknownFarWay  = 45.0
-	unknownNearWay = 5.0
-	wayGain        = 1.0 / 8
-	// peerPauseLeast and peerPauseMost bound the pause after forwarded shards failed.
-	peerPauseLeast = clock.Second
-	peerPauseMost  = 8 * clock.Second
-	// forwardGrace is how long past its target a forwarded answer may take before
-	// its host is avoided by further requests.
+	// defaultFarRoundTripMs and defaultNearRoundTripMs apply to other regions and
+	// to the own region until a round trip is measured.
+	defaultFarRoundTripMs  = 45.0
+	defaultNearRoundTripMs = 5.0
+	roundTripGain          = 1.0 / 8
+	// minPeerPause and maxPeerPause bound the pause after a failed forward.
+	minPeerPause = clock.Second
+	maxPeerPause = 8 * clock.Second
+	// forwardGrace is how long past its target a forwarded answer may be before
+	// its host gets no further requests.
 	forwardGrace clock.Milli = 60
-	// forwardShards is the least number of shards that is worth forwarding.
-	forwardShards = 3
-	// forwardLeast is the least time that must be left for forwarding to be of use,
-	// beside the way.
-	forwardLeast clock.Milli = 30
+	// minForwardShards is the least number of shards that is worth forwarding.
+	minForwardShards = 3
+	// minForwardTime is the least time, in addition to the round trip, that must be
+	// left for forwarding to be of use.
+	minForwardTime clock.Milli = 30
 )
 
-// setPeers takes over the list of other hosts.
+// setPeers replaces the list of other hosts.
 func (e *Engine) setPeers(now clock.Milli, list []Peer) {
 	known := e.peers
 	e.peers = make(map[string]*peer, len(list))
-	e.near = map[string][]*peer{}
+	e.peersByDomain = map[string][]*peer{}
 	for _, p := range list {
-		one := known[p.Address]
-		if one == nil || one.Started != p.Started {
-			// Each host has an order of its own, so that all together use all
-			// others alike.
-			one = &peer{rank: rank.Hash(e.Self.Host, " ", p.Address)}
+		entry := known[p.Address]
+		if entry == nil || entry.Started != p.Started {
+			// Each host has an order of its own, so that together they load all
+			// others evenly.
+			entry = &peer{rank: rank.Hash(e.Self.Host, " ", p.Address)}
 		}
-		one.Peer = p
-		one.region = e.Regions[p.Domain]
-		e.peers[p.Address] = one
-		e.near[p.Domain] = append(e.near[p.Domain], one)
+		entry.Peer = p
+		entry.region = e.Regions[p.Domain]
+		e.peers[p.Address] = entry
+		e.peersByDomain[p.Domain] = append(e.peersByDomain[p.Domain], entry)
 	}
 	e.setAggregators()
-	e.warm(known)
+	e.preconnect(known)
 	hosts := max(e.Policy.MinHosts, len(list)+1)
-	if claims := e.mayClaim(now); hosts != e.hosts || claims != e.claims || e.tiered() {
-		e.hosts, e.claims = hosts, claims
-		e.share(now)
+	if claims := e.canClaim(now); hosts != e.hosts || claims != e.claimsShare || e.tiered() {
+		e.hosts, e.claimsShare = hosts, claims
+		e.updateShares(now)
 	}
 	if len(known) != len(list) {
 		e.do(Note{Kind: NotePeers, Count: len(list), Total: hosts})
 	}
 }
 
-// warm opens connections ahead to the hosts that are used first.
-func (e *Engine) warm(known map[string]*peer) {
-	for domain, peers := range e.near {
+// preconnect opens connections to the hosts that are used first.
+func (e *Engine) preconnect(known map[string]*peer) {
+	for domain, peers := range e.peersByDomain {
 		if domain == e.Self.Domain && e.aggregator {
 			continue
 		}
@@ -84,63 +84,63 @@
 	}
 }
 
-// split tells which shards of a query are asked for from here, and which are
-// handed to whom.
-func (e *Engine) split(now clock.Milli, q *query) (here []*shard, away []handover) {
+// split divides a query's shards into those requested from here and those forwarded
+// to other hosts.
+func (e *Engine) split(now clock.Milli, q *query) (local []*shard, remote []forwardGroup) {
 	if !q.route.Merged() || len(e.peers) == 0 {
 		return q.shards, nil
 	}
 	var far []*shard
 	near := map[string][]*shard{}
 	for _, s := range q.shards {
-		switch domain := e.nearest(s); {
+		switch domain := e.nearestDomain(s); {
 		case domain == e.Self.Domain && e.aggregator:
-			here = append(here, s)
+			local = append(local, s)
 		case domain == "":
 			far = append(far, s)
 		default:
 			near[domain] = append(near[domain], s)
 		}
 	}
-	for _, domain := range sorted(near) {
+	for _, domain := range sortedKeys(near) {
 		group := near[domain]
-		p := e.helperIn(now, q, domain)
-		if p == nil || len(group) < forwardShards {
-			here = append(here, group...)
+		p := e.forwardPeerIn(now, q, domain)
+		if p == nil || len(group) < minForwardShards {
+			local = append(local, group...)
 			continue
 		}
-		away = append(away, handover{p, group})
+		remote = append(remote, forwardGroup{p, group})
 	}
-	for len(far) >= forwardShards {
-		p, group, other := e.helper(now, q, far)
+	for len(far) >= minForwardShards {
+		p, group, other := e.forwardPeer(now, q, far)
 		if p == nil {
 			break
 		}
-		away = append(away, e.byDomain(now, q, p, group)...)
+		remote = append(remote, e.splitByDomain(now, q, p, group)...)
 		far = other
 	}
-	return append(here, far...), away
+	return append(local, far...), remote
 }
 
-// byDomain hands shards for a region to a host of each failure domain in which they
-// have a leaf, where others than a domain's aggregators do not ask its leaves; the
-// rest goes to one host.
-func (e *Engine) byDomain(now clock.Milli, q *query, p *peer, group []*shard) []handover {
+// splitByDomain forwards shards for a region to one host in each failure domain that
+// has leaves of them and where only aggregators call the leaves; the rest goes to
+// one host.
+func (e *Engine) splitByDomain(now clock.Milli, q *query, p *peer, group []*shard) []forwardGroup {
 	domains := map[string][]*shard{}
 	for _, s := range group {
-		domain := e.domainIn(s, p)
+		domain := e.leafDomain(s, p)
 		domains[domain] = append(domains[domain], s)
 	}
-	rest := handover{peer: p, shards: domains[p.Domain]}
+	rest := forwardGroup{peer: p, shards: domains[p.Domain]}
 	delete(domains, p.Domain)
-	var list []handover
-	for _, domain := range sorted(domains) {
-		other := e.helperIn(now, q, domain)
-		if other == nil || !e.tieredIn(domain) || len(domains[domain]) < forwardShards {
+	var list []forwardGroup
+	for _, domain := range sortedKeys(domains) {
+		other := e.forwardPeerIn(now, q, domain)
+		if other == nil || !e.tieredIn(domain) || len(domains[domain]) < minForwardShards {
 			rest.shards = append(rest.shards, domains[domain]...)
 			continue
 		}
-		list = append(list, handover{other, domains[domain]})
+		list = append(list, forwardGroup{other, domains[domain]})
 	}
 	if len(rest.shards) > 0 {
 		list = append(list, rest)
@@ -148,11 +148,11 @@
 	return list
 }
 
-// domainIn is the failure domain of a shard's trusted leaf in a host's region, the
-// host's own one first.
-func (e *Engine) domainIn(s *shard, p *peer) string {
+// leafDomain returns the failure domain of a shard's healthy leaf in a host's region,
+// preferably the host's own.
+func (e *Engine) leafDomain(s *shard, p *peer) string {
 	found := p.Domain
-	for _, f := range e.services[s.service].leafs {
+	for _, f := range e.services[s.service].leaves {
 		if f.region != p.region || f.unhealthy || !e.usable(f, s) {
 			continue
 		}
@@ -164,13 +164,13 @@
 	return found
 }
 
-// handover is shards for another host.
-type handover struct {
+// forwardGroup is the shards forwarded to one host.
+type forwardGroup struct {
 	peer   *peer
 	shards []*shard
 }
 
-func sorted(groups map[string][]*shard) []string {
+func sortedKeys(groups map[string][]*shard) []string {
 	names := make([]string, 0, len(groups))
 	for name := range groups {
 		names = append(names, name)
@@ -179,11 +179,11 @@
 	return names
 }
 
-// nearest is the failure domain of this region that has a trusted leaf for a
-// shard, the own one first; empty if there is none.
-func (e *Engine) nearest(s *shard) string {
+// nearestDomain returns the failure domain in this region that has a healthy leaf for
+// a shard, preferably the own one; empty if there is none.
+func (e *Engine) nearestDomain(s *shard) string {
 	found := ""
-	for _, f := range e.services[s.service].leafs {
+	for _, f := range e.services[s.service].leaves {
 		if f.region != e.Self.Region || f.unhealthy || !e.usable(f, s) {
 			continue
 		}
@@ -197,9 +197,9 @@
 	return found
 }
 
-// leafIn tells whether a region has a trusted leaf for a shard.
-func (e *Engine) leafIn(s *shard, region string) bool {
-	for _, f := range e.services[s.service].leafs {
+// hasLeafIn reports whether a region has a healthy leaf for a shard.
+func (e *Engine) hasLeafIn(s *shard, region string) bool {
+	for _, f := range e.services[s.service].leaves {
 		if f.region == region && !f.unhealthy && e.usable(f, s) {
 			return true
 		}
@@ -207,16 +207,16 @@
 	return false
 }
 
-// helperIn is the host of a failure domain that shards are forwarded to.
-func (e *Engine) helperIn(now clock.Milli, q *query, domain string) *peer {
+// forwardPeerIn returns the host of a failure domain that shards are forwarded to.
+func (e *Engine) forwardPeerIn(now clock.Milli, q *query, domain string) *peer {
 	var best *peer
 	var cost float64
 	seen := 0
-	for _, p := range e.near[domain] {
-		if p.Suspected || now < p.until || e.overdueForward(now, p) || q.target-now < clock.Milli(e.trip(p))+forwardLeast {
+	for _, p := range e.peersByDomain[domain] {
+		if p.Suspected || now < p.pausedUntil || e.hasOverdueForward(now, p) || q.target-now < clock.Milli(e.roundTrip(p))+minForwardTime {
 			continue
 		}
-		c := e.trip(p) + float64(len(p.out))*forwardLoad
+		c := e.roundTrip(p) + float64(len(p.inFlight))*forwardCostMs
 		if best == nil || c < cost {
 			best, cost = p, c
 		}
@@ -227,30 +227,30 @@
 	return best
 }
 
-// helper chooses a host in another region for shards that have no leaf in this
-// one, and splits them into those that have one in its region and the others.
-func (e *Engine) helper(now clock.Milli, q *query, far []*shard) (best *peer, group, other []*shard) {
+// forwardPeer chooses a host in another region for shards that have no leaf in this
+// one, and splits them into those that have a leaf in its region and the others.
+func (e *Engine) forwardPeer(now clock.Milli, q *query, far []*shard) (best *peer, group, other []*shard) {
 	var cost float64
-	for domain := range e.near {
+	for domain := range e.peersByDomain {
 		region := e.Regions[domain]
 		if region == e.Self.Region || !q.route.Allows(region) {
 			continue
 		}
-		p := e.helperIn(now, q, domain)
+		p := e.forwardPeerIn(now, q, domain)
 		if p == nil {
 			continue
 		}
 		near := 0
 		for _, s := range far {
-			if e.leafIn(s, region) {
+			if e.hasLeafIn(s, region) {
 				near++
 			}
 		}
-		if near < forwardShards {
+		if near < minForwardShards {
 			continue
 		}
-		// A host with less to do, nearer, and with more of the shards beside it.
-		c := e.trip(p) + float64(len(p.out))*forwardLoad - float64(near)/float64(len(far))*regionGain
+		// Prefers a less loaded, nearer host with more of the shards in its region.
+		c := e.roundTrip(p) + float64(len(p.inFlight))*forwardCostMs - float64(near)/float64(len(far))*regionBonusMs
 		if best == nil || c < cost || (c == cost && p.rank < best.rank) {
 			best, cost = p, c
 		}
@@ -259,7 +259,7 @@
 		return nil, nil, far
 	}
 	for _, s := range far {
-		if e.leafIn(s, best.region) {
+		if e.hasLeafIn(s, best.region) {
 			group = append(group, s)
 		} else {
 			other = append(other, s)
@@ -269,53 +269,52 @@
 }
 
 const (
-	// forwardLoad is what a request under way at a host counts for, in ms.
-	forwardLoad = 6.0
-	// regionGain is what it counts for, in ms, that a host's region holds a
-	// leaf of every shard.
-	regionGain = 30.0
+	// forwardCostMs is the cost of each request in flight at a host.
+	forwardCostMs = 6.0
+	// regionBonusMs is the bonus of a host whose region has a leaf of every shard.
+	regionBonusMs = 30.0
 )
 
-// trip is the round trip to a host in ms.
-func (e *Engine) trip(p *peer) float64 {
+// roundTrip returns the round trip to a host in ms.
+func (e *Engine) roundTrip(p *peer) float64 {
 	switch {
-	case p.way > 0:
-		return p.way
+	case p.roundTrip > 0:
+		return p.roundTrip
 	case p.region == e.Self.Region:
-		return unknownNearWay
+		return defaultNearRoundTripMs
 	}
-	return unknownFarWay
+	return defaultFarRoundTripMs
 }
 
-// overdueForward tells whether a host owes an answer that should have come: it
-// stands still or is cut off.
-func (e *Engine) overdueForward(now clock.Milli, p *peer) bool {
-	return len(p.out) > 0 && now > p.out[0].query.target+forwardGrace
+// hasOverdueForward reports whether a host has not answered in time: it has stalled
+// or is unreachable.
+func (e *Engine) hasOverdueForward(now clock.Milli, p *peer) bool {
+	return len(p.inFlight) > 0 && now > p.inFlight[0].query.target+forwardGrace
 }
 
-// judge learns from the end of forwarded shards.
-func (e *Engine) judge(now clock.Milli, r *forward, d Done) {
+// recordForward updates a host's state with the outcome of a forward.
+func (e *Engine) recordForward(now clock.Milli, r *forward, d Done) {
 	p := r.peer
 	if d.Refusal == NoRoom {
-		p.pause = 0 // its leaves have no room; the host is well
+		p.pause = 0 // its leaves have no capacity; the host is healthy
 		return
 	}
 	if d.Kind == call.Answered {
 		p.pause = 0
-		way := float64(now - r.sent - d.ProcessingTime)
-		if d.ProcessingTime > 0 && way > 0 {
-			if p.way == 0 {
-				p.way = way
+		roundTrip := float64(now - r.sent - d.ProcessingTime)
+		if d.ProcessingTime > 0 && roundTrip > 0 {
+			if p.roundTrip == 0 {
+				p.roundTrip = roundTrip
 			}
-			p.way += (way - p.way) * wayGain
+			p.roundTrip += (roundTrip - p.roundTrip) * roundTripGain
 		}
 		return
 	}
 	gaveUp := d.Kind == call.Cancelled || d.Kind == call.Withdrawn
 	if gaveUp && now < r.query.target+forwardGrace {
-		return // the caller left
+		return // the caller disconnected
 	}
-	p.pause = min(max(peerPauseLeast, 2*p.pause), peerPauseMost)
-	p.until = now + p.pause
+	p.pause = min(max(minPeerPause, 2*p.pause), maxPeerPause)
+	p.pausedUntil = now + p.pause
 	e.do(Note{Kind: NotePeerUnhealthy, Leaf: p.Address, Cause: d.Kind.String() + ": " + d.Cause, Took: now - r.sent})
 }
--- a/share/router/place.go
+++ b/share/router/place.go
@@ -6,89 +6,89 @@
 	"dandelionstile/share/clock"
 )
 
-// place asks the best leaf for a shard, or lets the shard wait for room.
-func (e *Engine) place(now clock.Milli, s *shard) {
-	e.placeAt(now, s, e.pick(now, s, true))
+// dispatch sends a shard to the best leaf, or queues the shard.
+func (e *Engine) dispatch(now clock.Milli, s *shard) {
+	e.dispatchTo(now, s, e.selectLeaf(now, s, true))
 }
 
-// placeAt does so with the choice made.
-func (e *Engine) placeAt(now clock.Milli, s *shard, c choice) {
+// dispatchTo sends a shard to the chosen leaf, or queues or abandons the shard.
+func (e *Engine) dispatchTo(now clock.Milli, s *shard, c choice) {
 	switch {
 	case c.leaf != nil:
 		e.send(now, s, c.leaf)
-		e.probe(now, s)
+		e.probeUnhealthy(now, s)
 	case c.full:
 		e.enqueue(s)
 	case c.unhealthy:
-		e.probe(now, s)
+		e.probeUnhealthy(now, s)
 		e.abandon(s, "no leaf has answered of late")
 	default:
 		e.abandon(s, "no leaf is known")
 	}
 }
 
-// send hands a shard's request to a leaf.
+// send sends a shard's request to a leaf.
 func (e *Engine) send(now clock.Milli, s *shard, f *leaf) {
 	e.lastCall++
 	a := &attempt{id: e.lastCall, leaf: f, shard: s, sent: now}
 	if f.cold(now) {
-		f.pace.Spend()
+		f.warmupLimiter.Spend()
 	}
 	if f.unhealthy {
 		f.probeAt = now + f.probePause()
 	}
 	e.calls[a.id] = a
-	f.add(a)
+	f.addCall(a)
 	q := s.query
 	s.calls = append(s.calls, a)
 	s.tries++
-	s.last = f.ID
-	s.waiting = false
+	s.lastTarget = f.ID
+	s.queued = false
 	s.sentAt = now
-	s.hedgeAt = now + e.slowAfter(now, s, f)
-	e.do(Send{Call: a.id, Request: q.request, Leaf: f.ID, Address: f.Address, Timeout: max(1, q.end-now), Watch: !q.route.Merged()})
+	s.hedgeAt = now + e.hedgeDelay(now, s, f)
+	e.do(Send{Call: a.id, Request: q.request, Leaf: f.ID, Address: f.Address, Timeout: max(1, q.deadline-now), Watch: !q.route.Merged()})
 }
 
 const (
-	// hedgeDeviations is how many mean deviations past the expected time a
-	// call is called slow: about one ordinary call in twenty is.
+	// hedgeDeviations is the number of mean deviations beyond the expected time
+	// after which a call counts as slow: about one ordinary call in twenty does.
 	hedgeDeviations = 3.0
-	// hedgeLeast keeps calls that take a few ms from being hedged by jitter.
-	hedgeLeast clock.Milli = 15
-	// hedgeMost is the share of the target after which a call is slow whatever
-	// its leaf's own measure says.
-	hedgeMost = 0.45
+	// minHedgeDelay keeps jitter from causing hedges of calls that take a few ms.
+	minHedgeDelay clock.Milli = 15
+	// maxHedgeShare is the share of the target after which a call counts as slow
+	// whatever its leaf's own latency is.
+	maxHedgeShare = 0.45
 )
 
-// slowAfter is how long a call runs before another leaf is asked: until it is
-// slow by its leaf's own measure, or has used up its share of the target. It does
-// not wait until a second reply would just be in time, since the second call may
-// be slow as well.
-func (e *Engine) slowAfter(now clock.Milli, s *shard, f *leaf) clock.Milli {
+// hedgeDelay returns how long a call runs before another leaf is called: until it is
+// slow for its leaf, or has used up its share of the target. It doesn't extend to the
+// last moment at which a second reply would still be in time, since the hedge
+// may be slow as well.
+func (e *Engine) hedgeDelay(now clock.Milli, s *shard, f *leaf) clock.Milli {
 	q := s.query
-	slow := clock.Milli(f.expected(now, e.usual(f)) + hedgeDeviations*f.dev + stallSlack)
+	slow := clock.Milli(f.expected(now, e.typicalLatency(f)) + hedgeDeviations*f.deviation + stallSlackMs)
 	if q.route.Target > 0 {
-		slow = min(slow, clock.Milli(hedgeMost*float64(q.target-q.arrived)))
+		slow = min(slow, clock.Milli(maxHedgeShare*float64(q.target-q.arrived)))
 	}
-	return max(slow, hedgeLeast)
+	return max(slow, minHedgeDelay)
 }
 
-// probe asks unhealthy leafs for their health while others do the work, so that
-// a leaf's return is seen and no caller waits for it.
-func (e *Engine) probe(now clock.Milli, s *shard) {
+// probeUnhealthy probes unhealthy leaves while others serve the requests, so that a
+// recovery is detected without delaying a caller.
+func (e *Engine) probeUnhealthy(now clock.Milli, s *shard) {
 	svc := e.services[s.service]
-	for _, f := range svc.leafs {
-		if !f.unhealthy || now < f.probeAt || f.Draining || e.out[f.Domain] {
+	for _, f := range svc.leaves {
+		if !f.unhealthy || now < f.probeAt || f.Draining || e.domainsOut[f.Domain] {
 			continue
 		}
-		f.probeAt = now + probeWait
+		f.probeAt = now + probeTimeout
 		e.do(Probe{Leaf: f.ID, Address: f.Address, Path: svc.config.HealthPath})
 	}
 }
 
-// probed takes an unhealthy leaf's word on its health.
-func (e *Engine) probed(now clock.Milli, p ProbeResult) {
-	f := e.leafs[p.Leaf]
+// probeResult handles the result of an unhealthy leaf's health check.
+func (e *Engine) probeResult(now clock.Milli, p ProbeResult) {
+	f := e.leaves[p.Leaf]
 	if f == nil || !f.unhealthy {
 		return
 	}
@@ -96,28 +96,28 @@
 		f.probeAt = now + f.probePause()
 		return
 	}
-	f.recovered(now)
+	f.markHealthy(now)
 	e.do(Note{Kind: NoteLeafHealthy, Leaf: f.ID, Service: f.Service, Cause: "its health is good"})
-	e.wake(now, e.services[f.Service])
+	e.dispatchWaiting(now, e.services[f.Service])
 }
 
-// enqueue lets a shard wait for room at one of its leafs, by rank and then by
+// enqueue queues a shard until one of its leaves has capacity, by priority and then by
 // arrival.
 func (e *Engine) enqueue(s *shard) {
-	if s.waiting {
+	if s.queued {
 		return
 	}
-	s.waiting = true
+	s.queued = true
 	svc := e.services[s.service]
-	at := len(svc.waiting)
-	for at > 0 && s.query.before(svc.waiting[at-1].query) {
+	at := len(svc.queue)
+	for at > 0 && s.query.before(svc.queue[at-1].query) {
 		at--
 	}
-	svc.waiting = slices.Insert(svc.waiting, at, s)
+	svc.queue = slices.Insert(svc.queue, at, s)
 }
 
-// before tells whether a query's shards go before another's that came earlier:
-// those that can still be in time first, then by rank.
+// before reports whether a query's shards precede those of another query that arrived
+// earlier: queries that can still be in time come first, then the order is by priority.
 func (q *query) before(other *query) bool {
 	if q.late != other.late {
 		return other.late
@@ -125,50 +125,51 @@
 	return q.route.Priority < other.route.Priority
 }
 
-// wake places shards that wait for room.
-func (e *Engine) wake(now clock.Milli, svc *service) {
-	svc.waiting = slices.DeleteFunc(svc.waiting, func(s *shard) bool {
-		return s.query.over || s.settled() || !s.waiting
+// dispatchWaiting dispatches queued shards to leaves with free capacity.
+func (e *Engine) dispatchWaiting(now clock.Milli, svc *service) {
+	svc.queue = slices.DeleteFunc(svc.queue, func(s *shard) bool {
+		return s.query.over || s.settled() || !s.queued
 	})
 	for {
-		at, c := e.nextWaiting(now, svc)
+		at, c := e.nextQueued(now, svc)
 		if at < 0 {
 			return
 		}
-		s := svc.waiting[at]
-		svc.waiting = slices.Delete(svc.waiting, at, at+1)
-		s.waiting = false
-		e.placeAt(now, s, c)
+		s := svc.queue[at]
+		svc.queue = slices.Delete(svc.queue, at, at+1)
+		s.queued = false
+		e.dispatchTo(now, s, c)
 		e.settle(now, s.query)
 		if !s.query.over {
-			e.plan(now, s.query)
+			e.schedule(now, s.query)
 		}
 	}
 }
 
-// nextWaiting is the waiting shard that gets the room that has become free, and
-// the leaf for it: the first that can still be in time; -1 for none. Behind a
-// queue that is longer than the time that queries have, the first in line would
-// otherwise always be one that is too late, and so would every other.
-func (e *Engine) nextWaiting(now clock.Milli, svc *service) (at int, c choice) {
+// nextQueued returns the index of the queued shard that gets the free capacity, and
+// its leaf: the first shard that can still be in time; -1 for none. If the queue is
+// longer than queries can wait, strict queue order would make every query late.
+func (e *Engine) nextQueued(now clock.Milli, svc *service) (at int, c choice) {
 	late, lateChoice := -1, choice{}
-	for i, s := range svc.waiting {
-		c := e.pick(now, s, true)
+	for i, s := range svc.queue {
+		c := e.selectLeaf(now, s, true)
 		if c.leaf == nil && c.full {
 			break
 		}
-		if c.leaf == nil || s.query.late || now+clock.Milli(c.leaf.expected(now, e.usual(c.leaf))) <= s.query.target {
+		if c.leaf == nil || s.query.late || now+clock.Milli(c.leaf.expected(now, e.typicalLatency(c.leaf))) <= s.query.target {
 			return i, c
 		}
-		if late < 0 && s.query.needs() {
+		if late < 0 && s.query.needsOpenShards() {
 			late, lateChoice = i, c
 		}
 	}
 	return late, lateChoice
 }
 
-// needs tells whether a query makes no answer without its open shards.
-func (q *query) needs() bool { return !q.route.Merged() || !q.forwarded && q.in < q.route.MinShards() }
+// needsOpenShards reports whether a query can't be answered without its open shards.
+func (q *query) needsOpenShards() bool {
+	return !q.route.Merged() || !q.forwarded && q.answered < q.route.MinShards()
+}
 
 // abandon gives up on a shard.
 func (e *Engine) abandon(s *shard, cause string) {
@@ -176,7 +177,7 @@
 		return
 	}
 	s.lost = true
-	s.waiting = false
+	s.queued = false
 	if s.cause == "" {
 		s.cause = cause
 	}
--- a/share/router/replica.go
+++ b/share/router/replica.go
@@ -6,35 +6,35 @@
 
 // Costs of a leaf beyond its expected reply time, in ms.
 const (
-	// failureCost is what a failed call costs its caller. It outweighs the way
-	// to another region from one failure in six on: a shard that is lost costs
-	// a tenth of an answer or all of it, a longer way only time. With much less,
-	// leafs that turn down most calls are still preferred for being near.
-	failureCost = 400.0
-	// coldCost keeps leafs that have just started for what others have no
-	// room for: they take 1.6 times as long.
-	coldCost = 25.0
-	// farDomain prefers the host's own failure domain among equals; bytes
+	// failureCostMs is the cost of a failed call to its caller. 400 ms outweighs a
+	// cross-region round trip from a failure rate of about 1 in 6: a lost shard
+	// costs a tenth of an answer or all of it, a longer round trip only time. A
+	// much lower cost still prefers nearby leaves that reject most calls.
+	failureCostMs = 400.0
+	// coldCostMs reserves leaves that have just started for calls that others have
+	// no capacity for: they take 1.6 times as long.
+	coldCostMs = 25.0
+	// otherDomainCostMs prefers the host's own failure domain among equals; bytes
 	// between domains are billed.
-	farDomain = 1.5
+	otherDomainCostMs = 1.5
 )
 
-// choice is the outcome of looking for a leaf.
+// choice is the result of selecting a leaf.
 type choice struct {
 	leaf *leaf
-	// full is set when leafs are there but have no room now.
+	// full is set if there are leaves but none has capacity now.
 	full bool
-	// unhealthy are there, and it is not time to try one.
+	// unhealthy is set if there are unhealthy leaves that may not be tried yet.
 	unhealthy bool
 }
 
-// pick chooses the leaf of a shard that should answer first, among those that
-// were not asked yet. With probes, an unhealthy one may be tried if there is no
-// other and its time has come.
-func (e *Engine) pick(now clock.Milli, s *shard, probes bool) choice {
+// selectLeaf chooses the leaf that is expected to answer a shard first, among those
+// not called for it yet. With probes, an unhealthy leaf may be tried if there is no
+// other and its next probe is due.
+func (e *Engine) selectLeaf(now clock.Milli, s *shard, probes bool) choice {
 	var c choice
 	var best float64
-	for _, f := range e.services[s.service].leafs {
+	for _, f := range e.services[s.service].leaves {
 		if !e.usable(f, s) {
 			continue
 		}
@@ -42,11 +42,11 @@
 			c.unhealthy = true
 			continue
 		}
-		if len(f.out) >= e.room(now, f, s.query) {
+		if len(f.inFlight) >= e.callLimit(now, f, s.query) {
 			c.full = true
 			continue
 		}
-		if !e.warmEnough(now, f) {
+		if !e.admitsCold(now, f) {
 			c.full = true
 			continue
 		}
@@ -56,109 +56,109 @@
 		}
 	}
 	if c.leaf != nil && c.leaf.unhealthy && c.full {
-		// Room at a leaf that answers is worth waiting for.
+		// Waiting for a healthy leaf is better.
 		c.leaf = nil
 	}
 	return c
 }
 
-// lateRoom is how many calls a host may have at a leaf for a late query to add
-// another: none. After the return of all hosts the callers that were cut off come
-// back within one second, together with those that ask for the first time; with
-// all treated alike, leafs' queues would make both kinds late.
-const lateRoom = 1
+// lateCallLimit is the call limit for late queries: these are sent only to leaves that
+// have no call of this host in flight. After all hosts return at once, the callers that
+// were cut off retry within one second, along with new requests; if both were treated
+// alike, the leaves' queues would make both late.
+const lateCallLimit = 1
 
-// room is how many calls this host has at most at a leaf once a query has added
-// one.
-func (e *Engine) room(now clock.Milli, f *leaf, q *query) int {
+// callLimit returns the largest number of calls of this host at a leaf, including one
+// added for the query.
+func (e *Engine) callLimit(now clock.Milli, f *leaf, q *query) int {
 	switch {
 	case !e.slow(now, f, q) && q.late:
-		return min(f.limit, lateRoom)
+		return min(f.limit, lateCallLimit)
 	case !e.slow(now, f, q):
 		return f.limit
 	}
-	return min(f.limit, slowRoom)
+	return min(f.limit, slowCallLimit)
 }
 
-// usable tells whether a leaf may get a shard's request at all.
+// usable reports whether a leaf may get a shard's request at all.
 func (e *Engine) usable(f *leaf, s *shard) bool {
-	if f.Draining || f.removed || e.out[f.Domain] || s.asked(f) {
+	if f.Draining || f.removed || e.domainsOut[f.Domain] || s.tried(f) {
 		return false
 	}
 	return s.query.route.Allows(f.region)
 }
 
-// warmEnough tells whether a leaf bears one more request: a cold one only at
+// admitsCold reports whether a leaf can take one more request: a cold one only at
 // the operators' rate, of which this host has its part.
-func (e *Engine) warmEnough(now clock.Milli, f *leaf) bool {
+func (e *Engine) admitsCold(now clock.Milli, f *leaf) bool {
 	rate := e.services[f.Service].config.ColdRate
 	if rate <= 0 || !f.cold(now) {
 		return true
 	}
-	return f.pace.Allowed(now, rate, f.hosts)
+	return f.warmupLimiter.Allowed(now, rate, f.hosts)
 }
 
-// cost is the time in ms in which a leaf is expected to answer one more call,
-// with what speaks against the leaf added.
+// cost returns the expected time in ms until a leaf answers one more call, plus
+// penalties.
 func (e *Engine) cost(now clock.Milli, f *leaf) float64 {
-	usual := e.usual(f)
-	c := f.expected(now, usual)
-	c += float64(len(f.out)) * max(minWork, c-e.floor(f)) / float64(max(1, f.Slots))
+	typical := e.typicalLatency(f)
+	c := f.expected(now, typical)
+	c += float64(len(f.inFlight)) * max(minServiceTimeMs, c-e.minLatency(f)) / float64(max(1, f.Slots))
 	c += f.overdue(now)
-	c += f.failing(now) * failureCost
+	c += f.currentFailureRatio(now) * failureCostMs
 	if f.cold(now) {
-		c += coldCost
+		c += coldCostMs
 	}
 	if f.Domain != e.Self.Domain {
-		c += farDomain
+		c += otherDomainCostMs
 	}
 	if f.region != e.Self.Region {
 		c += e.Policy.FarRegionPenalty
 	}
 	if f.unhealthy {
-		c += unhealthyCost
+		c += unhealthyCostMs
 	}
 	return c
 }
 
 const (
-	// minWork is the least time in ms that a call is taken to hold a slot.
-	minWork = 4.0
-	// unhealthyCost puts unhealthy leafs behind all others.
-	unhealthyCost = 2000.0
+	// minServiceTimeMs is the least time that a call is assumed to occupy a slot.
+	minServiceTimeMs = 4.0
+	// unhealthyCostMs ranks unhealthy leaves behind all others.
+	unhealthyCostMs = 2000.0
 )
 
-// floor is the least time in which any leaf of the region has answered of
-// late: the way there and back.
-func (e *Engine) floor(f *leaf) float64 { return e.regions[f.region].floor }
+// minLatency returns the lowest recent latency of any leaf of the region: about the
+// network round trip.
+func (e *Engine) minLatency(f *leaf) float64 { return e.regions[f.region].minLatency }
 
-// usual is what leafs of the region take that are not in trouble.
-func (e *Engine) usual(f *leaf) float64 {
-	if u := e.regions[f.region].usual; u > 0 {
+// typicalLatency returns the typical latency of healthy leaves of the region.
+func (e *Engine) typicalLatency(f *leaf) float64 {
+	if u := e.regions[f.region].typicalLatency; u > 0 {
 		return u
 	}
 	if f.region == e.Self.Region {
-		return unknownNear
+		return defaultNearLatencyMs
 	}
-	return unknownFar
+	return defaultFarLatencyMs
 }
 
-// Expected times in ms until a region's leafs have answered.
+// Latencies assumed until a region's leaves have answered.
 const (
-	unknownNear = 20.0
-	unknownFar  = 60.0
+	defaultNearLatencyMs = 20.0
+	defaultFarLatencyMs  = 60.0
 )
 
-// region is what is known of the way to a region.
-type region struct{ floor, usual float64 }
+// region holds the latencies measured in a region.
+type region struct{ minLatency, typicalLatency float64 }
 
-// observe feeds a reply's time. The floor falls at once and rises slowly, so
-// that it follows a way that has become longer.
+// observe updates the latencies with a reply time. The minimum falls at once and rises
+// slowly, so that it follows a round trip that has become longer.
 func (r *region) observe(took float64) {
-	if r.usual == 0 {
-		r.floor, r.usual = took, took
+	if r.typicalLatency == 0 {
+		r.minLatency, r.typicalLatency = took, took
 		return
 	}
-	r.floor = min(took, r.floor+(took-r.floor)/512)
-	r.usual += (min(took, 3*r.usual) - r.usual) / 32
+	r.minLatency = min(took, r.minLatency+(took-r.minLatency)/512)
+	r.typicalLatency += (min(took, 3*r.typicalLatency) - r.typicalLatency) / 32
 }
--- a/share/router/single_test.go
+++ b/share/router/single_test.go
@@ -127,7 +127,7 @@
 func TestRefusedConnectionMakesALeafSuspect(t *testing.T) {
 	r := newRig(t)
 	r.handle(Facts{Table: table(1, single(true)), Leaves: []roster.Leaf{leafOf("s", "a", here), leafOf("s", "b", here)}})
-	for _, f := range r.engine.leafs {
+	for _, f := range r.engine.leaves {
 		f.limit = 20
 	}
 	r.arrive("/one/x", 4000)
@@ -186,10 +186,10 @@
 		for i := range clock.Milli(8) {
 			f.observe(1000+100*i, 240)
 		}
-		f.judge(1700, 1)
+		f.recordOutcome(1700, 1)
 		again := f.expected(4000, 30) < 60
 		assert.Equal(t, again, c.forgives, "%d hosts expect %.0f ms", c.hosts, f.expected(4000, 30))
-		assert.Equal(t, f.failing(4000) < 0.08, c.forgives, "%d hosts expect %.2f failures", c.hosts, f.failing(4000))
+		assert.Equal(t, f.currentFailureRatio(4000) < 0.08, c.forgives, "%d hosts expect %.2f failures", c.hosts, f.currentFailureRatio(4000))
 	}
 }
 
@@ -238,7 +238,7 @@
 			r.pass(c.took)
 			r.handle(CallerGone{Query: r.queries})
 			r.ends(s, call.Withdrawn)
-			assert.Equal(t, r.engine.leafs["a"].unhealthy, c.unhealthy)
+			assert.Equal(t, r.engine.leaves["a"].unhealthy, c.unhealthy)
 		})
 	}
 }
--- a/share/router/types.go
+++ b/share/router/types.go
@@ -1,6 +1,6 @@
-// Package router decides what becomes of each request: whether it is taken,
-// which leaf gets it, when a second leaf is asked, how long a missing shard is
-// worth waiting for, and what the caller is told. It holds no socket, logger or
+// Package router makes the decisions about each request: whether it is
+// admitted, which leaf serves it, when to hedge or retry, how long to wait for
+// missing shards, and how the caller is answered. It holds no socket, logger or
 // clock: it takes the time and an event and returns actions, so that the same
 // code runs in the program and in tests that replay a load.
 package router
@@ -14,83 +14,84 @@
 	"dandelionstile/share/route"
 )
 
-// Event is something that happened; one of the types below.
+// Event is an input of the engine; one of the types below.
 type Event interface{ event() }
 
-// Arrive is a request that a caller has sent in full.
+// Arrive is a request that has been read in full.
 type Arrive struct {
-	// Query is a number that no other request of this process has.
+	// Query identifies the request within this process.
 	Query   uint64
 	Request *call.Request
-	// Wait is how long the caller will wait; 0 is not told.
+	// Wait is how long the caller will wait; 0 if it did not say.
 	Wait clock.Milli
-	// Remote is where the caller connected from.
+	// Remote is the address and port of the caller's connection.
 	Remote string
-	// Forwarded requests come from another host, which keeps the caller. They
-	// are served from here and not forwarded again. Shards are then what is asked
-	// for, Target is how long the answer has until it must leave, and Version
-	// the configuration that the sender goes by.
+	// Forwarded requests come from another host, which answers the caller. They
+	// are sent to leaves only and not forwarded again. For them, Shards lists the
+	// requested shards, Target is the time until the answer must leave this host,
+	// and Version is the sender's configuration version.
 	Forwarded bool
 	Shards    []string
 	Target    clock.Milli
 	Version   uint64
-	// Late says that the caller's target had passed when it came to the sender.
+	// Late reports that the caller's target had passed when the request reached
+	// the sender.
 	Late bool
 }
 
-// CallerGone says that a caller closed its connection.
+// CallerGone reports that a caller closed its connection.
 type CallerGone struct{ Query uint64 }
 
-// Done is the end of a call to a leaf.
+// Done is the outcome of a call to a leaf or to another host.
 type Done struct {
 	Call  uint64
 	Kind  call.Kind
 	Reply *call.Reply
 	// Cause explains a call without a reply.
 	Cause string
-	// Refusal is why another host has refused forwarded shards.
+	// Refusal is the reason for which another host refused forwarded shards.
 	Refusal Refusal
-	// ProcessingTime is how long the other host of a forwarded request took, without
-	// the way there and back.
+	// ProcessingTime is how long the other host took for a forwarded request,
+	// without the network round trip.
 	ProcessingTime clock.Milli
 }
 
-// Facts replaces what is known of routes, leafs and failure domains.
+// Facts replaces the known routes, leaves and failure domains.
 type Facts struct {
 	Table  *route.Table
 	Leaves []roster.Leaf
 	// DomainsOut are the failure domains that get no new work.
 	DomainsOut map[string]bool
-	// Regions maps failure domains to regions; nil leaves what is known.
+	// Regions maps failure domains to regions; nil keeps the known map.
 	Regions map[string]string
 }
 
-// Peers replaces the list of other hosts that are there.
+// Peers replaces the list of the other live hosts.
 type Peers struct{ List []Peer }
 
 // Peer is another host of the system.
 type Peer struct {
-	// Address is where it takes forwarded requests.
+	// Address is where it accepts forwarded requests.
 	Address string
 	Domain  string
-	// Capacity is the processor that it may use, in thousandths of a core; 0 if
-	// it is not known.
+	// Capacity is the processor time that it may use, in thousandths of a core;
+	// 0 if unknown.
 	Capacity uint32
 	Started  uint64
-	// Suspected hosts have not answered others of late.
+	// Suspected reports that other hosts recently got no answer from it.
 	Suspected bool
 }
 
-// ProbeResult is what a leaf said of its health.
+// ProbeResult is the result of a leaf's health check.
 type ProbeResult struct {
 	Leaf    string
 	Healthy bool
 }
 
-// ConnRefused says that nobody listens at a leaf's address.
+// ConnRefused reports that no process listens at a leaf's address.
 type ConnRefused struct{ Leaf string }
 
-// Tick says that the time of Next has come.
+// Tick reports that the time returned by Engine.Next has come.
 type Tick struct{}
 
 func (Arrive) event()      {}
@@ -102,10 +103,11 @@
 func (ProbeResult) event() {}
 func (Tick) event()        {}
 
-// Action is something for the program to do; one of the types below.
+// Action is an output of the engine for the program to execute; one of the types
+// below.
 type Action interface{ action() }
 
-// Send hands a request to a leaf.
+// Send sends a request to a leaf.
 type Send struct {
 	Call    uint64
 	Request *call.Request
@@ -113,62 +115,63 @@
 	Address string
 	// Timeout is how long the leaf may take.
 	Timeout clock.Milli
-	// Watch has a new connection watched for a moment before the request is sent
-	// on it, so that the leaf can turn the connection away first.
+	// Watch delays the request on a new connection for a moment, so that the
+	// leaf can reject the connection first.
 	Watch bool
 }
 
-// Forward hands shards of a request to another host, to be answered from there.
+// Forward sends shards of a request to another host, which queries their leaves.
 type Forward struct {
 	Call    uint64
 	Request *call.Request
 	Address string
 	Shards  []string
-	// Target is when the answer must leave there, and Left when all ends.
+	// Target is the time until the answer must leave that host, Timeout the time
+	// until the request ends.
 	Target, Timeout clock.Milli
 	Version         uint64
-	// Late says that the caller's target had passed when it came here.
+	// Late reports that the caller's target had passed when the request arrived.
 	Late bool
 }
 
-// Preconnect opens a connection ahead to another host.
+// Preconnect opens a connection to another host before it is needed.
 type Preconnect struct{ Address string }
 
-// Cancel gives up on a call by closing its connection.
+// Cancel aborts a call by closing its connection.
 type Cancel struct{ Call uint64 }
 
-// Probe asks a leaf for its health.
+// Probe checks a leaf's health.
 type Probe struct {
 	Leaf    string
 	Address string
 	Path    string
 }
 
-// CheckConn finds out whether anybody listens at a leaf's address; only Absent is
-// told.
+// CheckConn checks whether a process listens at a leaf's address; only a refused
+// connection is reported, as ConnRefused.
 type CheckConn struct {
 	Leaf    string
 	Address string
 }
 
-// Answer ends a request. Exactly one comes for each that arrived and whose
-// caller is still there.
+// Answer ends a request. Exactly one is returned for each request whose caller
+// has not disconnected.
 type Answer struct {
 	Query uint64
-	// Reply is one leaf's reply, handed on as it is; nil for all others.
+	// Reply is a single leaf's reply, returned unchanged; nil for other answers.
 	Reply *call.Reply
-	// Merged is the answer of a query over shards; nil for all others.
+	// Merged is the answer to a query over shards; nil for other answers.
 	Merged *Merged
-	// Refusal tells why there is neither.
+	// Refusal is the reason if Reply and Merged are nil.
 	Refusal Refusal
-	// RetryAfter is when to come back after a refusal.
+	// RetryAfter is when the caller should retry after a refusal.
 	RetryAfter clock.Milli
 }
 
-// Merged is a whole or partial answer of a query over shards.
+// Merged is a complete or partial answer to a query over shards.
 type Merged struct {
 	Parts []*call.Reply
-	// Missing names the shards that are not in.
+	// Missing names the shards that the answer lacks.
 	Missing []string
 	Top     int
 }
@@ -176,23 +179,24 @@
 // Refusal is the reason for which a request got no leaf's reply.
 type Refusal int
 
-// Reasons for refusals. Those up to NoRoom are told to callers as not run.
+// Reasons for refusals. For those up to NoRoom, callers are told that the request
+// did not run.
 const (
 	// None: the request was answered.
 	None Refusal = iota
-	// NoConfig: no routes are known here yet.
+	// NoConfig: this host knows no routes yet.
 	NoConfig
 	// NoRoute: no route matches.
 	NoRoute
-	// NoLeaf: no leaf of the service can take it now.
+	// NoLeaf: no leaf of the service can serve it now.
 	NoLeaf
-	// NoRoom: there is more work than can be done in time.
+	// NoRoom: the load exceeds what can be served in time.
 	NoRoom
-	// Failed: leafs were asked and did not answer properly.
+	// Failed: leaves were asked and did not return a proper reply.
 	Failed
-	// Harmful: leafs have gone down under this request.
+	// Harmful: leaves have crashed while they ran this request.
 	Harmful
-	// Stale: another host goes by a newer configuration than this one.
+	// Stale: another host has a newer configuration than this one.
 	Stale
 	// Late: the caller's deadline or the route's timeout has passed.
 	Late
@@ -200,15 +204,15 @@
 
 var refusalNames = [...]string{"none", "no-config", "no-route", "no-leaf", "no-room", "failed", "harmful", "stale", "late"}
 
-// String names the reason as logs and metrics do.
+// String returns the reason's name in logs and metrics.
 func (r Refusal) String() string { return refusalNames[r] }
 
-// ParseRefusal reads a reason by its name; None for names that are not known.
+// ParseRefusal returns the reason with the given name, or None if it is unknown.
 func ParseRefusal(name string) Refusal {
 	return Refusal(max(0, slices.Index(refusalNames[:], name)))
 }
 
-// CallEnded tells of the end of a call to a leaf, for the counters.
+// CallEnded reports the end of a call to a leaf, for the counters.
 type CallEnded struct {
 	Service string
 	Domain  string
@@ -216,7 +220,7 @@
 	Took    clock.Milli
 }
 
-// Note is a decision or a changed belief, for the log.
+// Note is a log record of a decision or a state change.
 type Note struct {
 	Kind    NoteKind
 	Request string
@@ -225,41 +229,42 @@
 	Version uint64
 	Service string
 	Leaf    string
-	// Cause is the reason in words; Refusal is that of a refusal.
+	// Cause explains the decision in words; Refusal is the reason of a refusal.
 	Cause   string
 	Refusal Refusal
 	// Took is the age of the request or call, in milliseconds.
 	Took clock.Milli
-	// Count and Of count shards; of the limiter, queries under way and their limit.
+	// Count and Total are numbers of shards; for the limiter, queries in flight
+	// and the limit.
 	Count, Total int
-	// Missing names the shards left out, each with the last thing that
-	// happened to it.
+	// Missing lists the shards that the answer lacks, each with its last known
+	// state.
 	Missing []MissingShard
-	// Extra is how many calls beyond the first per shard were made.
+	// Extra is the number of calls beyond the first per shard.
 	Extra int
-	// Wait is how long the caller said it would wait, Passed what is taken to
-	// have passed since its first attempt, in ms.
+	// Wait is how long the caller said it would wait, SinceFirstAttempt the
+	// estimated time since its first attempt, in ms.
 	Wait, SinceFirstAttempt clock.Milli
 	// Due is how long the answer may take to be in time, in ms.
 	Due    clock.Milli
 	Remote string
-	// Forwarded requests came from another host, which has the caller.
+	// Forwarded requests came from another host, which answers the caller.
 	Forwarded bool
-	// Late says that no answer can be in time: the caller's target had passed
-	// when the request came, or has passed since.
+	// Late reports that no answer can be in time: the caller's target had passed
+	// when the request arrived, or has passed since.
 	Late bool
-	// BudgetLeft is what the budget of second calls still holds.
+	// BudgetLeft is the number of hedges and retries left in the budget.
 	BudgetLeft float64
 }
 
-// MissingShard is one shard that an answer lacks.
+// MissingShard is a shard that an answer lacks.
 type MissingShard struct {
 	Service string
 	Leaf    string
 	Cause   string
 }
 
-// NoteKind is what a note is about.
+// NoteKind is the subject of a note.
 type NoteKind int
 
 // Kinds of notes.
@@ -300,11 +305,11 @@
 	"limit-set", "limit-lifted", "leaf-heard", "leafs-known", "leaves-new", "leaves-gone",
 }
 
-// String names the kind as logs and metrics do.
+// String returns the kind's name in logs and metrics.
 func (k NoteKind) String() string { return noteNames[k] }
 
-// Failure tells whether the note explains a request that was not served in
-// full, or a changed belief; such notes are kept when others are dropped.
+// Failure reports whether the note explains a request that was not served in
+// full, or a state change; such notes are kept when others are dropped.
 func (k NoteKind) Failure() bool {
 	switch k {
 	case NoteAdmitted, NoteAnswered, NoteHedged, NoteForwarded, NoteLeafReport:
--- a/share/router/wait_test.go
+++ b/share/router/wait_test.go
@@ -50,7 +50,7 @@
 // second call at a leaf with one slot would wait there behind those of all other
 // hosts; it waits here, and goes elsewhere or is dropped if that is better.
 func TestCallsAtALeafFollowItsSlots(t *testing.T) {
-	for slots, most := range map[int]int{1: 1, 2: 3, 3: mostConnections, 6: mostConnections} {
+	for slots, most := range map[int]int{1: 1, 2: 3, 3: maxConnections, 6: maxConnections} {
 		r := newRig(t)
 		only := leafOf("s0", "only", here)
 		only.Slots = slots
