--- a/share/limit/limit.go
+++ b/share/limit/limit.go
@@ -1,173 +1,171 @@
-// Package limit decides how many queries a host has under way for its callers.
+// Package limit implements an adaptive admission limiter with additive increase
+// and multiplicative decrease (AIMD).
 //
-// The load pattern: more is asked for than the leafs can do, because callers
-// come in a crowd or leafs have become slow. Every query has work at every
-// shard, so leafs that are asked for more than they can do serve nobody in time;
-// to turn some queries away at once is what lets the others be in time. A host
-// sees only its own part of the leafs' load, so the limit goes by the outcomes of
-// its own queries and not by queues: it is cut when too many are late and grows
-// with each that is in time (additive increase, multiplicative decrease).
+// It guards against overload: leaves get more queries than they can serve, because
+// of a surge of callers or because leaves have become slow. Every query needs
+// every shard, so overloaded leaves serve no query in time; rejecting some queries
+// early keeps the others in time. A host sees only its own part of the leaves'
+// load, so the limiter uses the outcomes of the host's own queries and not queue
+// lengths. It lowers the limit when too many queries are late and raises it with
+// each query that is in time.
 package limit
 
 import "dandelionstile/share/clock"
 
-// Limiter bounds the queries under way at one host. The zero value lets all in.
+// Limiter bounds the queries in flight at one host. The zero value admits all.
 type Limiter struct {
-	// InFlight is how many queries are under way.
+	// InFlight is the number of queries in flight.
 	InFlight int
-	// limit is how many may be; 0 for no limit.
+	// limit is the maximum number of queries in flight; 0 means no limit.
 	limit float64
-	// late is the smoothed share of queries that were not answered in time.
-	late float64
-	// refused is how many queries in a row were turned away.
-	refused int
-	// cutAt is when the limit was last lowered.
-	cutAt clock.Milli
-	// usual is the smoothed number under way while there is no limit.
-	usual float64
-	// came is when the last query came; pause and usualPause are the smoothed
-	// time between two, of late and usually, in ms.
-	came              clock.Milli
-	pause, usualPause float64
-	// arrivals counts the queries that came.
+	// lateRatio is the smoothed ratio of queries that were not answered in time.
+	lateRatio float64
+	// rejected counts consecutive rejected queries.
+	rejected int
+	// lastDecrease is the time of the last decrease.
+	lastDecrease clock.Milli
+	// baseline is the smoothed number of queries in flight without a limit.
+	baseline float64
+	// lastArrival is the time of the last arrival; interval and baselineInterval
+	// are the short-term and long-term averages of the time between arrivals, in ms.
+	lastArrival                clock.Milli
+	interval, baselineInterval float64
+	// arrivals counts the intervals between arrivals.
 	arrivals float64
 }
 
 const (
-	// lateGain smooths the share of late answers over some twelve: a second's
-	// worth at an ordinary host.
-	lateGain = 1.0 / 12
-	// lateSome is the share of late answers from which on, in a crowd, queries
-	// beyond the usual number are turned away. Single slow leafs make as many
-	// late, but bring no more queries than usual.
-	lateSome = 0.25
-	// crowd is how many times as many queries as usual make a crowd. It is more
-	// than what hosts get in addition when some others of them are cut off.
-	crowd = 1.8
-	// pauseGain smooths the time between queries over enough of them to tell a
-	// crowd from chance, and usualPauseGain over several crowds.
-	pauseGain      = 1.0 / 10
-	usualPauseGain = 1.0 / 400
-	// lateMost is the share from which on the usual number is too many: leafs
-	// have lost more of their speed than the queries can do without.
-	lateMost = 0.5
-	// usualGain smooths the usual number over several times the length of a
-	// crowd.
-	usualGain = 1.0 / 200
-	// usualSlack is by how much more than usual is no crowd yet.
-	usualSlack = 1.25
-	// cut is the factor by which the limit falls, at most once in cutPause:
-	// about the time that a query takes, so that the effect of one cut shows
-	// before the next.
-	cut                  = 0.6
-	cutPause clock.Milli = 150
-	// grow is what each answer in time adds: the limit doubles in some three
-	// rounds of queries.
-	grow = 0.35
-	// mostRefused is how many queries in a row are turned away at most.
-	mostRefused = 4
-	// least lets enough queries in to see that the load has gone.
-	least = 2.0
-	// liftSlack is by how much the limit must exceed what is under way to be
-	// lifted: the load has gone.
-	liftSlack = 4.0
+	// lateRatioGain averages over about 12 queries: one second at an average host.
+	lateRatioGain = 1.0 / 12
+	// surgeLateRatio is the ratio of late queries from which a surge is limited.
+	// Single slow leaves make as many queries late, but don't raise the arrival rate.
+	surgeLateRatio = 0.25
+	// surgeFactor is the ratio of the current to the baseline arrival rate that counts
+	// as a surge. It exceeds the growth at the remaining hosts when others are
+	// partitioned.
+	surgeFactor = 1.8
+	// intervalGain averages over enough arrivals to tell a surge from chance,
+	// baselineIntervalGain over several surges.
+	intervalGain         = 1.0 / 10
+	baselineIntervalGain = 1.0 / 400
+	// overloadLateRatio is the ratio of late queries from which the limit may fall below
+	// the baseline: the leaves have lost too much of their speed for it.
+	overloadLateRatio = 0.5
+	// baselineGain averages over several times the length of a surge.
+	baselineGain = 1.0 / 200
+	// surgeHeadroom is the lowest limit during a surge, relative to the baseline.
+	surgeHeadroom = 1.25
+	// decreaseFactor is applied at most once per decreaseInterval. That is about
+	// the duration of a query, so the effect of one decrease shows before the next.
+	decreaseFactor               = 0.6
+	decreaseInterval clock.Milli = 150
+	// increaseStep is the increase per query answered in time: the limit doubles in
+	// about three rounds of queries.
+	increaseStep = 0.35
+	// maxRejected is the maximum number of consecutive rejections.
+	maxRejected = 4
+	// minLimit admits enough queries to detect that the overload has ended.
+	minLimit = 2.0
+	// liftFactor is the ratio of the limit to the queries in flight above which the
+	// limit is removed: the overload has ended.
+	liftFactor = 4.0
 )
 
-// RecordArrival records a query that asks to go under way.
+// RecordArrival records a query that asks for admission.
 func (l *Limiter) RecordArrival(now clock.Milli) {
-	if l.came == 0 {
-		l.came = now
+	if l.lastArrival == 0 {
+		l.lastArrival = now
 		return
 	}
-	pause := float64(now - l.came)
-	l.came = now
-	if l.usualPause == 0 {
-		l.pause, l.usualPause = pause, pause
+	interval := float64(now - l.lastArrival)
+	l.lastArrival = now
+	if l.baselineInterval == 0 {
+		l.interval, l.baselineInterval = interval, interval
 	}
-	l.pause += (pause - l.pause) * pauseGain
+	l.interval += (interval - l.interval) * intervalGain
 	l.arrivals++
-	l.usualPause += (pause - l.usualPause) * max(usualPauseGain, 1/l.arrivals)
+	l.baselineInterval += (interval - l.baselineInterval) * max(baselineIntervalGain, 1/l.arrivals)
 }
 
-// Surge tells whether far more queries come than usual.
-func (l *Limiter) Surge() bool { return l.pause*crowd < l.usualPause }
+// Surge reports whether queries arrive far more often than usual.
+func (l *Limiter) Surge() bool { return l.interval*surgeFactor < l.baselineInterval }
 
-// Admit tells whether one more query goes under way. Of those beyond the limit
-// a part is let in all the same: leafs may be late for another reason than their
-// load, and then to turn callers away helps nobody. Late queries, whose target
-// has passed, are no part of these: they take room from those that can still be
-// in time.
+// Admit reports whether to admit one more query. It admits one of maxRejected+1
+// queries beyond the limit: leaves may be slow for a reason other than their load,
+// and then rejecting callers helps nobody. Late queries, whose target has passed,
+// are never admitted beyond the limit: they take room from queries that can still
+// be in time.
 func (l *Limiter) Admit(late bool) bool {
 	if !l.Active() || float64(l.InFlight) < l.limit {
-		l.refused = 0
+		l.rejected = 0
 		return true
 	}
 	if late {
 		return false
 	}
-	if l.refused++; l.refused > mostRefused {
-		l.refused = 0
+	if l.rejected++; l.rejected > maxRejected {
+		l.rejected = 0
 		return true
 	}
 	return false
 }
 
-// Active tells whether queries are being turned away.
+// Active reports whether a limit is in force.
 func (l *Limiter) Active() bool { return l.limit > 0 }
 
-// Limit is how many queries may be under way; 0 for no limit.
+// Limit returns the maximum number of queries in flight; 0 means no limit.
 func (l *Limiter) Limit() float64 { return l.limit }
 
-// LateRatio is the share of queries of late that were not answered in time.
-func (l *Limiter) LateRatio() float64 { return l.late }
+// LateRatio returns the smoothed ratio of queries that were not answered in time.
+func (l *Limiter) LateRatio() float64 { return l.lateRatio }
 
 // RecordLate records a query that was not answered in time.
 func (l *Limiter) RecordLate(now clock.Milli) {
-	l.late += (1 - l.late) * lateGain
-	l.learn()
-	if now < l.cutAt+cutPause {
+	l.lateRatio += (1 - l.lateRatio) * lateRatioGain
+	l.updateBaseline()
+	if now < l.lastDecrease+decreaseInterval {
 		return
 	}
-	floor := least
+	floor := minLimit
 	switch {
-	case l.late >= lateMost:
-	case l.late >= lateSome && l.Surge():
-		floor = max(least, l.usual*usualSlack)
+	case l.lateRatio >= overloadLateRatio:
+	case l.lateRatio >= surgeLateRatio && l.Surge():
+		floor = max(minLimit, l.baseline*surgeHeadroom)
 	default:
 		return
 	}
-	under := float64(l.InFlight)
-	if under <= floor {
+	inFlight := float64(l.InFlight)
+	if inFlight <= floor {
 		return
 	}
 	if l.Active() {
-		under = min(under, l.limit)
+		inFlight = min(inFlight, l.limit)
 	}
-	l.cutAt = now
-	l.limit = max(floor, under*cut)
+	l.lastDecrease = now
+	l.limit = max(floor, inFlight*decreaseFactor)
 }
 
-// RecordOnTime records one that was.
+// RecordOnTime records a query that was answered in time.
 func (l *Limiter) RecordOnTime() {
-	l.late -= l.late * lateGain
-	l.learn()
+	l.lateRatio -= l.lateRatio * lateRatioGain
+	l.updateBaseline()
 	if !l.Active() {
 		return
 	}
-	l.limit += grow
-	if l.limit > float64(l.InFlight)*liftSlack && l.late < lateSome {
+	l.limit += increaseStep
+	if l.limit > float64(l.InFlight)*liftFactor && l.lateRatio < surgeLateRatio {
 		l.limit = 0
 	}
 }
 
-// learn feeds the usual number under way, while none are turned away.
-func (l *Limiter) learn() {
+// updateBaseline averages the queries in flight while no limit is in force.
+func (l *Limiter) updateBaseline() {
 	if l.Active() {
 		return
 	}
-	gain := usualGain
-	if l.usual == 0 {
+	gain := baselineGain
+	if l.baseline == 0 {
 		gain = 1
 	}
-	l.usual += (float64(l.InFlight) - l.usual) * gain
+	l.baseline += (float64(l.InFlight) - l.baseline) * gain
 }
--- a/share/limit/limit_test.go
+++ b/share/limit/limit_test.go
@@ -8,12 +8,12 @@
 	"dandelionstile/share/clock"
 )
 
-// A day on which one shard of ten is slow now and then: a third of the queries
-// miss their target. That is no overload, and no caller is turned away.
+// A third of the queries miss their target because one shard of ten is slow now
+// and then. That is no overload, and no query may be rejected.
 func TestNoLimitWhileMostAreInTime(t *testing.T) {
 	var l Limiter
 	for i := range 300 {
-		assert.Assert(t, l.Admit(false), "turned away after %d queries", i)
+		assert.Assert(t, l.Admit(false), "rejected after %d queries", i)
 		l.InFlight = 8
 		if i%3 == 0 {
 			l.RecordLate(clock.Milli(i * 50))
@@ -23,9 +23,9 @@
 	}
 }
 
-// Leafs are asked for more than they can do: every query misses its target.
-// Within a second the host lets far fewer under way, but still one in five of
-// those beyond its limit: the leafs may be late for another reason.
+// All queries miss their target because the leaves are overloaded. Within a second
+// the limit falls well below the queries in flight. One in five queries beyond the
+// limit is still admitted, as the leaves may be late for another reason.
 func TestLimitFallsWhenAllAreLate(t *testing.T) {
 	var l Limiter
 	l.InFlight = 20
@@ -34,18 +34,18 @@
 	}
 	assert.Assert(t, l.Active())
 	assert.Assert(t, l.limit <= 10, "limit %.1f", l.limit)
-	let := 0
+	admitted := 0
 	for range 100 {
 		if l.Admit(false) {
-			let++
+			admitted++
 		}
 	}
-	assert.Equal(t, let, 100/(mostRefused+1))
+	assert.Equal(t, admitted, 100/(maxRejected+1))
 }
 
-// The crowd has gone and answers are in time again: nobody is turned away once
-// the queries under way are well below the limit.
-func TestLimitIsLiftedAfterTheCrowd(t *testing.T) {
+// The surge has ended and answers are in time again. The limit is removed once the
+// queries in flight are well below it.
+func TestLimitIsLiftedAfterSurge(t *testing.T) {
 	var l Limiter
 	l.InFlight = 20
 	for i := range 60 {
@@ -55,36 +55,35 @@
 	for range 60 {
 		l.RecordOnTime()
 	}
-	assert.Assert(t, !l.Active(), "limit %.1f, late %.2f", l.limit, l.late)
+	assert.Assert(t, !l.Active(), "limit %.1f, late %.2f", l.limit, l.lateRatio)
 }
 
-// A crowd doubles the queries under way, and four in ten are late: too few for
-// the leafs to be broken, enough for the crowd to be too much. The host goes back
-// towards its usual number, and not below it.
-func TestCrowdIsCutBackToTheUsual(t *testing.T) {
-	l, now := usually(6)
+// A surge doubles the queries in flight, and four in ten are late: too few for a
+// fault of the leaves, enough for overload. The limit falls towards the
+// baseline, and not below it.
+func TestSurgeLowersLimitToBaseline(t *testing.T) {
+	l, now := steady(6)
 	assert.Assert(t, !l.Surge())
 	twoOfFiveLate(l, now, 14, 60, 20)
 	assert.Assert(t, l.Surge())
 	assert.Assert(t, l.Active())
-	assert.Assert(t, l.limit >= 6*usualSlack && l.limit < 14, "limit %.1f", l.limit)
+	assert.Assert(t, l.limit >= 6*surgeHeadroom && l.limit < 14, "limit %.1f", l.limit)
 }
 
-// Some leafs are slow, so that queries stay under way for longer and four in ten
-// are late, while no more come than usual. To turn some away would help none of
-// the others.
-func TestSlowLeafsAreNoCrowd(t *testing.T) {
-	l, now := usually(6)
+// Slow leaves keep queries in flight for longer and make four in ten late, while the
+// arrival rate is unchanged. Rejecting queries would not help the others.
+func TestSlowLeavesAreNoSurge(t *testing.T) {
+	l, now := steady(6)
 	twoOfFiveLate(l, now, 14, 200, 50)
 	assert.Assert(t, !l.Active(), "limit %.1f", l.limit)
 }
 
-// twoOfFiveLate has so many queries come with a pause in ms between two, with as
-// many under way as given; two of five are late.
-func twoOfFiveLate(l *Limiter, now clock.Milli, under, queries int, pause clock.Milli) {
-	l.InFlight = under
+// twoOfFiveLate records queries that arrive at an interval in ms, with a constant
+// number in flight; two of five are late.
+func twoOfFiveLate(l *Limiter, now clock.Milli, inFlight, queries int, interval clock.Milli) {
+	l.InFlight = inFlight
 	for i := range queries {
-		now += pause
+		now += interval
 		l.RecordArrival(now)
 		if i%5 < 2 {
 			l.RecordLate(now)
@@ -94,10 +93,10 @@
 	}
 }
 
-// usually is a limiter after a minute with so many queries under way, twenty a
-// second, and the time.
-func usually(under int) (*Limiter, clock.Milli) {
-	l := &Limiter{InFlight: under}
+// steady returns a limiter after a minute at twenty queries a second with a
+// constant number in flight, and the time.
+func steady(inFlight int) (*Limiter, clock.Milli) {
+	l := &Limiter{InFlight: inFlight}
 	now := clock.Milli(1000)
 	for range 1200 {
 		now += 50
@@ -107,23 +106,23 @@
 	return l, now
 }
 
-// Callers come back while queries are turned away. They may take room below the
-// limit, but are not let in beyond it: each would make another late that can
-// still be in time.
-func TestReturningQueriesAreBoundToo(t *testing.T) {
+// Callers retry late queries while a limit is in force. These are admitted below the
+// limit and never beyond it: each would make another query late that can still be in
+// time.
+func TestLateQueriesAreLimitedToo(t *testing.T) {
 	l := Limiter{limit: 3, InFlight: 3}
-	for range 3 * mostRefused {
+	for range 3 * maxRejected {
 		assert.Assert(t, !l.Admit(true))
 	}
 	l.InFlight = 2
 	assert.Assert(t, l.Admit(true))
 }
 
-// Two of six hosts are cut off, so that the others get half as many callers
-// again, while some leafs are slow and four answers in ten are late. The leafs get
-// no more than usual, and nobody is turned away.
-func TestCallersOfOtherHostsAreNoCrowd(t *testing.T) {
-	l, now := usually(6)
+// Two of six hosts are partitioned, so the others get half as many callers again,
+// while slow leaves make four answers in ten late. The leaves get no more load than
+// usual, and no query may be rejected.
+func TestFailoverIsNoSurge(t *testing.T) {
+	l, now := steady(6)
 	twoOfFiveLate(l, now, 10, 200, 33)
 	assert.Assert(t, !l.Active(), "limit %.1f", l.limit)
 }
