--- a/share/budget/budget.go
+++ b/share/budget/budget.go
@@ -1,38 +1,39 @@
-// Package budget bounds second calls, hedges and retries, to one service; each
-// shard of an index has its own.
+// Package budget bounds the additional calls, hedges and retries, to one service;
+// each shard of an index has its own budget.
 //
-// The load pattern: a service has become slow. Without a bound it is answered with
-// more load, which keeps it slow after the cause is gone.
+// It guards against retry storms: without a bound, hosts respond to a slow service
+// with additional load, which keeps it slow after the cause is gone.
 package budget
 
-// Budget holds the second calls that may be made. Each request earns a part of a
-// call, each second call spends one. It is filled by requests and not by time: a
-// budget that fills with time would, summed over all hosts, allow the most extra
-// load where there is the least real load. An empty budget turns second calls off,
+// Budget holds tokens for additional calls. Each request earns a fraction of a token
+// and each additional call spends one. Requests fill the budget, not time: a budget
+// that fills with time would, summed over all hosts, allow the most additional load
+// when there is the least regular load. An empty budget disables additional calls;
 // it never queues them.
 type Budget struct {
-	// Tokens is how many second calls may be made now.
-	Tokens float64
-	most   float64
-	ratio  float64
-	filled bool
+	// Tokens is the number of additional calls that may be made now.
+	Tokens     float64
+	capacity   float64
+	ratio      float64
+	configured bool
 }
 
-// Configure sets the bounds. A budget starts half full, so that processes that
-// restart together cannot spend their whole reserve at once twice.
-func (b *Budget) Configure(ratio, most float64) {
-	b.ratio, b.most = ratio, most
-	if !b.filled {
-		b.filled = true
-		b.Tokens = most / 2
+// Configure sets the ratio of additional calls to requests and the capacity. A new
+// budget is half full, so that processes that restart together cannot spend their
+// whole reserve twice within a short time.
+func (b *Budget) Configure(ratio, capacity float64) {
+	b.ratio, b.capacity = ratio, capacity
+	if !b.configured {
+		b.configured = true
+		b.Tokens = capacity / 2
 	}
-	b.Tokens = min(b.Tokens, most)
+	b.Tokens = min(b.Tokens, capacity)
 }
 
-// Earn adds what one request earns.
-func (b *Budget) Earn() { b.Tokens = min(b.Tokens+b.ratio, b.most) }
+// Earn adds the tokens for one request.
+func (b *Budget) Earn() { b.Tokens = min(b.Tokens+b.ratio, b.capacity) }
 
-// Spend takes one second call, if there is one.
+// Spend takes one token and reports whether there was one.
 func (b *Budget) Spend() bool {
 	if b.Tokens < 1 {
 		return false
--- a/share/budget/budget_test.go
+++ b/share/budget/budget_test.go
@@ -6,9 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A service turns slow and every request would be asked for twice. Over any run
-// of requests no more second calls are made than the ratio and the reserve allow,
-// however long it was quiet before.
+// A slow service makes every request worth an additional call. The number of
+// additional calls stays within the ratio plus the reserve, however long the service
+// was idle before.
 func TestSecondCallsStayWithinRatioAndReserve(t *testing.T) {
 	const ratio, reserve, requests = 0.2, 10, 1000
 	var b Budget
@@ -27,8 +27,8 @@
 	assert.Assert(t, spent >= ratio*requests-1, "%d", spent)
 }
 
-// All hosts start again at the same moment. A new budget holds half of its
-// reserve, and a smaller part for more hosts takes effect at once.
+// All hosts restart at the same moment. A new budget holds half of its reserve, and
+// a lower capacity, set when there are more hosts, takes effect at once.
 func TestNewBudgetIsHalfFull(t *testing.T) {
 	var b Budget
 	b.Configure(0.2, 10)
