--- a/share/crash/crash.go
+++ b/share/crash/crash.go
@@ -1,63 +1,63 @@
-// Package crash tells which requests bring down the leafs that run them.
+// Package crash detects requests that crash the leaves that run them.
 //
-// Some requests bring down every leaf that begins to run them, and their
-// callers send them again, at any host. Without a memory that hosts share, such
-// a request takes down one leaf after the other for as long as its caller has
-// patience. A host that sees a leaf go down under requests tells the others
-// which ones they were; a request that was at several leafs as they went down
-// is refused everywhere for a while. A request that leafs have answered well of
-// late is not blamed: where many callers send the same, some are at each leaf
-// that dies of something else, and once refused, such a request would be refused
-// for as long as callers go on sending it.
+// Some requests crash every leaf that starts to run them, and their callers retry
+// them at any host. Without a memory that hosts share, such a request takes down one
+// leaf after the other for as long as its caller retries. A host whose leaf goes down
+// reports the requests that were running there to the other hosts; a request that was
+// running on several leaves as they went down is rejected everywhere for a while. A
+// request that leaves have answered successfully in the recent past is not blamed:
+// among many callers that send the same request, some have it on any leaf that dies
+// of another cause, and once rejected it would be rejected for as long as callers
+// keep sending it.
 package crash
 
 import "dandelionstile/share/clock"
 
-// Report says that a request was at a leaf when it went down.
+// Report says that a request was running on a leaf when the leaf went down.
 type Report struct {
 	Fingerprint uint64
 	Leaf        string
-	// Age is how long ago it was seen.
+	// Age is the time since the leaf went down.
 	Age clock.Milli
 }
 
 const (
-	// span is within how long after a broken call the leaf must turn out
-	// to be gone, for the request to be suspected: a leaf that only lost an
-	// answer accepts the next connection.
-	span clock.Milli = 1500
-	// BlockThreshold is at how many leafs that went down a request must have been
-	// to be refused. Two may be chance where leafs die of other causes with
+	// suspectWindow is the longest time between a broken call and the finding that
+	// the leaf is down for which the request is suspected: a leaf that only lost a
+	// reply accepts the next connection.
+	suspectWindow clock.Milli = 1500
+	// BlockThreshold is the number of leaves that must have gone down with a request
+	// for it to be rejected. Two may be chance where leaves die of other causes with
 	// many requests on them.
 	BlockThreshold = 3
-	// ReportTTL is how long reports count, and a request is refused after
-	// the last.
+	// ReportTTL is how long reports count, and how long a request is rejected after
+	// the last report.
 	ReportTTL = 60 * clock.Second
-	// mostReports bounds the memory; beyond it new reports are not kept.
-	mostReports = 4096
-	// ProvenTTL is how long an answer at least speaks for a request, and at most
-	// twice as long. It is several times span, so that what was answered
-	// before a leaf is found down still counts; and short, for a request that new
-	// leafs cannot bear any more.
+	// maxReports bounds the memory; further reports are dropped.
+	maxReports = 4096
+	// ProvenTTL is the least time for which a successful answer clears a request; the
+	// longest is twice that. It is several times suspectWindow, so that an answer
+	// still counts when the leaf is found down, and short, so that a request that new
+	// leaves cannot run is not cleared for long.
 	ProvenTTL = 10 * clock.Second
-	// mostProven bounds the memory for answered requests; with more in ProvenFor
-	// each speaks for a shorter time.
-	mostProven = 4096
-	// mostTold is how many reports one event passes on.
-	mostTold = 16
+	// maxProven bounds the memory for answered requests; with more per ProvenTTL each
+	// is cleared for a shorter time.
+	maxProven = 4096
+	// maxReportsSent is the maximum number of reports sent per leaf that goes down.
+	maxReportsSent = 16
 )
 
-// Tracker remembers which requests were at which leafs as they went down.
+// Tracker remembers which requests were running on which leaves as they went down.
 type Tracker struct {
-	// broken are calls that broke of late, by leaf.
+	// broken holds the recent broken calls by leaf.
 	broken map[string][]brokenCall
-	// seen are the reports by fingerprint and leaf, with when they were seen.
+	// seen holds the time of each report, by fingerprint and leaf.
 	seen  map[uint64]map[string]clock.Milli
 	count int
-	// well are the fingerprints that were answered well since turned, and
-	// provenBefore those of the time before.
-	well, provenBefore map[uint64]bool
-	turned             clock.Milli
+	// proven holds the fingerprints answered successfully since rotatedAt,
+	// provenBefore those of the preceding period.
+	proven, provenBefore map[uint64]bool
+	rotatedAt            clock.Milli
 }
 
 type brokenCall struct {
@@ -65,96 +65,97 @@
 	at          clock.Milli
 }
 
-// RecordBroken notes a call that broke; it becomes a report once the leaf is known gone.
-func (c *Tracker) RecordBroken(now clock.Milli, leaf string, fingerprint uint64) {
-	if c.broken == nil {
-		c.broken = map[string][]brokenCall{}
+// RecordBroken records a broken call; it becomes a report if the leaf is found down.
+func (t *Tracker) RecordBroken(now clock.Milli, leaf string, fingerprint uint64) {
+	if t.broken == nil {
+		t.broken = map[string][]brokenCall{}
 	}
-	list := c.broken[leaf]
-	for len(list) > 0 && now-list[0].at > span {
+	list := t.broken[leaf]
+	for len(list) > 0 && now-list[0].at > suspectWindow {
 		list = list[1:]
 	}
-	c.broken[leaf] = append(list, brokenCall{fingerprint, now})
+	t.broken[leaf] = append(list, brokenCall{fingerprint, now})
 }
 
-// LeafDown takes a leaf as gone and returns the reports that follow from it.
-func (c *Tracker) LeafDown(now clock.Milli, leaf string) []Report {
+// LeafDown records that a leaf is down and returns the resulting reports.
+func (t *Tracker) LeafDown(now clock.Milli, leaf string) []Report {
 	var list []Report
-	for _, b := range c.broken[leaf] {
-		if now-b.at <= span && !c.Proven(now, b.fingerprint) && c.Add(now, b.fingerprint, leaf) && len(list) < mostTold {
+	for _, b := range t.broken[leaf] {
+		if now-b.at <= suspectWindow && !t.Proven(now, b.fingerprint) && t.Add(now, b.fingerprint, leaf) && len(list) < maxReportsSent {
 			list = append(list, Report{Fingerprint: b.fingerprint, Leaf: leaf})
 		}
 	}
-	delete(c.broken, leaf)
+	delete(t.broken, leaf)
 	return list
 }
 
-// RecordAnswer records that a leaf has answered a request well, which takes back
-// what it was blamed for.
-func (c *Tracker) RecordAnswer(now clock.Milli, fingerprint uint64) {
-	c.turn(now)
-	if c.well == nil {
-		c.well = map[uint64]bool{}
+// RecordAnswer records a successful answer, which clears the reports against the
+// request.
+func (t *Tracker) RecordAnswer(now clock.Milli, fingerprint uint64) {
+	t.rotate(now)
+	if t.proven == nil {
+		t.proven = map[uint64]bool{}
 	}
-	c.well[fingerprint] = true
-	c.count -= len(c.seen[fingerprint])
-	delete(c.seen, fingerprint)
+	t.proven[fingerprint] = true
+	t.count -= len(t.seen[fingerprint])
+	delete(t.seen, fingerprint)
 }
 
-// Proven tells whether leafs have answered a request well of late.
-func (c *Tracker) Proven(now clock.Milli, fingerprint uint64) bool {
-	c.turn(now)
-	return c.well[fingerprint] || c.provenBefore[fingerprint]
+// Proven reports whether leaves have answered a request successfully in the recent
+// past.
+func (t *Tracker) Proven(now clock.Milli, fingerprint uint64) bool {
+	t.rotate(now)
+	return t.proven[fingerprint] || t.provenBefore[fingerprint]
 }
 
-// turn forgets what was answered long ago.
-func (c *Tracker) turn(now clock.Milli) {
-	age := now - c.turned
-	if age < ProvenTTL && len(c.well) < mostProven {
+// rotate forgets old successful answers.
+func (t *Tracker) rotate(now clock.Milli) {
+	age := now - t.rotatedAt
+	if age < ProvenTTL && len(t.proven) < maxProven {
 		return
 	}
-	c.provenBefore, c.well, c.turned = c.well, nil, now
+	t.provenBefore, t.proven, t.rotatedAt = t.proven, nil, now
 	if age >= 2*ProvenTTL {
-		c.provenBefore = nil
+		t.provenBefore = nil
 	}
 }
 
-// Add keeps a report and tells whether it was new.
-func (c *Tracker) Add(at clock.Milli, fingerprint uint64, leaf string) bool {
-	if c.seen == nil {
-		c.seen = map[uint64]map[string]clock.Milli{}
+// Add stores a report and reports whether it was new.
+func (t *Tracker) Add(at clock.Milli, fingerprint uint64, leaf string) bool {
+	if t.seen == nil {
+		t.seen = map[uint64]map[string]clock.Milli{}
 	}
-	leafs := c.seen[fingerprint]
-	if leafs == nil {
-		leafs = map[string]clock.Milli{}
-		c.seen[fingerprint] = leafs
+	leaves := t.seen[fingerprint]
+	if leaves == nil {
+		leaves = map[string]clock.Milli{}
+		t.seen[fingerprint] = leaves
 	}
-	if _, known := leafs[leaf]; known || c.count >= mostReports {
+	if _, known := leaves[leaf]; known || t.count >= maxReports {
 		return false
 	}
-	c.count++
-	leafs[leaf] = at
+	t.count++
+	leaves[leaf] = at
 	return true
 }
 
-// Blocked tells whether a request is refused. One that comes again while it is
-// refused is refused for longer.
-func (c *Tracker) Blocked(now clock.Milli, fingerprint uint64) bool {
-	leafs := c.seen[fingerprint]
+// Blocked reports whether a request is rejected. Each retry of a blocked request
+// extends the block.
+func (t *Tracker) Blocked(now clock.Milli, fingerprint uint64) bool {
+	leaves := t.seen[fingerprint]
 	newest := clock.Milli(0)
-	for _, at := range leafs {
+	for _, at := range leaves {
 		newest = max(newest, at)
 	}
-	if len(leafs) > 0 && now-newest > ReportTTL {
-		c.count -= len(leafs)
-		delete(c.seen, fingerprint)
+	if len(leaves) > 0 && now-newest > ReportTTL {
+		t.count -= len(leaves)
+		delete(t.seen, fingerprint)
 		return false
 	}
-	if len(leafs) < BlockThreshold {
+	if len(leaves) < BlockThreshold {
 		return false
 	}
-	for leaf := range leafs {
-		leafs[leaf] = now
+	for leaf := range leaves {
+		leaves[leaf] = now
 	}
 	return true
 }
--- a/share/crash/crash_test.go
+++ b/share/crash/crash_test.go
@@ -11,8 +11,8 @@
 
 const harmful, popular = 7, 8
 
-// A request is at three leafs as they go down. It is refused from then on, for
-// as long as its caller sends it again, and let in again a while after that.
+// A request is running on three leaves as they go down. It is rejected for as long as
+// its caller retries it, and admitted again once it stops for ReportTTL.
 func TestRequestAtThreeLeafsIsRefused(t *testing.T) {
 	var m Tracker
 	now := clock.Milli(1000)
@@ -29,20 +29,20 @@
 	assert.Assert(t, !m.Blocked(now+ReportTTL+1, harmful))
 }
 
-// Leafs lose single answers and live on, or go down long after a call broke:
-// neither is put down to the request.
+// Leaves lose single replies but stay up, or go down long after a broken call. Neither
+// counts against the request.
 func TestBrokenCallAloneIsNoCrash(t *testing.T) {
 	var m Tracker
 	for i := range 2 * BlockThreshold {
 		leaf := fmt.Sprintf("i-%d", i)
 		m.RecordBroken(1000, leaf, harmful)
-		assert.Equal(t, len(m.LeafDown(1000+span+1, leaf)), 0)
+		assert.Equal(t, len(m.LeafDown(1000+suspectWindow+1, leaf)), 0)
 	}
 	assert.Assert(t, !m.Blocked(1000, harmful))
 }
 
-// Many callers send a request that leafs answer well. Leafs that die of something
-// else with it under way do not get it refused.
+// Leaves that go down for another cause are running a request that many callers send
+// and that leaves answer successfully. It is not rejected.
 func TestAnsweredRequestIsNotBlamed(t *testing.T) {
 	var m Tracker
 	m.RecordAnswer(1000, popular)
