--- a/share/rank/rank.go
+++ b/share/rank/rank.go
@@ -1,12 +1,12 @@
-// Package rank turns names into numbers by which hosts order things alike, or
-// each in its own order, without a word between them.
+// Package rank hashes names, so that hosts agree on an order, or each get their own,
+// without coordination.
 package rank
 
 import "hash/fnv"
 
-// Hash hashes the parts of a name, in order (FNV-1a). The same parts give the same
-// number on all hosts and in all versions: hosts of two versions must agree on
-// an order while they run side by side.
+// Hash hashes the concatenated parts of a name (FNV-1a). The hash is the same on all
+// hosts and in all versions: hosts of two versions must agree on an order while they
+// run side by side.
 func Hash(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
@@ -15,12 +15,11 @@
 	return h.Sum64()
 }
 
-// Fraction is a number in [0, 1) for the parts of a name. FNV's high bits hardly
-// change with the last bytes, so they are mixed once more (MurmurHash3's last
-// step): without that, a thousand names that differ at their end all fell below
-// 0.6.
+// Fraction maps the parts of a name to a number in [0, 1). The high bits of FNV hardly
+// change with the last bytes, so the hash is mixed with the finalizer of MurmurHash3:
+// without it, a thousand names that differed in their last bytes were all below 0.6.
 func Fraction(parts ...string) float64 {
-	const bits = 53 // a float64's
+	const bits = 53 // the precision of a float64
 	x := Hash(parts...)
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/share/rank/rank_test.go
+++ b/share/rank/rank_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Hosts of an earlier version order names by the same numbers.
-func TestOfStaysTheSame(t *testing.T) {
+// Hosts of an earlier version order names by the same hashes.
+func TestHashStaysTheSame(t *testing.T) {
 	assert.Equal(t, Hash("a", "b"), uint64(0x089c4407b545986a))
 	assert.Equal(t, Hash("ab"), Hash("a", "b"))
 }
