--- a/share/call/call.go
+++ b/share/call/call.go
@@ -1,22 +1,22 @@
-// Package call holds what passes through the tier unread: a caller's request,
-// a leaf's reply, and what became of one call to a leaf.
+// Package call holds the data that the tier passes through unread: a caller's request,
+// a leaf's reply, and the outcome of one call to a leaf.
 package call
 
 import "net/http"
 
-// Request is a caller's request as it is handed to leafs.
+// Request is a caller's request as it is sent to leaves.
 type Request struct {
-	// ID is the caller's name for this attempt.
+	// ID is the caller's identifier for this attempt.
 	ID     string
 	Method string
-	// Target is the path and query exactly as the caller wrote them.
+	// Target is the path and query exactly as sent by the caller.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
 }
 
-// Path is the target without its query.
+// Path returns the target without its query.
 func (r *Request) Path() string {
 	for i := range len(r.Target) {
 		if r.Target[i] == '?' {
@@ -26,53 +26,56 @@
 	return r.Target
 }
 
-// Reply is a leaf's whole reply.
+// Reply is a leaf's complete reply.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Stamp is the leaf's signature under this reply.
+	// Stamp is the leaf's signature for this reply.
 	Stamp string
-	// Missing names the shards that another host's merged answer lacks.
+	// Missing lists the shards that are missing from another host's merged answer.
 	Missing []string
 }
 
-// Successful tells whether a reply is a success.
+// Successful reports whether the status of a reply is 2xx.
 func (r *Reply) Successful() bool { return r.Status >= 200 && r.Status < 300 }
 
-// Kind is what became of a call.
+// Kind is the outcome of a call.
 type Kind int
 
-// Kinds of ends.
+// The outcomes of a call.
 const (
-	// Answered: the leaf ran the request and its whole reply is here.
+	// Answered means that the leaf ran the request and the whole reply was received.
 	Answered Kind = iota
-	// Shed: the leaf says that it had no room and did not run the request.
+	// Shed means that the leaf rejected the request for lack of capacity and did not
+	// run it.
 	Shed
-	// Foreign: another leaf has the address; it did not run the request.
+	// Foreign means that another leaf listens on the address; it did not run the
+	// request.
 	Foreign
-	// NotSent: no connection could be opened; nothing left this host.
+	// NotSent means that no connection could be opened; nothing was sent.
 	NotSent
-	// Withdrawn: this host gave up before a connection was open; nothing left
-	// it.
+	// Withdrawn means that this host cancelled the call before a connection was open;
+	// nothing was sent.
 	Withdrawn
-	// Full: the leaf ended a new connection before anything was sent on it, as
-	// one does that holds all the connections it accepts.
+	// Full means that the leaf closed a new connection before anything was sent on it,
+	// as a leaf does that has reached its connection limit.
 	Full
-	// Broken: the connection ended, or carried no proper reply, after the
-	// request was sent. It may have run.
+	// Broken means that the connection ended, or carried no valid reply, after the
+	// request was sent. The request may have run.
 	Broken
-	// Cancelled: this host gave up on it after it was sent. It may have run.
+	// Cancelled means that this host cancelled the call after the request was sent. The
+	// request may have run.
 	Cancelled
 )
 
 var kindNames = [...]string{"answered", "shed", "foreign", "not-sent", "withdrawn", "full", "broken", "cancelled"}
 
-// String names the kind as logs and metrics do.
+// String returns the name used in logs and metrics.
 func (k Kind) String() string { return kindNames[k] }
 
-// NotRun tells whether the leaf is known not to have run the request.
+// NotRun reports whether the leaf is known not to have run the request.
 func (k Kind) NotRun() bool { return k == Shed || k == Foreign || k.Unsent() }
 
-// Unsent tells whether nothing of the request left this host.
+// Unsent reports whether no part of the request was sent.
 func (k Kind) Unsent() bool { return k == NotSent || k == Withdrawn || k == Full }
