--- a/share/route/check.go
+++ b/share/route/check.go
@@ -7,13 +7,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrInvalid marks a table that cannot be put in force.
+// ErrInvalid marks a table that cannot be applied.
 var ErrInvalid = errors.New("invalid routes")
 
-// Field is a part of a route or service that a fault is about.
+// Field is the part of a route or service that a fault concerns.
 type Field string
 
-// The fields of a route that can be faulty, and FieldWhole for the route itself.
+// The fields of a route that can be invalid; FieldRoute is the route itself.
 const (
 	FieldRoute      Field = ""
 	FieldHost       Field = "host"
@@ -27,16 +27,16 @@
 	FieldIdempotent Field = "idempotent"
 )
 
-// Fault is one thing wrong with a route.
+// Fault is an error in a route.
 type Fault struct {
-	// Route is the route's place in the table.
+	// Route is the index of the route in the table.
 	Route   int
 	Field   Field
 	Problem string
 }
 
-// Check returns everything that is wrong with a table as one error, each fault
-// with the route or service it is about, or nil.
+// Check returns all faults of a table as one error that names the route or service of
+// each, or nil.
 func (t *Table) Check() error {
 	var found []string
 	for _, f := range Faults(t.Routes) {
@@ -53,14 +53,14 @@
 	return errors.Mark(errors.New(strings.Join(found, "; ")), ErrInvalid)
 }
 
-// Faults returns everything that is wrong with routes, in their order.
+// Faults returns all faults of the routes, in the order of the routes.
 func Faults(routes []Route) []Fault {
 	var c checker
 	type key struct{ host, prefix string }
 	seen := make(map[key]string, len(routes))
 	for i := range routes {
 		r := &routes[i]
-		c.at = i
+		c.index = i
 		c.route(r)
 		k := key{r.Host, r.Prefix}
 		if other, ok := seen[k]; ok {
@@ -72,12 +72,12 @@
 }
 
 type checker struct {
-	at    int
+	index int
 	found []Fault
 }
 
 func (c *checker) fault(field Field, format string, args ...any) {
-	c.found = append(c.found, Fault{Route: c.at, Field: field, Problem: fmt.Sprintf(format, args...)})
+	c.found = append(c.found, Fault{Route: c.index, Field: field, Problem: fmt.Sprintf(format, args...)})
 }
 
 func (c *checker) route(r *Route) {
@@ -95,7 +95,7 @@
 	}
 	switch {
 	case r.Merged() && len(r.Services) > 0:
-		c.fault(FieldRoute, "it names both a service and shards")
+		c.fault(FieldRoute, "both services and shards are set")
 	case r.Merged():
 		c.merged(r)
 	default:
--- a/share/route/route.go
+++ b/share/route/route.go
@@ -1,6 +1,6 @@
-// Package route holds the operators' routes: which requests go to which
-// service or set of shards, and what may be done with them. It decides nothing
-// beyond the match of a request to its route.
+// Package route holds the operators' routes: which requests go to which service or set
+// of shards, and which policy applies to them. Its only decision is the match of a
+// request to its route.
 package route
 
 import (
@@ -12,7 +12,7 @@
 // WeightedService is one of the services that share a route's requests.
 type WeightedService struct {
 	Service string
-	// Weight is the service's part of the requests, relative to the sum.
+	// Weight is the service's share of the requests, relative to the sum of weights.
 	Weight float64
 }
 
@@ -21,33 +21,33 @@
 	Name   string
 	Host   string
 	Prefix string
-	// Idempotent requests may run more than once; all others at most once.
+	// Idempotent requests may run more than once; others run at most once.
 	Idempotent bool
-	// Attempts is how many leafs one request may run on; per shard for a
-	// query over shards.
+	// Attempts is the maximum number of leaves that one request may run on; for a
+	// query over shards it applies to each shard.
 	Attempts int
-	// Timeout is the longest that a caller is kept waiting.
+	// Timeout is the longest time that a caller waits.
 	Timeout clock.Milli
-	// Target is the time within which an answer has its full worth.
+	// Target is the time within which an answer has its full value.
 	Target clock.Milli
 	// Priority orders requests by urgency; 0 is the most urgent.
 	Priority int
-	// Services get the requests one leaf each; empty for a query over shards.
+	// Services each serve whole requests on one leaf; empty for a query over shards.
 	Services []WeightedService
 	// Shards are the services that each answer a part of a query.
 	Shards []string
-	// Top is how many records, the greatest, a merged answer holds.
+	// Top is the maximum number of records in a merged answer; the greatest are kept.
 	Top int
-	// MinShare is the share of the shards without which a query failed.
+	// MinShare is the minimum share of shards; a query with fewer answers fails.
 	MinShare float64
-	// Regions are where the requests may be served; empty means everywhere.
+	// Regions lists where the requests may be served; empty means everywhere.
 	Regions []string
 }
 
-// Merged tells whether the route's answers are put together from shards.
+// Merged reports whether the route's answers are merged from shards.
 func (r *Route) Merged() bool { return len(r.Shards) > 0 }
 
-// Allows tells whether the route's requests may be served in a region.
+// Allows reports whether the route's requests may be served in a region.
 func (r *Route) Allows(region string) bool {
 	if len(r.Regions) == 0 {
 		return true
@@ -60,33 +60,33 @@
 	return false
 }
 
-// MinShards is how many shards an answer must hold to be one.
+// MinShards returns the minimum number of shards in a valid answer.
 func (r *Route) MinShards() int {
 	need := r.MinShare * float64(len(r.Shards))
-	least := int(need)
-	// A share such as 0.9 of 20 is not exact in binary; 18.000000000000004
-	// must not ask for 19.
-	if need-float64(least) > 1e-9 {
-		least++
+	count := int(need)
+	// A share such as 0.9 of 20 is not exact in binary: 18.000000000000004 must not
+	// be rounded up to 19.
+	if need-float64(count) > 1e-9 {
+		count++
 	}
-	return max(1, least)
+	return max(1, count)
 }
 
-// Service is what the operators say of a service.
+// Service is the operators' configuration of a service.
 type Service struct {
 	Name string
-	// HealthPath is where its leafs tell their health.
+	// HealthPath is the path of the leaves' health check.
 	HealthPath string
-	// Connections is how many connections a leaf accepts from all hosts.
+	// Connections is the number of connections that a leaf accepts from all hosts.
 	Connections int
 	// WarmUp is how long a leaf is cold after its start.
 	WarmUp clock.Milli
-	// ColdRate is how many requests a second a cold leaf bears, from all hosts
-	// together; 0 sets no bound.
+	// ColdRate is the number of requests per second that a cold leaf can serve, from
+	// all hosts together; 0 means no limit.
 	ColdRate float64
 }
 
-// Limits bound what a caller may send.
+// Limits bounds the requests of callers.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
@@ -94,7 +94,7 @@
 	IdleTimeout    clock.Milli
 }
 
-// Table is one version of the operators' configuration.
+// Table is one version of the operators' routes.
 type Table struct {
 	Version  uint64
 	Routes   []Route
@@ -102,8 +102,8 @@
 	Limits   Limits
 }
 
-// Match returns the route of a request: of the host's routes, the one with the
-// longest prefix of the path.
+// Match returns the route of a request: the route of the host with the longest matching
+// path prefix.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	var best *Route
 	for i := range t.Routes {
--- a/share/route/route_test.go
+++ b/share/route/route_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func sound() Route {
+func validRoute() Route {
 	return Route{Name: "a", Host: "h", Prefix: "/a/", Idempotent: true, Attempts: 1, Timeout: 1, Shards: []string{"x", "y"}}
 }
 
@@ -23,9 +23,9 @@
 	assert.Assert(t, !ok)
 }
 
-// 0.9 of 20 shards is 18.000000000000004 in binary. Rounded up to 19, an answer
-// with 18 shards would be thrown away although the operators allow it.
-func TestLeastShareIsRoundedUpOnlyWhereItMust(t *testing.T) {
+// 0.9 of 20 shards is 18.000000000000004 in binary. Rounded up to 19, it would fail
+// answers with 18 shards although the operators allow them.
+func TestMinShareIsRoundedUpOnlyWhereItMust(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		share  float64
@@ -39,7 +39,7 @@
 
 func TestEveryFaultOfATableIsFound(t *testing.T) {
 	t.Parallel()
-	good, bad := sound(), sound()
+	good, bad := validRoute(), validRoute()
 	bad.Name, bad.Prefix, bad.Attempts, bad.Idempotent = "b", "a", 0, false
 	table := Table{Routes: []Route{good, bad, good}, Services: map[string]Service{"x": {ColdRate: -1}}}
 	err := table.Check()
