--- a/share/topk/topk.go
+++ b/share/topk/topk.go
@@ -1,5 +1,5 @@
-// Package topk merges unordered lists of records of one size into the greatest
-// of them, in falling order. Records are opaque: they compare byte by byte.
+// Package topk merges unordered lists of fixed-size records into the greatest of them,
+// in descending order. Records are opaque and compared bytewise.
 package topk
 
 import (
@@ -8,17 +8,17 @@
 	"slices"
 )
 
-// RecordSize is the length of a record in bytes. A shorter rest at the end of
-// a list is no record.
+// RecordSize is the length of a record in bytes. A shorter remainder at the end of a
+// list is ignored.
 const RecordSize = 16
 
-// Merge returns the greatest records of all lists, at most k of them, greatest
-// first. Equal records all count.
+// Merge returns the k greatest records of all lists, greatest first. Duplicates are
+// kept.
 func Merge(k int, lists [][]byte) []byte {
 	if k <= 0 {
 		return nil
 	}
-	h := make(smallest, 0, k)
+	h := make(minHeap, 0, k)
 	for _, list := range lists {
 		for len(list) >= RecordSize {
 			h.offer(k, list[:RecordSize])
@@ -29,10 +29,10 @@
 	return slices.Concat(h...)
 }
 
-// smallest is a heap with the smallest kept record on top.
-type smallest [][]byte
+// minHeap is a min-heap of the records kept so far.
+type minHeap [][]byte
 
-func (h *smallest) offer(k int, record []byte) {
+func (h *minHeap) offer(k int, record []byte) {
 	if len(*h) < k {
 		heap.Push(h, record)
 		return
@@ -43,15 +43,15 @@
 	}
 }
 
-func (h smallest) Len() int           { return len(h) }
-func (h smallest) Less(i, j int) bool { return bytes.Compare(h[i], h[j]) < 0 }
-func (h smallest) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h minHeap) Len() int           { return len(h) }
+func (h minHeap) Less(i, j int) bool { return bytes.Compare(h[i], h[j]) < 0 }
+func (h minHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push adds x; it is called by container/heap.
-func (h *smallest) Push(x any) { *h = append(*h, x.([]byte)) }
+func (h *minHeap) Push(x any) { *h = append(*h, x.([]byte)) }
 
 // Pop removes the last element; it is called by container/heap.
-func (h *smallest) Pop() any {
+func (h *minHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
--- a/share/topk/topk_test.go
+++ b/share/topk/topk_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Merge is compared with sorting everything, over lists with equal records and
-// odd ends.
+// Compares Merge with sorting all records, over lists with duplicates and incomplete
+// records at the end.
 func TestMergeEqualsSorting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lists := rapid.SliceOfN(rapid.SliceOfN(rapid.ByteRange(0, 2), 0, 70), 0, 6).Draw(t, "lists")
@@ -29,8 +29,8 @@
 	})
 }
 
-// Merging what others have merged gives the same as merging all at once, which
-// lets a host answer for a part of the shards.
+// Merging merged lists gives the same result as merging all lists at once, so that a
+// host can answer for a part of the shards.
 func TestMergeOfMerges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lists := rapid.SliceOfN(rapid.SliceOfN(rapid.Byte(), 0, 80), 4, 4).Draw(t, "lists")
