--- a/share/proxy/callers.go
+++ b/share/proxy/callers.go
@@ -15,11 +15,11 @@
 	"dandelionstile/share/topk"
 )
 
-// callers are the requests whose callers wait for an answer.
+// callers holds the requests whose callers wait for an answer.
 type callers struct {
 	mu      sync.Mutex
 	waiting map[uint64]chan router.Answer
-	over    bool
+	closed  bool
 }
 
 func (c *callers) add(query uint64) chan router.Answer {
@@ -29,7 +29,7 @@
 	if c.waiting == nil {
 		c.waiting = map[uint64]chan router.Answer{}
 	}
-	if c.over {
+	if c.closed {
 		answer <- router.Answer{Query: query, Refusal: router.NoConfig}
 		return answer
 	}
@@ -52,37 +52,37 @@
 	}
 }
 
-// abandon gives all that wait their last answer.
-func (c *callers) abandon() {
+// closeAll sends a final answer to all waiting callers and rejects new ones.
+func (c *callers) closeAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.over = true
+	c.closed = true
 	for query, answer := range c.waiting {
 		delete(c.waiting, query)
 		answer <- router.Answer{Query: query, Refusal: router.Failed}
 	}
 }
 
-// serve takes one caller's request and writes its answer.
-func (t *Server) serve(w http.ResponseWriter, r *http.Request) {
-	t.take(w, r, router.Arrive{Wait: t.wait(r), Remote: r.RemoteAddr})
+// serve handles a caller's request.
+func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
+	s.submit(w, r, router.Arrive{Wait: s.remaining(r), Remote: r.RemoteAddr})
 }
 
-// serveForwarded takes a request that another host has from a caller, or one for
-// what this host knows.
-func (t *Server) serveForwarded(w http.ResponseWriter, r *http.Request) {
-	if t.Mirror != nil && mirror.IsRead(r) {
-		t.Mirror.Serve(t.Clock, t.stop, w, r)
+// serveForwarded handles a request that another host forwards, or a read of this host's
+// mirror.
+func (s *Server) serveForwarded(w http.ResponseWriter, r *http.Request) {
+	if s.Mirror != nil && mirror.IsRead(r) {
+		s.Mirror.Serve(s.Clock, s.stop, w, r)
 		return
 	}
 	target, err := strconv.ParseInt(r.Header.Get(httpc.HeaderForwardTarget), 10, 64)
 	if err != nil {
-		t.text(w, http.StatusBadRequest, "no proper "+httpc.HeaderForwardTarget)
+		s.writeText(w, http.StatusBadRequest, "missing or invalid "+httpc.HeaderForwardTarget)
 		return
 	}
 	version, err := strconv.ParseUint(r.Header.Get(httpc.HeaderForwardVersion), 10, 64)
 	if err != nil {
-		t.text(w, http.StatusBadRequest, "no proper "+httpc.HeaderForwardVersion)
+		s.writeText(w, http.StatusBadRequest, "missing or invalid "+httpc.HeaderForwardVersion)
 		return
 	}
 	shards := strings.Split(r.Header.Get(httpc.HeaderForwardShards), ",")
@@ -91,80 +91,80 @@
 	r.Header.Del(httpc.HeaderForwardShards)
 	r.Header.Del(httpc.HeaderForwardTarget)
 	r.Header.Del(httpc.HeaderForwardVersion)
-	t.take(w, r, router.Arrive{
-		Wait: t.wait(r), Remote: r.RemoteAddr, Forwarded: true, Shards: shards, Target: clock.Milli(target), Version: version,
+	s.submit(w, r, router.Arrive{
+		Wait: s.remaining(r), Remote: r.RemoteAddr, Forwarded: true, Shards: shards, Target: clock.Milli(target), Version: version,
 		Late: late,
 	})
 }
 
-// take has a request decided on and writes its answer.
-func (t *Server) take(w http.ResponseWriter, r *http.Request, a router.Arrive) {
-	began := t.Clock.Now()
-	t.busy.Add(1)
-	defer t.busy.Add(-1)
+// submit sends a request to the control loop and writes its answer.
+func (s *Server) submit(w http.ResponseWriter, r *http.Request, a router.Arrive) {
+	start := s.Clock.Now()
+	s.inFlight.Add(1)
+	defer s.inFlight.Add(-1)
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		// The caller has gone away, or its body was no proper one.
-		t.Log.Warn().Err(err).Str("remote", r.RemoteAddr).Msg("request-unreadable")
-		t.text(w, http.StatusBadRequest, "the body cannot be read")
+		// The caller has closed the connection, or the body is malformed.
+		s.Log.Warn().Err(err).Str("remote", r.RemoteAddr).Msg("request-unreadable")
+		s.writeText(w, http.StatusBadRequest, "cannot read the request body")
 		return
 	}
-	if limit := t.server.BodyLimit(); !a.Forwarded && len(body) > limit {
-		t.text(w, http.StatusRequestEntityTooLarge, "the body is over "+strconv.Itoa(limit)+" bytes")
+	if limit := s.server.BodyLimit(); !a.Forwarded && len(body) > limit {
+		s.writeText(w, http.StatusRequestEntityTooLarge, "the request body exceeds "+strconv.Itoa(limit)+" bytes")
 		return
 	}
-	request := t.request(r, body)
+	request := s.leafRequest(r, body)
 	if request.ID == "" {
-		t.text(w, http.StatusBadRequest, "the request has no "+t.Settings.Dialect.RequestID)
+		s.writeText(w, http.StatusBadRequest, "the request has no "+s.Settings.Dialect.RequestID)
 		return
 	}
-	a.Query = t.queries.Add(1)
+	a.Query = s.queries.Add(1)
 	a.Request = request
 	if r.Context().Err() != nil {
-		return // the caller left before its request had a turn
+		return // the caller disconnected before the request was submitted
 	}
-	waiting := t.callers.add(a.Query)
-	defer t.callers.remove(a.Query)
-	t.post(a)
+	waiting := s.callers.add(a.Query)
+	defer s.callers.remove(a.Query)
+	s.post(a)
 	var answer router.Answer
 	select {
 	case answer = <-waiting:
 	case <-r.Context().Done():
-		t.post(router.CallerGone{Query: a.Query})
+		s.post(router.CallerGone{Query: a.Query})
 		return
 	}
 	if a.Forwarded {
-		t.relayHeaders(w, answer, t.Clock.Now()-began)
+		s.setForwardHeaders(w, answer, s.Clock.Now()-start)
 	}
-	t.write(w, r, answer)
+	s.writeAnswer(w, r, answer)
 }
 
-// relayHeaders tell the other host how long the work took, and of a refusal
-// that the request has not run.
-func (t *Server) relayHeaders(w http.ResponseWriter, a router.Answer, worked clock.Milli) {
-	w.Header()[httpc.HeaderForwardProcessingTime] = []string{strconv.FormatInt(int64(worked), 10)}
+// setForwardHeaders sets the headers for the forwarding host: the processing time, the
+// missing shards and, for a refusal, that the request has not run.
+func (s *Server) setForwardHeaders(w http.ResponseWriter, a router.Answer, duration clock.Milli) {
+	w.Header()[httpc.HeaderForwardProcessingTime] = []string{strconv.FormatInt(int64(duration), 10)}
 	if a.Merged != nil && len(a.Merged.Missing) > 0 {
 		w.Header()[httpc.HeaderForwardMissing] = []string{strings.Join(a.Merged.Missing, ",")}
 	}
 	switch a.Refusal {
 	case router.NoConfig, router.NoRoute, router.NoLeaf, router.NoRoom, router.Harmful, router.Stale:
-		w.Header()[t.Settings.Dialect.NotRun] = []string{a.Refusal.String()}
+		w.Header()[s.Settings.Dialect.NotRun] = []string{a.Refusal.String()}
 	default:
 	}
 }
 
-func (t *Server) wait(r *http.Request) clock.Milli {
-	ms, err := strconv.ParseInt(r.Header.Get(t.Settings.Dialect.Deadline), 10, 64)
+func (s *Server) remaining(r *http.Request) clock.Milli {
+	ms, err := strconv.ParseInt(r.Header.Get(s.Settings.Dialect.Deadline), 10, 64)
 	if err != nil || ms < 0 {
-		return 0 // not told, or in no form that can be read
+		return 0 // the header is missing or malformed
 	}
 	return clock.Milli(ms)
 }
 
-// request takes over what leafs are sent of a caller's request.
-func (t *Server) request(r *http.Request, body []byte) *call.Request {
+// leafRequest returns the part of a caller's request that is sent to leaves.
+func (s *Server) leafRequest(r *http.Request, body []byte) *call.Request {
 	target := r.RequestURI
-	// nbhttp fills in the host; some callers send the absolute form.
+	// nbhttp sets the host; some callers send the absolute form.
 	if rest, ok := strings.CutPrefix(target, "http://"); ok {
 		_, path, _ := strings.Cut(rest, "/")
 		target = "/" + path
@@ -175,16 +175,16 @@
 	}
 	h := r.Header.Clone()
 	stripConnection(h)
-	for _, name := range []string{"Host", "Content-Length", "Expect", t.Settings.Dialect.Deadline, t.Settings.Dialect.ExpectLeaf} {
+	for _, name := range []string{"Host", "Content-Length", "Expect", s.Settings.Dialect.Deadline, s.Settings.Dialect.ExpectLeaf} {
 		h.Del(name)
 	}
 	return &call.Request{
-		ID: r.Header.Get(t.Settings.Dialect.RequestID), Method: r.Method, Target: target,
+		ID: r.Header.Get(s.Settings.Dialect.RequestID), Method: r.Method, Target: target,
 		Host: host, Header: h, Body: body,
 	}
 }
 
-// connectionHeaders concern one connection only (RFC 9110, section 7.6.1).
+// connectionHeaders apply to a single connection (RFC 9110, section 7.6.1).
 var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
@@ -201,31 +201,31 @@
 	}
 }
 
-// write sends an answer.
-func (t *Server) write(w http.ResponseWriter, r *http.Request, a router.Answer) {
+// writeAnswer writes an answer.
+func (s *Server) writeAnswer(w http.ResponseWriter, r *http.Request, a router.Answer) {
 	switch {
 	case a.Reply != nil:
-		t.forward(w, a.Reply)
+		s.writeReply(w, a.Reply)
 	case a.Merged != nil:
-		t.merged(w, r, a.Merged)
+		s.writeMerged(w, r, a.Merged)
 	default:
-		t.refused(w, a)
+		s.writeRefusal(w, a)
 	}
 }
 
-func (t *Server) head(w http.ResponseWriter, status, length int) {
+func (s *Server) writeHeader(w http.ResponseWriter, status, length int) {
 	w.Header().Set("Content-Length", strconv.Itoa(length))
-	if t.leaving.Load() {
+	if s.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	w.WriteHeader(status)
 }
 
-// forward hands a leaf's reply on as it is.
-func (t *Server) forward(w http.ResponseWriter, reply *call.Reply) {
+// writeReply writes a leaf's reply unchanged.
+func (s *Server) writeReply(w http.ResponseWriter, reply *call.Reply) {
 	if http.StatusText(reply.Status) == "" {
-		// nbhttp cannot write a status without a name and would make it 200.
-		t.text(w, http.StatusBadGateway, "the leaf answered with an unknown status")
+		// nbhttp cannot write a status without a text and would send 200 instead.
+		s.writeText(w, http.StatusBadGateway, "the leaf replied with an unknown status")
 		return
 	}
 	h := w.Header()
@@ -233,12 +233,12 @@
 		h[name] = values
 	}
 	stripConnection(h)
-	t.head(w, reply.Status, len(reply.Body))
-	_, _ = w.Write(reply.Body) // a caller that is gone is no fault of ours
+	s.writeHeader(w, reply.Status, len(reply.Body))
+	_, _ = w.Write(reply.Body) // the caller may have disconnected
 }
 
-func (t *Server) merged(w http.ResponseWriter, r *http.Request, m *router.Merged) {
-	d := &t.Settings.Dialect
+func (s *Server) writeMerged(w http.ResponseWriter, r *http.Request, m *router.Merged) {
+	d := &s.Settings.Dialect
 	stamps := make([]string, len(m.Parts))
 	lists := make([][]byte, len(m.Parts))
 	for i, p := range m.Parts {
@@ -251,30 +251,30 @@
 	h[d.PartStamps] = []string{strings.Join(stamps, ", ")}
 	h[d.MissingShards] = []string{strconv.Itoa(len(m.Missing))}
 	h["Content-Type"] = []string{"application/octet-stream"}
-	t.head(w, http.StatusOK, len(body))
-	_, _ = w.Write(body) // a caller that is gone is no fault of ours
+	s.writeHeader(w, http.StatusOK, len(body))
+	_, _ = w.Write(body) // the caller may have disconnected
 }
 
-// refused tells the caller why there is no answer. 503 says that the request
-// has not run; the others leave it open.
-func (t *Server) refused(w http.ResponseWriter, a router.Answer) {
+// writeRefusal writes the reason for a refusal. 503 means that the request has not
+// run; the other codes leave that open.
+func (s *Server) writeRefusal(w http.ResponseWriter, a router.Answer) {
 	if a.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(float64(a.RetryAfter)/float64(clock.Second), 'f', 3, 64))
 	}
 	switch a.Refusal {
 	case router.NoRoute:
-		t.text(w, http.StatusNotFound, "no route")
+		s.writeText(w, http.StatusNotFound, "no route")
 	case router.NoConfig, router.NoLeaf, router.NoRoom, router.Harmful, router.Stale:
-		t.text(w, http.StatusServiceUnavailable, "not run: "+a.Refusal.String())
+		s.writeText(w, http.StatusServiceUnavailable, "not run: "+a.Refusal.String())
 	case router.Late:
-		t.text(w, http.StatusGatewayTimeout, "no answer in time")
+		s.writeText(w, http.StatusGatewayTimeout, "no answer in time")
 	default:
-		t.text(w, http.StatusBadGateway, "no proper answer from the leafs")
+		s.writeText(w, http.StatusBadGateway, "no valid reply from the leaves")
 	}
 }
 
-func (t *Server) text(w http.ResponseWriter, status int, body string) {
+func (s *Server) writeText(w http.ResponseWriter, status int, body string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	t.head(w, status, len(body)+1)
-	_, _ = io.WriteString(w, body+"\n") // a caller that is gone is no fault of ours
+	s.writeHeader(w, status, len(body)+1)
+	_, _ = io.WriteString(w, body+"\n") // the caller may have disconnected
 }
--- a/share/proxy/notes.go
+++ b/share/proxy/notes.go
@@ -9,16 +9,16 @@
 	"dandelionstile/share/router"
 )
 
-// mostNamed bounds how many missing shards a line names.
-const mostNamed = 8
+// maxMissingLogged is the maximum number of missing shards in a log line.
+const maxMissingLogged = 8
 
-// note writes a decision to the log and counts it.
-func (t *Server) note(n router.Note) {
+// note logs a decision and counts it.
+func (s *Server) note(n router.Note) {
 	level := zerolog.InfoLevel
 	if n.Kind.Failure() {
 		level = zerolog.WarnLevel
 	}
-	line := t.Log.WithLevel(level)
+	line := s.Log.WithLevel(level)
 	text(line, "request", n.Request)
 	text(line, "route", n.Route)
 	text(line, "service", n.Service)
@@ -49,10 +49,10 @@
 		line.Float64("budget-left", n.BudgetLeft)
 	}
 	if len(n.Missing) > 0 {
-		line.Array("missing", misses(n.Missing[:min(len(n.Missing), mostNamed)]))
+		line.Array("missing", missingShards(n.Missing[:min(len(n.Missing), maxMissingLogged)]))
 	}
 	line.Msg(n.Kind.String())
-	t.count(n)
+	s.count(n)
 }
 
 func text(line *zerolog.Event, key, value string) {
@@ -67,38 +67,38 @@
 	}
 }
 
-type misses []router.MissingShard
+type missingShards []router.MissingShard
 
-// MarshalZerologArray writes each shard as service, leaf and cause.
-func (m misses) MarshalZerologArray(a *zerolog.Array) {
+// MarshalZerologArray writes the service, leaf and cause of each shard.
+func (m missingShards) MarshalZerologArray(a *zerolog.Array) {
 	for _, one := range m {
 		a.Str(one.Service + " " + one.Leaf + " " + one.Cause)
 	}
 }
 
-// count keeps the counters. Their labels come from fixed lists and from the
-// operators' routes, never from callers.
-func (t *Server) count(n router.Note) {
-	t.Meter.Count("decisions", 1, meter.Label{Name: "kind", Value: n.Kind.String()})
+// count updates the metrics. Their labels come from fixed lists and the operators'
+// routes, never from callers.
+func (s *Server) count(n router.Note) {
+	s.Meter.Count("decisions", 1, meter.Label{Name: "kind", Value: n.Kind.String()})
 	switch n.Kind {
 	case router.NoteAnswered, router.NotePartial:
-		t.Meter.Latency("answer_time", n.Took.Duration(), meter.Label{Name: "route", Value: n.Route})
-		t.Meter.Count("extra_calls", int64(n.Extra))
+		s.Meter.Latency("answer_time", n.Took.Duration(), meter.Label{Name: "route", Value: n.Route})
+		s.Meter.Count("extra_calls", int64(n.Extra))
 	case router.NoteRefused:
-		t.Meter.Count("refusals", 1,
+		s.Meter.Count("refusals", 1,
 			meter.Label{Name: "route", Value: n.Route}, meter.Label{Name: "reason", Value: n.Refusal.String()})
 	}
 }
 
-// ended counts calls to leafs by where the leaf stands and how they ended.
-func (t *Server) ended(c router.CallEnded) {
+// countCall counts a finished call to a leaf by failure domain and outcome.
+func (s *Server) countCall(c router.CallEnded) {
 	domain := meter.Label{Name: "domain", Value: c.Domain}
-	t.Meter.Count("leaf_calls", 1, domain, meter.Label{Name: "end", Value: c.Kind.String()})
-	t.Meter.Latency("leaf_call_time", c.Took.Duration(), domain)
+	s.Meter.Count("leaf_calls", 1, domain, meter.Label{Name: "end", Value: c.Kind.String()})
+	s.Meter.Latency("leaf_call_time", c.Took.Duration(), domain)
 }
 
-// refusedUnread tells of a request outside the operators' limits.
-func (t *Server) refusedUnread(remote string, status int) {
-	t.Log.Warn().Str("remote", remote).Int("status", status).Msg("request-outside-limits")
-	t.Meter.Count("outside_limits", 1, meter.Label{Name: "status", Value: strconv.Itoa(status)})
+// rejectedUnread logs and counts a request that exceeds the operators' limits.
+func (s *Server) rejectedUnread(remote string, status int) {
+	s.Log.Warn().Str("remote", remote).Int("status", status).Msg("request-outside-limits")
+	s.Meter.Count("outside_limits", 1, meter.Label{Name: "status", Value: strconv.Itoa(status)})
 }
--- a/share/proxy/peers.go
+++ b/share/proxy/peers.go
@@ -14,68 +14,68 @@
 	"dandelionstile/share/router"
 )
 
-// peers exchanges datagrams with other hosts and tells which of them are there.
+// peers exchanges datagrams with other hosts and reports which of them are alive.
 type peers struct {
-	tell func([]router.Peer)
+	onChange func([]router.Peer)
 
-	tier *Server
-	conn *net.UDPConn
-	done sync.WaitGroup
-	stop chan struct{}
+	server *Server
+	conn   *net.UDPConn
+	done   sync.WaitGroup
+	stop   chan struct{}
 
 	mu   sync.Mutex
 	list member.List
-	// reported is the version of the list that was reported last.
+	// reported is the version of the last reported list.
 	reported   uint64
 	reportedAt clock.Milli
-	// sharedAt is when crash reports were last published.
-	sharedAt clock.Milli
-	// planned is when the next round is planned, and wake has it planned anew.
-	planned clock.Milli
-	wake    chan struct{}
-	// crashes are passed on with each packet of the next rounds.
-	crashes []toldCrash
-	// leafs waits to be told to the hosts of the own failure domain.
-	leafs map[string]report.Leaf
-	flush *time.Timer
+	// publishedAt is the time when crash reports were last published.
+	publishedAt clock.Milli
+	// nextRound is the time of the next round; wake reschedules it.
+	nextRound clock.Milli
+	wake      chan struct{}
+	// crashReports are sent with the packets of the next rounds.
+	crashReports []queuedCrash
+	// leafReports holds the load reports for the hosts of the same failure domain.
+	leafReports map[string]report.Leaf
+	flush       *time.Timer
 }
 
-// datagram is the largest datagram taken, in bytes.
-const datagram = 8 << 10
+// maxDatagram is the size of the largest accepted datagram, in bytes.
+const maxDatagram = 8 << 10
 
-func (p *peers) start(t *Server) error {
-	address, err := netip.ParseAddrPort(t.Settings.GossipAddress)
+func (p *peers) start(server *Server) error {
+	address, err := netip.ParseAddrPort(server.Settings.GossipAddress)
 	if err != nil {
 		return errors.Wrap(err, "gossip address")
 	}
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
-		return errors.Wrapf(err, "listen on %s", t.Settings.GossipAddress)
+		return errors.Wrapf(err, "listen on %s", server.Settings.GossipAddress)
 	}
-	p.tier, p.conn, p.stop, p.wake = t, conn, make(chan struct{}), make(chan struct{}, 1)
-	p.list = member.List{Seeds: t.Settings.Seeds, Self: member.Host{
-		GossipAddress: t.Settings.GossipAddress, ForwardAddress: t.Settings.ForwardAddress, Domain: t.Settings.Self.Domain,
-		Capacity: t.Settings.Self.Capacity, Started: uint64(clock.Unix()),
+	p.server, p.conn, p.stop, p.wake = server, conn, make(chan struct{}), make(chan struct{}, 1)
+	p.list = member.List{Seeds: server.Settings.Seeds, Self: member.Host{
+		GossipAddress: server.Settings.GossipAddress, ForwardAddress: server.Settings.ForwardAddress, Domain: server.Settings.Self.Domain,
+		Capacity: server.Settings.Self.Capacity, Started: uint64(clock.Unix()),
 	}}
-	p.done.Go(p.hear)
+	p.done.Go(p.receive)
 	p.done.Go(p.run)
 	return nil
 }
 
-// seeds replaces the hosts to start from.
+// seeds replaces the seed addresses.
 func (p *peers) seeds(list []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.list.Seeds = list
 }
 
-// leave tells the others at once that this host takes no more forwarded requests.
+// leave announces to the other hosts that this host accepts no more forwarded requests.
 func (p *peers) leave() {
 	if p.conn == nil {
 		return
 	}
 	p.mu.Lock()
-	packets := p.list.Leave(p.tier.Clock.Now())
+	packets := p.list.Leave(p.server.Clock.Now())
 	p.mu.Unlock()
 	p.send(packets)
 }
@@ -95,8 +95,8 @@
 	return err
 }
 
-func (p *peers) hear() {
-	buf := make([]byte, datagram)
+func (p *peers) receive() {
+	buf := make([]byte, maxDatagram)
 	for {
 		n, _, err := p.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
@@ -105,38 +105,38 @@
 				return
 			default:
 			}
-			// An answer that a former datagram found no listener; the socket
-			// itself goes on.
+			// An ICMP error for an earlier datagram whose destination had no
+			// listener; the socket remains usable.
 			continue
 		}
 		packet, err := member.Decode(buf[:n])
 		if err != nil {
-			p.tier.Log.Warn().Err(err).Msg("packet-unreadable")
+			p.server.Log.Warn().Err(err).Msg("packet-unreadable")
 			continue
 		}
-		p.take(packet)
+		p.handle(packet)
 	}
 }
 
-// take learns from a packet and answers it.
-func (p *peers) take(packet member.Packet) {
+// handle applies a received packet and sends the replies.
+func (p *peers) handle(packet member.Packet) {
 	p.mu.Lock()
-	answers := p.list.Receive(p.tier.Clock.Now(), packet)
-	sooner := p.next() < p.planned
+	answers := p.list.Receive(p.server.Clock.Now(), packet)
+	sooner := p.next() < p.nextRound
 	p.mu.Unlock()
 	p.send(answers)
 	if len(packet.Crashes) > 0 {
-		p.tier.post(router.CrashReports{List: packet.Crashes})
+		p.server.post(router.CrashReports{List: packet.Crashes})
 	}
 	if len(packet.Leaves) > 0 {
-		p.tier.post(router.LeafReports{List: packet.Leaves})
+		p.server.post(router.LeafReports{List: packet.Leaves})
 	}
 	if sooner {
 		p.wakeUp()
 	}
 }
 
-// wakeUp has the next tick planned anew.
+// wakeUp reschedules the next round.
 func (p *peers) wakeUp() {
 	select {
 	case p.wake <- struct{}{}:
@@ -148,7 +148,7 @@
 	for {
 		p.round()
 		p.report()
-		timer := time.NewTimer(p.pause())
+		timer := time.NewTimer(p.schedule())
 		select {
 		case <-p.stop:
 			timer.Stop()
@@ -160,44 +160,44 @@
 	}
 }
 
-// crashPeriod is the pause between two rounds in which crash reports are published.
-const crashPeriod clock.Milli = 200
+// crashReportInterval is the interval between two rounds that publish crash reports.
+const crashReportInterval clock.Milli = 200
 
-// round sends what is due.
+// round sends the packets that are due.
 func (p *peers) round() {
 	p.mu.Lock()
-	now := p.tier.Clock.Now()
+	now := p.server.Clock.Now()
 	packets := p.list.Tick(now)
-	if len(p.crashes) > 0 && now >= p.sharedAt+crashPeriod {
-		p.sharedAt = now
+	if len(p.crashReports) > 0 && now >= p.publishedAt+crashReportInterval {
+		p.publishedAt = now
 		packets = append(packets, p.list.Gossip(now)...)
 	}
 	p.mu.Unlock()
 	for i := range packets {
-		// The other kinds go to the same few hosts each time.
+		// Packets of other kinds go to the same few hosts each time.
 		if packets[i].Kind == member.Publish {
-			packets[i].Crashes = p.takeCrashes()
+			packets[i].Crashes = p.nextCrashReports()
 		}
 	}
 	p.send(packets)
 }
 
-// pause plans the next round and returns how long nothing is due.
-func (p *peers) pause() time.Duration {
+// schedule schedules the next round and returns the time until then.
+func (p *peers) schedule() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.planned = p.next()
-	return max(1, p.planned-p.tier.Clock.Now()).Duration()
+	p.nextRound = p.next()
+	return max(1, p.nextRound-p.server.Clock.Now()).Duration()
 }
 
-// next is when something is due.
+// next returns the time of the next round.
 func (p *peers) next() clock.Milli {
 	next := p.list.Next()
-	if len(p.crashes) > 0 {
-		next = min(next, p.sharedAt+crashPeriod)
+	if len(p.crashReports) > 0 {
+		next = min(next, p.publishedAt+crashReportInterval)
 	}
 	if p.list.Version() != p.reported {
-		next = min(next, p.reportedAt+reportPause)
+		next = min(next, p.reportedAt+reportInterval)
 	}
 	return next
 }
@@ -206,31 +206,31 @@
 	for _, packet := range packets {
 		body, err := member.Encode(packet)
 		if err != nil {
-			p.tier.Log.Error().Err(err).Msg("packet-not-encoded")
+			p.server.Log.Error().Err(err).Msg("packet-not-encoded")
 			continue
 		}
 		to, err := netip.ParseAddrPort(packet.To)
 		if err != nil {
-			p.tier.Log.Warn().Err(err).Str("peer", packet.To).Msg("peer-address-unreadable")
+			p.server.Log.Warn().Err(err).Str("peer", packet.To).Msg("peer-address-unreadable")
 			continue
 		}
-		// A datagram that is not sent is like one that is lost.
+		// A datagram that cannot be sent counts as lost.
 		_, _ = p.conn.WriteToUDPAddrPort(body, to)
 	}
 }
 
 const (
-	// reportPause is the least time between two reports of the list.
-	reportPause clock.Milli = 100
-	// mostNamedHosts bounds the hosts that a line names.
-	mostNamedHosts = 8
+	// reportInterval is the shortest time between two reports of the list.
+	reportInterval clock.Milli = 100
+	// maxHostsLogged is the maximum number of hosts in a log line.
+	maxHostsLogged = 8
 )
 
-// report passes the list on if it has changed.
+// report reports the list if it has changed.
 func (p *peers) report() {
 	p.mu.Lock()
-	now := p.tier.Clock.Now()
-	if p.list.Version() == p.reported || now < p.reportedAt+reportPause {
+	now := p.server.Clock.Now()
+	if p.list.Version() == p.reported || now < p.reportedAt+reportInterval {
 		p.mu.Unlock()
 		return
 	}
@@ -247,17 +247,17 @@
 	if len(changes) > 0 {
 		p.logChanges(changes, more, len(hosts))
 	}
-	p.tell(list)
+	p.onChange(list)
 }
 
-// logChanges writes one line for the hosts that have come or gone since the last.
+// logChanges logs the hosts that have joined or left since the last report.
 func (p *peers) logChanges(changes []member.Change, more, known int) {
 	names := map[member.State][]string{}
-	named := changes[:min(len(changes), mostNamedHosts)]
+	named := changes[:min(len(changes), maxHostsLogged)]
 	for _, c := range named {
 		names[c.State] = append(names[c.State], c.Host.GossipAddress)
 	}
-	line := p.tier.Log.Info()
+	line := p.server.Log.Info()
 	for state, key := range map[member.State]string{member.Alive: "up", member.Suspect: "up-unsure", member.Dead: "dead", member.Left: "left"} {
 		if len(names[state]) > 0 {
 			line.Strs(key, names[state])
--- a/share/proxy/reports.go
+++ b/share/proxy/reports.go
@@ -10,75 +10,76 @@
 	"dandelionstile/share/report"
 )
 
-// toldCrash is a crash and how often it is still to be passed on.
-type toldCrash struct {
+// queuedCrash is a crash report and how many more times to send it.
+type queuedCrash struct {
 	crash.Report
-	at    clock.Milli
-	times int
+	at        clock.Milli
+	sendsLeft int
 }
 
 const (
-	// crashTimes is how many packets pass a crash on. Whoever hears of it
-	// does the same, so that it reaches all hosts within a few rounds.
-	crashTimes = 6
-	// crashesAtOnce is how many crashes one packet holds at most.
-	crashesAtOnce = 24
-	// mostWaiting bounds the crashes that wait to be passed on.
-	mostWaiting = 256
+	// crashReportSends is the number of packets that carry a crash report. Every host
+	// that receives it does the same, so it reaches all hosts within a few rounds.
+	crashReportSends = 6
+	// maxCrashesPerPacket is the maximum number of crash reports in a packet.
+	maxCrashesPerPacket = 24
+	// maxQueuedCrashes is the maximum number of crash reports that wait to be sent.
+	maxQueuedCrashes = 256
 )
 
-// tellCrashes passes crashes on to other hosts.
-func (p *peers) tellCrashes(list []crash.Report) {
+// queueCrashReports queues crash reports for other hosts.
+func (p *peers) queueCrashReports(list []crash.Report) {
 	if p.conn == nil {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := p.tier.Clock.Now()
+	now := p.server.Clock.Now()
 	for _, s := range list {
-		if len(p.crashes) < mostWaiting {
-			p.crashes = append(p.crashes, toldCrash{s, now - s.Age, crashTimes})
+		if len(p.crashReports) < maxQueuedCrashes {
+			p.crashReports = append(p.crashReports, queuedCrash{s, now - s.Age, crashReportSends})
 		}
 	}
 	p.wakeUp()
 }
 
 const (
-	// newsPause is how long news of leafs is gathered: a few of a host's calls
-	// show the same within this time, and a leaf's pause lasts many times as long.
-	newsPause = 15 * time.Millisecond
-	// newsHosts bounds the hosts that are told at once.
-	newsHosts = 24
-	// newsAtOnce bounds the leafs that one packet tells of.
-	newsAtOnce = 40
+	// leafReportDelay is how long load reports are collected before they are sent:
+	// several of a host's calls show the same within this time, and a leaf stalls for many
+	// times as long.
+	leafReportDelay = 15 * time.Millisecond
+	// maxReportHosts is the maximum number of hosts that get a report at once.
+	maxReportHosts = 24
+	// maxLeavesPerPacket is the maximum number of leaves in a packet.
+	maxLeavesPerPacket = 40
 )
 
-// tellLeafs passes news of leafs on to the hosts of the own failure domain.
-func (p *peers) tellLeafs(list []report.Leaf) {
+// queueLeafReports queues load reports for the hosts of the same failure domain.
+func (p *peers) queueLeafReports(list []report.Leaf) {
 	if p.conn == nil {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.leafs == nil {
-		p.leafs = map[string]report.Leaf{}
+	if p.leafReports == nil {
+		p.leafReports = map[string]report.Leaf{}
 	}
 	for _, n := range list {
-		if len(p.leafs) < newsAtOnce {
-			p.leafs[n.ID] = n
+		if len(p.leafReports) < maxLeavesPerPacket {
+			p.leafReports[n.ID] = n
 		}
 	}
 	if p.flush == nil {
-		p.flush = time.AfterFunc(newsPause, p.sendLeafs)
+		p.flush = time.AfterFunc(leafReportDelay, p.sendLeafReports)
 	}
 }
 
-// sendLeafs sends the news that has been gathered.
-func (p *peers) sendLeafs() {
+// sendLeafReports sends the queued load reports.
+func (p *peers) sendLeafReports() {
 	p.mu.Lock()
-	list := slices.Collect(maps.Values(p.leafs))
-	p.leafs, p.flush = nil, nil
-	packets := p.list.DomainPackets(p.tier.Clock.Now(), newsHosts)
+	list := slices.Collect(maps.Values(p.leafReports))
+	p.leafReports, p.flush = nil, nil
+	packets := p.list.DomainPackets(p.server.Clock.Now(), maxReportHosts)
 	p.mu.Unlock()
 	for i := range packets {
 		packets[i].Leaves = list
@@ -86,22 +87,22 @@
 	p.send(packets)
 }
 
-// takeCrashes are the crashes for one packet.
-func (p *peers) takeCrashes() []crash.Report {
+// nextCrashReports returns the crash reports for one packet.
+func (p *peers) nextCrashReports() []crash.Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := p.tier.Clock.Now()
+	now := p.server.Clock.Now()
 	var list []crash.Report
-	rest := p.crashes[:0]
-	for _, s := range p.crashes {
-		if len(list) < crashesAtOnce {
+	rest := p.crashReports[:0]
+	for _, s := range p.crashReports {
+		if len(list) < maxCrashesPerPacket {
 			list = append(list, crash.Report{Fingerprint: s.Fingerprint, Leaf: s.Leaf, Age: now - s.at})
-			s.times--
+			s.sendsLeft--
 		}
-		if s.times > 0 {
+		if s.sendsLeft > 0 {
 			rest = append(rest, s)
 		}
 	}
-	p.crashes = rest
+	p.crashReports = rest
 	return list
 }
--- /dev/null
+++ b/share/proxy/server.go
@@ -0,0 +1,259 @@
+// Package proxy runs the query tier of one host: it accepts callers' requests, has the
+// router decide on them in a single control loop, sends them to leaves and returns the
+// answers. A dialect sets the names of headers on the wire.
+package proxy
+
+import (
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/rs/zerolog"
+
+	"dandelionstile/share/clock"
+	"dandelionstile/share/httpc"
+	"dandelionstile/share/httpd"
+	"dandelionstile/share/meter"
+	"dandelionstile/share/mirror"
+	"dandelionstile/share/router"
+)
+
+// Settings configures a Server.
+type Settings struct {
+	// CallerAddress is the address that callers connect to.
+	CallerAddress string
+	// GossipAddress and ForwardAddress are the UDP and TCP addresses for other
+	// hosts; empty for a host that works alone.
+	GossipAddress, ForwardAddress string
+	// Seeds are the gossip addresses of the hosts to contact first.
+	Seeds []string
+	// SourceIP is the local IP of connections to leaves.
+	SourceIP string
+	Self     router.HostInfo
+	// Regions maps failure domains to regions.
+	Regions map[string]string
+	Policy  router.Policy
+	Dialect httpc.Dialect
+}
+
+// Server runs on one host. The exported fields are set before Start.
+type Server struct {
+	Settings Settings
+	Log      zerolog.Logger
+	Meter    *meter.Meter
+	Clock    clock.Clock
+	// Mirror serves this host's facts to other hosts; nil disables it.
+	Mirror *mirror.Mirror
+	// Middleware wraps the handlers for requests of callers and other hosts; it may
+	// be nil.
+	Middleware func(http.Handler) http.Handler
+	// OnPeers is called with the other hosts that are alive; it may be nil.
+	OnPeers func([]router.Peer)
+
+	engine   router.Engine
+	pool     httpc.Pool
+	server   httpd.Server
+	forwards httpd.Server
+	peers    peers
+	events   chan router.Event
+	stop     chan struct{}
+	stopped  chan struct{}
+	once     sync.Once
+	queries  atomic.Uint64
+	ready    atomic.Bool
+	leaving  atomic.Bool
+	inFlight atomic.Int64
+	callers  callers
+}
+
+// queueLength is the number of events that may wait for the control loop. Senders block
+// when it is full, which slows callers down and not the loop.
+const queueLength = 4096
+
+// Start opens the listeners and starts the control loop.
+func (s *Server) Start() error {
+	s.engine.Self = s.Settings.Self
+	s.engine.Regions = s.Settings.Regions
+	s.engine.Policy = s.Settings.Policy
+	s.events = make(chan router.Event, queueLength)
+	s.stop = make(chan struct{})
+	s.stopped = make(chan struct{})
+	s.pool = httpc.Pool{Dialect: s.Settings.Dialect, Source: s.Settings.SourceIP, Clock: s.Clock, OnDone: s.callDone, OnProbed: s.probeDone, OnConnRefused: s.connRefused}
+	s.server = httpd.Server{
+		Address: s.Settings.CallerAddress, Handler: s.wrap(s.serve),
+		OnRejected: s.rejectedUnread,
+	}
+	go s.loop()
+	if err := s.server.Start(); err != nil {
+		return err
+	}
+	if s.Settings.GossipAddress == "" {
+		return nil
+	}
+	s.forwards = httpd.Server{Address: s.Settings.ForwardAddress, Handler: s.wrap(s.serveForwarded)}
+	if err := s.forwards.Start(); err != nil {
+		return errors.CombineErrors(err, s.server.Close())
+	}
+	s.peers.onChange = s.peersChanged
+	return s.peers.start(s)
+}
+
+func (s *Server) wrap(h http.HandlerFunc) http.Handler {
+	if s.Middleware == nil {
+		return h
+	}
+	return s.Middleware(h)
+}
+
+// Addr returns the address that callers connect to.
+func (s *Server) Addr() string { return s.server.Addr() }
+
+// Ready reports whether new callers should connect to this host.
+func (s *Server) Ready() bool { return s.ready.Load() && !s.leaving.Load() }
+
+// SetFacts applies a new configuration and inventory.
+func (s *Server) SetFacts(f router.Facts) {
+	if f.Table != nil {
+		l := f.Table.Limits
+		s.server.SetLimits(httpd.Limits{
+			MaxHeaderBytes: l.MaxHeaderBytes, MaxBodyBytes: l.MaxBodyBytes,
+			StallTimeout: l.HeaderTimeout.Duration(), IdleTimeout: l.IdleTimeout.Duration(),
+		})
+	}
+	s.post(f)
+}
+
+func (s *Server) peersChanged(list []router.Peer) {
+	s.post(router.Peers{List: list})
+	if s.OnPeers != nil {
+		s.OnPeers(list)
+	}
+}
+
+// SetSeeds replaces the addresses of the hosts to contact first.
+func (s *Server) SetSeeds(list []string) { s.peers.seeds(list) }
+
+func (s *Server) callDone(d router.Done) { s.post(d) }
+
+func (s *Server) probeDone(p router.ProbeResult) { s.post(p) }
+
+func (s *Server) connRefused(a router.ConnRefused) { s.post(a) }
+
+func (s *Server) post(e router.Event) {
+	select {
+	case s.events <- e:
+	case <-s.stop:
+	}
+}
+
+// loop handles all events; decisions are made nowhere else.
+func (s *Server) loop() {
+	defer close(s.stopped)
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
+	for {
+		s.setTimer(timer)
+		select {
+		case <-s.stop:
+			return
+		case e := <-s.events:
+			s.handle(e)
+			s.drain()
+		case <-timer.C:
+			s.handle(router.Tick{})
+		}
+	}
+}
+
+// drain handles the queued events before the timer is set again.
+func (s *Server) drain() {
+	for {
+		select {
+		case e := <-s.events:
+			s.handle(e)
+		default:
+			return
+		}
+	}
+}
+
+func (s *Server) setTimer(timer *time.Timer) {
+	next := s.engine.Next()
+	if next == 0 {
+		timer.Reset(time.Hour)
+		return
+	}
+	timer.Reset(max(0, (next - s.Clock.Now()).Duration()))
+}
+
+func (s *Server) handle(e router.Event) {
+	for _, a := range s.engine.Handle(s.Clock.Now(), e) {
+		switch a := a.(type) {
+		case router.Send:
+			s.pool.Send(a)
+		case router.Cancel:
+			s.pool.Cancel(a.Call)
+		case router.Forward:
+			s.pool.Forward(a)
+		case router.Preconnect:
+			s.pool.Preconnect(a.Address)
+		case router.Probe:
+			s.pool.Probe(a)
+		case router.CheckConn:
+			s.pool.CheckConn(a)
+		case router.Answer:
+			s.callers.answer(a)
+		case router.SendCrashReports:
+			s.peers.queueCrashReports(a.List)
+		case router.SendLeafReports:
+			s.peers.queueLeafReports(a.List)
+		case router.CallEnded:
+			s.countCall(a)
+		case router.Note:
+			s.note(a)
+		}
+	}
+	s.ready.Store(s.engine.Ready())
+}
+
+const (
+	// balancerDelay is how long callers may still connect after a host has announced
+	// that it leaves: the load balancer polls once a second and removes the host after
+	// the second refusal.
+	balancerDelay = 2500 * time.Millisecond
+	// maxLeaveTime is when requests in flight get a final answer: the platform kills
+	// the process a second later.
+	maxLeaveTime      = 5 * time.Second
+	leavePollInterval = 50 * time.Millisecond
+)
+
+// Leave shuts down gracefully: it reports not ready, announces on each answer that the
+// connection closes, closes idle connections once the load balancer sends no new
+// callers, and returns when no request is in flight or after maxLeaveTime.
+func (s *Server) Leave() {
+	s.leaving.Store(true)
+	s.peers.leave()
+	s.Log.Info().Int64("under-way", s.inFlight.Load()).Msg("leaving")
+	time.Sleep(balancerDelay)
+	for waited := balancerDelay; waited < maxLeaveTime; waited += leavePollInterval {
+		s.server.CloseIdle()
+		if s.inFlight.Load() == 0 && waited > balancerDelay+4*leavePollInterval {
+			break
+		}
+		time.Sleep(leavePollInterval)
+	}
+	s.Log.Info().Int64("under-way", s.inFlight.Load()).Msg("left")
+}
+
+// Close stops everything and waits. Requests in flight get a final answer.
+func (s *Server) Close() error {
+	s.once.Do(func() { close(s.stop) })
+	<-s.stopped
+	s.callers.closeAll()
+	err := s.peers.close()
+	err = errors.CombineErrors(err, s.server.Close())
+	err = errors.CombineErrors(err, s.forwards.Close())
+	return errors.CombineErrors(err, s.pool.Close())
+}
--- a/share/proxy/tier_test.go
+++ b/share/proxy/server_test.go
@@ -25,26 +25,26 @@
 	"dandelionstile/share/router"
 )
 
-// rig is a tier with leafs on loopback.
+// rig is a server with leaves on loopback.
 type rig struct {
-	t     *testing.T
-	tier  *Server
-	leafs []roster.Leaf
-	once  sync.Once
+	t      *testing.T
+	server *Server
+	leaves []roster.Leaf
+	once   sync.Once
 }
 
 func newRig(t *testing.T) *rig {
 	t.Helper()
-	r := &rig{t: t, tier: &Server{
+	r := &rig{t: t, server: &Server{
 		Settings: Settings{CallerAddress: "127.0.0.1:0", Dialect: httpc.DefaultDialect, Self: router.HostInfo{Domain: "d", Region: "r"}, Regions: map[string]string{"d": "r"}},
 		Log:      zerolog.Nop(), Clock: clock.Wall{},
 	}}
-	assert.NilError(t, r.tier.Start())
+	assert.NilError(t, r.server.Start())
 	t.Cleanup(r.close)
 	return r
 }
 
-func (r *rig) close() { r.once.Do(func() { assert.NilError(r.t, r.tier.Close()) }) }
+func (r *rig) close() { r.once.Do(func() { assert.NilError(r.t, r.server.Close()) }) }
 
 // leaf starts a leaf of a service.
 func (r *rig) leaf(service string, h http.HandlerFunc) {
@@ -53,66 +53,66 @@
 		server.CloseClientConnections()
 		server.Close()
 	})
-	r.leafs = append(r.leafs, roster.Leaf{
-		ID: fmt.Sprintf("%s-%d", service, len(r.leafs)), Service: service, Address: server.Listener.Addr().String(), Domain: "d", Slots: 2,
+	r.leaves = append(r.leaves, roster.Leaf{
+		ID: fmt.Sprintf("%s-%d", service, len(r.leaves)), Service: service, Address: server.Listener.Addr().String(), Domain: "d", Slots: 2,
 	})
 }
 
-// open puts the leafs and two routes in force, one over shards s0 and s1.
+// open applies the leaves and two routes, one over shards s0 and s1.
 func (r *rig) open() { r.openWithin(route.Limits{}) }
 
-// openWithin does so with the operators' limits.
+// openWithin does the same with the operators' limits.
 func (r *rig) openWithin(l route.Limits) {
-	r.tier.SetFacts(router.Facts{Leaves: r.leafs, Table: &route.Table{Version: 1, Limits: l, Routes: []route.Route{
+	r.server.SetFacts(router.Facts{Leaves: r.leaves, Table: &route.Table{Version: 1, Limits: l, Routes: []route.Route{
 		{Name: "one", Host: "h", Prefix: "/one/", Idempotent: true, Attempts: 2, Timeout: 8000, Target: 500, Services: []route.WeightedService{{Service: "s0", Weight: 1}}},
 		{Name: "all", Host: "h", Prefix: "/all/", Idempotent: true, Attempts: 2, Timeout: 2000, Target: 500, Shards: []string{"s0", "s1"}, Top: 3, MinShare: 0.5},
 	}}})
 	poll.WaitOn(r.t, func(poll.LogT) poll.Result {
-		if r.tier.Ready() {
+		if r.server.Ready() {
 			return poll.Success()
 		}
 		return poll.Continue("not ready")
 	})
 }
 
-// raw is a caller's own connection.
-type raw struct {
+// callerConn is a caller's TCP connection.
+type callerConn struct {
 	t    *testing.T
 	conn net.Conn
 	in   *bufio.Reader
 }
 
-func (r *rig) dial() *raw { return r.dialTo(r.tier.Addr()) }
+func (r *rig) dial() *callerConn { return r.dialTo(r.server.Addr()) }
 
-func (r *rig) dialTo(address string) *raw {
+func (r *rig) dialTo(address string) *callerConn {
 	conn, err := net.Dial("tcp", address)
 	assert.NilError(r.t, err)
 	r.t.Cleanup(func() { _ = conn.Close() })
 	assert.NilError(r.t, conn.SetDeadline(time.Now().Add(10*time.Second)))
-	return &raw{r.t, conn, bufio.NewReader(conn)}
+	return &callerConn{r.t, conn, bufio.NewReader(conn)}
 }
 
-func (c *raw) say(text string) {
+func (c *callerConn) send(text string) {
 	_, err := io.WriteString(c.conn, strings.ReplaceAll(text, "\n", "\r\n"))
 	assert.NilError(c.t, err)
 }
 
-// heard is an answer.
-type heard struct {
+// response is an answer with its body read.
+type response struct {
 	StatusCode int
 	Header     http.Header
 	Body       string
 	Close      bool
 }
 
-func (c *raw) hear() heard {
+func (c *callerConn) receive() response {
 	c.t.Helper()
 	res, err := http.ReadResponse(c.in, nil)
 	assert.NilError(c.t, err)
 	body, err := io.ReadAll(res.Body)
 	assert.NilError(c.t, err)
 	assert.NilError(c.t, res.Body.Close())
-	return heard{res.StatusCode, res.Header, string(body), res.Close}
+	return response{res.StatusCode, res.Header, string(body), res.Close}
 }
 
 func get(path, id string) string {
@@ -125,8 +125,8 @@
 	_, _ = io.WriteString(w, body)
 }
 
-// A caller's path, headers and body reach the leaf unchanged, and the leaf's
-// answer reaches the caller, over a kept connection.
+// The caller's path, headers and body reach the leaf unchanged, and the leaf's reply
+// reaches the caller, over a persistent connection.
 func TestRequestAndAnswerPassUnchanged(t *testing.T) {
 	r := newRig(t)
 	r.leaf("s0", func(w http.ResponseWriter, q *http.Request) {
@@ -141,19 +141,19 @@
 	})
 	r.open()
 	c := r.dial()
-	c.say("POST /one//a%2Fb?x=1 HTTP/1.1\nHost: h\nRequest-Id: q1\nOwn: mine\nTransfer-Encoding: chunked\n\n3\nabc\n2\nde\n0\n\n")
-	res := c.hear()
+	c.send("POST /one//a%2Fb?x=1 HTTP/1.1\nHost: h\nRequest-Id: q1\nOwn: mine\nTransfer-Encoding: chunked\n\n3\nabc\n2\nde\n0\n\n")
+	res := c.receive()
 	assert.Equal(t, res.Body, "POST /one//a%2Fb?x=1 mine abcde")
 	assert.Equal(t, res.Header.Get("Leaf-Stamp"), "by-s0-0")
 	assert.Equal(t, res.Header.Get("Colour"), "red")
-	c.say("GET /one/x HTTP/1.1\nHost: h\nRequest-Id: q2\nFail: 1\n\n")
-	res = c.hear()
+	c.send("GET /one/x HTTP/1.1\nHost: h\nRequest-Id: q2\nFail: 1\n\n")
+	res = c.receive()
 	assert.Equal(t, res.StatusCode, http.StatusNotFound)
 	assert.Equal(t, res.Header.Get("Leaf-Stamp"), "by-s0-0")
 }
 
-// A query's answer holds the greatest records of its shards and their stamps;
-// with a shard whose leaf breaks off, it says that one is missing.
+// The answer to a query holds the greatest records of its shards and their stamps; if a
+// leaf closes its connection, the answer reports one shard as missing.
 func TestMergedAnswer(t *testing.T) {
 	r := newRig(t)
 	record := func(b byte) string { return strings.Repeat(string(b), 16) }
@@ -166,39 +166,39 @@
 	})
 	r.open()
 	c := r.dial()
-	c.say(get("/all/x", "q1"))
-	res := c.hear()
+	c.send(get("/all/x", "q1"))
+	res := c.receive()
 	assert.Equal(t, res.Body, record('d')+record('c')+record('b'))
 	assert.Equal(t, res.Header.Get("Part-Stamps"), "by-s0-0, by-s1-1")
 	assert.Equal(t, res.Header.Get("Missing-Parts"), "0")
-	c.say(get("/all/broken", "q2"))
-	res = c.hear()
+	c.send(get("/all/broken", "q2"))
+	res = c.receive()
 	assert.Equal(t, res.Body, record('d')+record('a'))
 	assert.Equal(t, res.Header.Get("Part-Stamps"), "by-s0-0")
 	assert.Equal(t, res.Header.Get("Missing-Parts"), "1")
 }
 
-// Before anything is known the caller is told at once that nothing has run and
-// when to come back; an unknown route and a request without an id are refused.
+// Without a configuration the caller is told at once that nothing has run and when to
+// retry; an unknown route and a request without an ID are rejected.
 func TestRefusals(t *testing.T) {
 	r := newRig(t)
 	c := r.dial()
-	c.say(get("/one/x", "q1"))
-	res := c.hear()
+	c.send(get("/one/x", "q1"))
+	res := c.receive()
 	assert.Equal(t, res.StatusCode, http.StatusServiceUnavailable)
 	assert.Assert(t, res.Header.Get("Retry-After") != "")
 	assert.Assert(t, strings.Contains(res.Body, "not run"))
 	r.open()
-	c.say(get("/other/x", "q2"))
-	res = c.hear()
+	c.send(get("/other/x", "q2"))
+	res = c.receive()
 	assert.Equal(t, res.StatusCode, http.StatusNotFound)
-	c.say("GET /one/x HTTP/1.1\nHost: h\n\n")
-	res = c.hear()
+	c.send("GET /one/x HTTP/1.1\nHost: h\n\n")
+	res = c.receive()
 	assert.Equal(t, res.StatusCode, http.StatusBadRequest)
 }
 
-// A caller sends two requests at once and reads late: it gets both answers, in
-// order.
+// A caller that pipelines two requests gets both answers in order, although the first
+// takes longer.
 func TestPipelinedCallerGetsAnswersInOrder(t *testing.T) {
 	r := newRig(t)
 	r.leaf("s0", func(w http.ResponseWriter, q *http.Request) {
@@ -209,13 +209,13 @@
 	})
 	r.open()
 	c := r.dial()
-	c.say(get("/one/x", "q1") + get("/one/x", "q2"))
-	first := c.hear()
-	second := c.hear()
+	c.send(get("/one/x", "q1") + get("/one/x", "q2"))
+	first := c.receive()
+	second := c.receive()
 	assert.Equal(t, first.Body+second.Body, "q1q2")
 }
 
-// endless starts a leaf that works on its one request until it is told to stop.
+// endless starts a leaf that works on a single request until its connection closes.
 func (r *rig) endless(service string) (began, stopped chan struct{}) {
 	began, stopped = make(chan struct{}), make(chan struct{})
 	r.leaf(service, func(_ http.ResponseWriter, q *http.Request) {
@@ -235,42 +235,42 @@
 	}
 }
 
-// A caller waits for eight seconds at most, and closes its connection while a leaf
-// works. The leaf's connection is closed within half a second, long before the
-// request would have ended by itself, so that the leaf can stop.
-func TestLeafIsToldThatTheCallerLeft(t *testing.T) {
+// A caller with a timeout of eight seconds disconnects while a leaf works. The connection
+// to the leaf is closed within half a second, long before the request would time out, so
+// that the leaf can stop.
+func TestCallerDisconnectReachesLeaf(t *testing.T) {
 	r := newRig(t)
 	began, stopped := r.endless("s0")
 	r.open()
 	c := r.dial()
-	c.say(strings.Replace(get("/one/x", "q1"), "1500", "8000", 1))
+	c.send(strings.Replace(get("/one/x", "q1"), "1500", "8000", 1))
 	<-began
 	assert.NilError(t, c.conn.Close())
 	stoppedSoon(t, stopped)
 }
 
-// A caller leaves while its query waits for a slow shard, and its host has handed
-// shards to another one. That host's part of the work ends as well: its caller is
-// the first host, which closes the connection between them.
+// A caller disconnects while its query waits for a slow shard that another host serves.
+// That host stops as well: its caller is the first host, which closes the connection
+// between them.
 func TestForwardedWorkEndsWithTheCaller(t *testing.T) {
 	r := newRig(t)
 	began, stopped := r.endless("s0")
 	r.leaf("s1", func(w http.ResponseWriter, q *http.Request) { sign(w, q, "0123456789abcdef") })
 	r.open()
-	r.tier.forwards = httpd.Server{Address: "127.0.0.1:0", Handler: http.HandlerFunc(r.tier.serveForwarded)}
-	assert.NilError(t, r.tier.forwards.Start())
-	c := r.dialTo(r.tier.forwards.Addr())
-	c.say("GET /all/x HTTP/1.1\nHost: h\nRequest-Id: q1\nDeadline-Ms: 8000\n" +
+	r.server.forwards = httpd.Server{Address: "127.0.0.1:0", Handler: http.HandlerFunc(r.server.serveForwarded)}
+	assert.NilError(t, r.server.forwards.Start())
+	c := r.dialTo(r.server.forwards.Addr())
+	c.send("GET /all/x HTTP/1.1\nHost: h\nRequest-Id: q1\nDeadline-Ms: 8000\n" +
 		httpc.HeaderForwardTarget + ": 7000\n" + httpc.HeaderForwardVersion + ": 1\n" + httpc.HeaderForwardShards + ": s0\n\n")
 	<-began
 	assert.NilError(t, c.conn.Close())
 	stoppedSoon(t, stopped)
 }
 
-// A host is told to leave while a request is under way and another connection
-// is idle. The request gets its answer, with the word that the connection ends;
-// the idle connection is closed; new callers are told not to come.
-func TestLeavingCutsNothing(t *testing.T) {
+// A host leaves while a request is in flight and another connection is idle. The request
+// gets its answer, which announces that the connection closes; the idle connection is
+// closed; Ready turns false.
+func TestLeaveFinishesRequests(t *testing.T) {
 	r := newRig(t)
 	release := make(chan struct{})
 	r.leaf("s0", func(w http.ResponseWriter, q *http.Request) {
@@ -279,51 +279,50 @@
 	})
 	r.open()
 	idle, busy := r.dial(), r.dial()
-	busy.say(strings.Replace(get("/one/x", "q1"), "1500", "8000", 1))
+	busy.send(strings.Replace(get("/one/x", "q1"), "1500", "8000", 1))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if r.tier.busy.Load() == 1 {
+		if r.server.inFlight.Load() == 1 {
 			return poll.Success()
 		}
 		return poll.Continue("not arrived")
 	})
 	left := make(chan struct{})
 	go func() {
-		r.tier.Leave()
+		r.server.Leave()
 		close(left)
 	}()
 	_, err := idle.in.ReadByte()
 	assert.Equal(t, err, io.EOF)
-	assert.Assert(t, !r.tier.Ready())
+	assert.Assert(t, !r.server.Ready())
 	close(release)
-	res := busy.hear()
+	res := busy.receive()
 	assert.Equal(t, res.Body, "whole")
 	assert.Assert(t, res.Close)
 	<-left
 }
 
-// A process ends with a request still under way. Its caller gets a last answer
-// that leaves the outcome open, and not a closed connection.
+// A process ends while a request is in flight. Its caller gets a final answer that leaves
+// open whether the request ran, and not a closed connection.
 func TestCloseAnswersWhatIsUnderWay(t *testing.T) {
 	r := newRig(t)
 	r.leaf("s0", func(_ http.ResponseWriter, q *http.Request) { <-q.Context().Done() })
 	r.open()
 	c := r.dial()
-	c.say(get("/one/x", "q1"))
+	c.send(get("/one/x", "q1"))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if r.tier.busy.Load() == 1 {
+		if r.server.inFlight.Load() == 1 {
 			return poll.Success()
 		}
 		return poll.Continue("not arrived")
 	})
 	time.Sleep(20 * time.Millisecond)
 	go r.close()
-	res := c.hear()
+	res := c.receive()
 	assert.Equal(t, res.StatusCode, http.StatusBadGateway)
 }
 
-// Operators bound what callers may send. A body over the limit and a request
-// that stops half-way are refused with an answer, and no leaf sees them; a body
-// at the limit is served.
+// A body over the operators' limit and an incomplete request are rejected with an answer,
+// and no leaf gets them; a body at the limit is served.
 func TestOperatorsLimitsHold(t *testing.T) {
 	r := newRig(t)
 	var asked atomic.Int64
@@ -346,8 +345,8 @@
 		{"GET /one/x HTTP/1.1\nHost: h\nRequ", http.StatusRequestTimeout},
 	} {
 		caller := r.dial()
-		caller.say(c.text)
-		assert.Equal(t, caller.hear().StatusCode, c.status, "%.60s", c.text)
+		caller.send(c.text)
+		assert.Equal(t, caller.receive().StatusCode, c.status, "%.60s", c.text)
 	}
 	assert.Equal(t, asked.Load(), int64(1))
 }
