--- a/stile/cmds/keys_test.go
+++ b/stile/cmds/keys_test.go
@@ -11,7 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"dandelionstile/share/show"
+	"dandelionstile/share/admin"
 )
 
 // Operators' scripts read these keys. A renamed Go field or a changed tag would
@@ -44,7 +44,7 @@
 		},
 		{
 			command: "explain",
-			value:   show.Query{},
+			value:   admin.Query{},
 			keys: `answered calls extra-attempts id missing missing.reason missing.shard refused
 				service shards snapshot
 				steps steps.at-ms steps.cause steps.event steps.host steps.leaf steps.shard took-ms`,
