--- a/aggregator/core/codec.go
+++ b/aggregator/core/codec.go
@@ -18,7 +18,7 @@
 	out := make([]*wire.ServerAges, len(list))
 	for i, s := range list {
 		out[i] = &wire.ServerAges{Server: s.Server, Granted: s.Granted}
-		for _, l := range s.Leafs {
+		for _, l := range s.Leaves {
 			out[i].Leafs = append(out[i].Leafs, &wire.LeafAge{Leaf: l.Leaf, AgeMs: uint32(l.Age), Known: l.Known})
 		}
 	}
@@ -30,7 +30,7 @@
 	for i, s := range list {
 		out[i] = sched.ServerAges{Server: s.GetServer(), Granted: s.GetGranted()}
 		for _, l := range s.GetLeafs() {
-			out[i].Leafs = append(out[i].Leafs, sched.LeafAge{
+			out[i].Leaves = append(out[i].Leaves, sched.LeafAge{
 				Leaf: l.GetLeaf(), Age: clock.Milli(l.GetAgeMs()), Known: l.GetKnown(),
 			})
 		}
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -286,7 +286,7 @@
 			n.read(a)
 		case syncer.Adopt:
 			n.adopt(a)
-		case syncer.Refuse:
+		case syncer.Reject:
 		}
 	}
 }
--- a/bench/scene/scene.go
+++ b/bench/scene/scene.go
@@ -59,8 +59,8 @@
 // Variants are other settings of single choices, to weigh them.
 func Variants() []Policy {
 	return []Policy{
-		{Name: "least-loaded", Policies: virt.Policies{Fanout: fanout.Policy{Choose: fanout.ChooseLeastLoaded}}},
-		{Name: "random", Policies: virt.Policies{Fanout: fanout.Policy{Choose: fanout.ChooseRandom}}},
+		{Name: "least-loaded", Policies: virt.Policies{Fanout: fanout.Policy{Choice: fanout.ChooseLeastLoaded}}},
+		{Name: "random", Policies: virt.Policies{Fanout: fanout.Policy{Choice: fanout.ChooseRandom}}},
 		{Name: "no-canary", Policies: virt.Policies{Fanout: fanout.Policy{NoCanary: true}}},
 		{Name: "no-hedge", Policies: virt.Policies{Fanout: fanout.Policy{NoHedge: true}}},
 		{Name: "hedge-99", Policies: virt.Policies{Fanout: fanout.Policy{HedgeQuantile: 99}}},
--- a/bench/virt/world.go
+++ b/bench/virt/world.go
@@ -25,7 +25,7 @@
 func Baseline() Policies {
 	return Policies{
 		Fanout: fanout.Policy{
-			Choose: fanout.ChooseRandom, FixedRetries: 3, NoHedge: true, NoCanary: true, NoBackpressure: true,
+			Choice: fanout.ChooseRandom, FixedRetries: 3, NoHedge: true, NoCanary: true, NoBackpressure: true,
 		},
 		Gate: sched.Policy{NoRamp: true, NoFairness: true, Order: sched.OrderOldest, QueuePerSlot: 64},
 	}
--- a/share/dedup/dedup.go
+++ b/share/dedup/dedup.go
@@ -17,8 +17,8 @@
 var (
 	// ErrMalformed means that the text is not a valid id.
 	ErrMalformed = errors.New("malformed id")
-	// ErrTooMany means that the number of ids requested is not between 1 and MaxMint.
-	ErrTooMany = errors.New("number of ids requested is out of range")
+	// ErrCount means that the number of ids requested is not between 1 and MaxMint.
+	ErrCount = errors.New("number of ids requested is out of range")
 )
 
 // Limits of a registry.
@@ -121,7 +121,7 @@
 // Mint returns n new ids.
 func (r *Registry[R]) Mint(now clock.Milli, n int) ([]ID, error) {
 	if n < 1 || n > MaxMint {
-		return nil, ErrTooMany
+		return nil, ErrCount
 	}
 	if r.records == nil {
 		r.records = map[uint64]*record[R]{}
--- a/share/fanout/choose.go
+++ b/share/fanout/choose.go
@@ -76,7 +76,7 @@
 // choose selects a candidate. Nearby ones are preferred; a distant one is chosen if
 // its expected latency is lower despite the longer round trip.
 func (e *Engine) choose(list []candidate) candidate {
-	if e.Policy.Choose == ChooseRandom {
+	if e.Policy.Choice == ChooseRandom {
 		return list[e.Random.IntN(len(list))]
 	}
 	nearest := list[0].rtt
@@ -104,7 +104,7 @@
 	if len(near) == 1 {
 		return near[0]
 	}
-	if e.Policy.Choose == ChooseLeastLoaded {
+	if e.Policy.Choice == ChooseLeastLoaded {
 		best := near[0]
 		for _, c := range near[1:] {
 			if c.latency < best.latency {
--- a/share/fanout/engine.go
+++ b/share/fanout/engine.go
@@ -109,7 +109,7 @@
 // Policy configures the engine; zero fields take the defaults. The benchmark
 // compares policies.
 type Policy struct {
-	Choose Choice
+	Choice Choice
 	// BudgetPercent is the number of extra leaf calls allowed per 100 first calls.
 	BudgetPercent int
 	// HedgeQuantile is the quantile of leaf call times, in percent, after which a
--- a/share/fanout/retry.go
+++ b/share/fanout/retry.go
@@ -81,7 +81,7 @@
 		return candidate{}, false
 	}
 	switch o.Reason {
-	case query.ReasonNotOwner, query.ReasonLeaving, query.ReasonWaking, query.ReasonCold, query.ReasonBusy:
+	case query.ReasonNotOwner, query.ReasonLeaving, query.ReasonSuspended, query.ReasonCold, query.ReasonBusy:
 	default:
 		return candidate{}, false
 	}
@@ -108,7 +108,7 @@
 		return 0, false
 	}
 	switch o.Reason {
-	case query.ReasonCold, query.ReasonWaking, query.ReasonNotOwner, query.ReasonLeaving, query.ReasonBusy:
+	case query.ReasonCold, query.ReasonSuspended, query.ReasonNotOwner, query.ReasonLeaving, query.ReasonBusy:
 	case query.ReasonQueueFull:
 		if q.service.Patience < 100 {
 			return 0, false
--- a/share/node/status.go
+++ b/share/node/status.go
@@ -9,7 +9,7 @@
 // maxRefused is how many refused versions the status lists.
 const maxRefused = 8
 
-func (n *Node) recordRefused(a syncer.Refuse) {
+func (n *Node) recordRefused(a syncer.Reject) {
 	n.refused = append(n.refused, admin.Refused{Key: a.Key, Version: a.Stamp.Version, Reason: a.Err.Error()})
 	if len(n.refused) > maxRefused {
 		n.refused = n.refused[1:]
--- a/share/node/versions.go
+++ b/share/node/versions.go
@@ -34,7 +34,7 @@
 				set, err := n.platform.read(a)
 				n.Post(PlatformRead{syncer.ReadResult{Key: a.Key, Set: set, Err: err}})
 			})
-		case syncer.Refuse:
+		case syncer.Reject:
 			n.recordRefused(a)
 			n.Log.Error().Err(a.Err).Str("key", a.Key).Uint64("version", a.Stamp.Version).
 				Msg("rejected invalid version; keeping the previous one")
--- a/share/proxy/callers.go
+++ b/share/proxy/callers.go
@@ -65,7 +65,7 @@
 
 // serve handles a caller's request.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	s.submit(w, r, router.Arrive{Wait: s.remaining(r), Remote: r.RemoteAddr})
+	s.submit(w, r, router.Arrival{Wait: s.remaining(r), Remote: r.RemoteAddr})
 }
 
 // serveForwarded handles a request that another host forwards, or a read of this host's
@@ -91,14 +91,14 @@
 	r.Header.Del(httpc.HeaderForwardShards)
 	r.Header.Del(httpc.HeaderForwardTarget)
 	r.Header.Del(httpc.HeaderForwardVersion)
-	s.submit(w, r, router.Arrive{
+	s.submit(w, r, router.Arrival{
 		Wait: s.remaining(r), Remote: r.RemoteAddr, Forwarded: true, Shards: shards, Target: clock.Milli(target), Version: version,
 		Late: late,
 	})
 }
 
 // submit sends a request to the control loop and writes its answer.
-func (s *Server) submit(w http.ResponseWriter, r *http.Request, a router.Arrive) {
+func (s *Server) submit(w http.ResponseWriter, r *http.Request, a router.Arrival) {
 	start := s.Clock.Now()
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
@@ -147,7 +147,7 @@
 		w.Header()[httpc.HeaderForwardMissing] = []string{strings.Join(a.Merged.Missing, ",")}
 	}
 	switch a.Refusal {
-	case router.NoConfig, router.NoRoute, router.NoLeaf, router.NoRoom, router.Harmful, router.Stale:
+	case router.NoConfig, router.NoRoute, router.NoLeaf, router.NoCapacity, router.Harmful, router.Stale:
 		w.Header()[s.Settings.Dialect.NotRun] = []string{a.Refusal.String()}
 	default:
 	}
@@ -245,7 +245,7 @@
 		stamps[i] = p.Stamp
 		lists[i] = p.Body
 	}
-	body := topk.Merge(m.Top, lists)
+	body := topk.Merge(m.TopK, lists)
 	h := w.Header()
 	h[d.RequestID] = []string{r.Header.Get(d.RequestID)}
 	h[d.PartStamps] = []string{strings.Join(stamps, ", ")}
@@ -264,7 +264,7 @@
 	switch a.Refusal {
 	case router.NoRoute:
 		s.writeText(w, http.StatusNotFound, "no route")
-	case router.NoConfig, router.NoLeaf, router.NoRoom, router.Harmful, router.Stale:
+	case router.NoConfig, router.NoLeaf, router.NoCapacity, router.Harmful, router.Stale:
 		s.writeText(w, http.StatusServiceUnavailable, "not run: "+a.Refusal.String())
 	case router.Late:
 		s.writeText(w, http.StatusGatewayTimeout, "no answer in time")
--- a/share/proxy/server.go
+++ b/share/proxy/server.go
@@ -180,7 +180,7 @@
 }
 
 func (s *Server) setTimer(timer *time.Timer) {
-	next := s.engine.Next()
+	next := s.engine.NextTick()
 	if next == 0 {
 		timer.Reset(time.Hour)
 		return
--- a/share/proxy/server_test.go
+++ b/share/proxy/server_test.go
@@ -65,7 +65,7 @@
 func (r *rig) openWithin(l route.Limits) {
 	r.server.SetFacts(router.Facts{Leaves: r.leaves, Table: &route.Table{Version: 1, Limits: l, Routes: []route.Route{
 		{Name: "one", Host: "h", Prefix: "/one/", Idempotent: true, Attempts: 2, Timeout: 8000, Target: 500, Services: []route.WeightedService{{Service: "s0", Weight: 1}}},
-		{Name: "all", Host: "h", Prefix: "/all/", Idempotent: true, Attempts: 2, Timeout: 2000, Target: 500, Shards: []string{"s0", "s1"}, Top: 3, MinShare: 0.5},
+		{Name: "all", Host: "h", Prefix: "/all/", Idempotent: true, Attempts: 2, Timeout: 2000, Target: 500, Shards: []string{"s0", "s1"}, TopK: 3, MinShare: 0.5},
 	}}})
 	poll.WaitOn(r.t, func(poll.LogT) poll.Result {
 		if r.server.Ready() {
--- a/share/query/query.go
+++ b/share/query/query.go
@@ -71,7 +71,7 @@
 	ReasonOverload    Reason = "overload"
 	ReasonNotReady    Reason = "not-ready"
 	ReasonLeaving     Reason = "leaving"
-	ReasonWaking      Reason = "waking"
+	ReasonSuspended   Reason = "waking"
 	ReasonCancelled   Reason = "cancelled"
 	ReasonPatience    Reason = "patience"
 	ReasonCrashed     Reason = "crashed-a-server"
--- a/share/route/check.go
+++ b/share/route/check.go
@@ -94,9 +94,9 @@
 		c.fault(FieldTimeout, "timeout %d ms must be above 0", r.Timeout)
 	}
 	switch {
-	case r.Merged() && len(r.Services) > 0:
+	case r.Sharded() && len(r.Services) > 0:
 		c.fault(FieldRoute, "both services and shards are set")
-	case r.Merged():
+	case r.Sharded():
 		c.merged(r)
 	default:
 		c.weights(r)
@@ -110,8 +110,8 @@
 	if r.MinShare < 0 || r.MinShare > 1 {
 		c.fault(FieldMinShare, "least share %g must lie between 0 and 1", r.MinShare)
 	}
-	if r.Top < 0 {
-		c.fault(FieldTop, "top %d must not be negative", r.Top)
+	if r.TopK < 0 {
+		c.fault(FieldTop, "top %d must not be negative", r.TopK)
 	}
 	seen := make(map[string]bool, len(r.Shards))
 	for _, s := range r.Shards {
--- a/share/route/route.go
+++ b/share/route/route.go
@@ -36,16 +36,16 @@
 	Services []WeightedService
 	// Shards are the services that each answer a part of a query.
 	Shards []string
-	// Top is the maximum number of records in a merged answer; the greatest are kept.
-	Top int
+	// TopK is the maximum number of records in a merged answer; the greatest are kept.
+	TopK int
 	// MinShare is the minimum share of shards; a query with fewer answers fails.
 	MinShare float64
 	// Regions lists where the requests may be served; empty means everywhere.
 	Regions []string
 }
 
-// Merged reports whether the route's answers are merged from shards.
-func (r *Route) Merged() bool { return len(r.Shards) > 0 }
+// Sharded reports whether the route's answers are merged from shards.
+func (r *Route) Sharded() bool { return len(r.Shards) > 0 }
 
 // Allows reports whether the route's requests may be served in a region.
 func (r *Route) Allows(region string) bool {
--- a/share/router/arrive.go
+++ b/share/router/arrive.go
@@ -13,7 +13,7 @@
 const defaultWait = 10 * clock.Second
 
 // arrive admits or refuses a request.
-func (e *Engine) arrive(now clock.Milli, a Arrive) {
+func (e *Engine) arrive(now clock.Milli, a Arrival) {
 	q := &query{id: a.Query, request: a.Request, arrived: now, forwarded: a.Forwarded}
 	if e.table == nil {
 		e.refuse(now, q, NoConfig, "no routes are known yet")
@@ -55,7 +55,7 @@
 		local, remote = e.split(now, q)
 	}
 	if !e.acceptsQuery(now, q, local) {
-		e.refuse(now, q, NoRoom, "too few shards can answer in time")
+		e.refuse(now, q, NoCapacity, "too few shards can answer in time")
 		return
 	}
 	if !e.admit(now, q) {
@@ -85,7 +85,7 @@
 // while the limiter refuses queries: their outcome says nothing about queries that
 // can still be in time.
 func (e *Engine) admit(now clock.Milli, q *query) bool {
-	if !q.route.Merged() || q.forwarded {
+	if !q.route.Sharded() || q.forwarded {
 		return true
 	}
 	l := &e.limiter
@@ -94,7 +94,7 @@
 		return true
 	}
 	if !l.Admit(q.late) {
-		e.refuse(now, q, NoRoom, fmt.Sprintf("answers come too late: %d queries are under way, the limit is %.0f", l.InFlight, l.Limit()))
+		e.refuse(now, q, NoCapacity, fmt.Sprintf("answers come too late: %d queries are under way, the limit is %.0f", l.InFlight, l.Limit()))
 		return false
 	}
 	q.counted = true
@@ -104,8 +104,8 @@
 
 // requestedServices returns the services that a request is for; false if another
 // host asks for shards that the route does not have here.
-func (e *Engine) requestedServices(r *route.Route, a Arrive) ([]string, bool) {
-	if !r.Merged() {
+func (e *Engine) requestedServices(r *route.Route, a Arrival) ([]string, bool) {
+	if !r.Sharded() {
 		return []string{e.nextService(r)}, !a.Forwarded
 	}
 	if !a.Forwarded {
@@ -121,7 +121,7 @@
 
 // setDeadlines sets the query's target and deadline, and returns the estimated
 // time between the caller's first attempt and the request's arrival.
-func (e *Engine) setDeadlines(now clock.Milli, q *query, a Arrive) clock.Milli {
+func (e *Engine) setDeadlines(now clock.Milli, q *query, a Arrival) clock.Milli {
 	r := q.route
 	wait := a.Wait
 	if wait <= 0 {
@@ -206,7 +206,7 @@
 	switch {
 	case q.forwarded:
 		need = 0
-	case q.route.Merged():
+	case q.route.Sharded():
 		need = q.route.MinShards()
 	}
 	if reachable >= need {
--- a/share/router/done.go
+++ b/share/router/done.go
@@ -161,7 +161,7 @@
 	if r.Successful() {
 		return true
 	}
-	if q.route.Merged() {
+	if q.route.Sharded() {
 		return false
 	}
 	serverFault := r.Status >= 500
--- a/share/router/engine.go
+++ b/share/router/engine.go
@@ -103,7 +103,7 @@
 	e.actions = nil
 	e.detectStall(now)
 	switch ev := ev.(type) {
-	case Arrive:
+	case Arrival:
 		e.arrive(now, ev)
 	case CallerGone:
 		e.callerGone(now, ev)
@@ -127,8 +127,8 @@
 	return e.actions
 }
 
-// Next returns when Tick is due, or 0 if no timer is set.
-func (e *Engine) Next() clock.Milli {
+// NextTick returns when Tick is due, or 0 if no timer is set.
+func (e *Engine) NextTick() clock.Milli {
 	if len(e.timers) == 0 {
 		return 0
 	}
--- a/share/router/finish.go
+++ b/share/router/finish.go
@@ -20,7 +20,7 @@
 		return
 	}
 	if e.queueTimedOut(now, q) {
-		e.refuse(now, q, NoRoom, "no leaf had room")
+		e.refuse(now, q, NoCapacity, "no leaf had room")
 		return
 	}
 	e.recordMiss(now, q)
@@ -105,7 +105,7 @@
 
 // sufficient reports whether the answered shards make an answer.
 func (e *Engine) sufficient(q *query) bool {
-	if !q.route.Merged() {
+	if !q.route.Sharded() {
 		return q.answered == 1
 	}
 	if q.forwarded {
@@ -127,7 +127,7 @@
 		// While the limiter refuses queries, the last shards of a late query aren't
 		// worth their load.
 		e.answer(now, q)
-	case !q.route.Merged() && q.lost == 1, q.route.Merged() && !q.forwarded && q.answered+open < q.route.MinShards():
+	case !q.route.Sharded() && q.lost == 1, q.route.Sharded() && !q.forwarded && q.answered+open < q.route.MinShards():
 		e.refuse(now, q, e.failureReason(q), "too few shards can still answer")
 	}
 }
@@ -161,8 +161,8 @@
 	}
 	n.Late = q.late || now > q.target+e.Policy.Margin
 	a := Answer{Query: q.id}
-	if q.route.Merged() {
-		a.Merged = &Merged{Parts: q.parts(), Missing: q.missingServices(), Top: q.route.Top}
+	if q.route.Sharded() {
+		a.Merged = &Merged{Parts: q.parts(), Missing: q.missingServices(), TopK: q.route.TopK}
 		if q.answered < len(q.shards) {
 			n.Kind = NotePartial
 			n.Missing = q.missing()
@@ -186,7 +186,7 @@
 // refuse ends a request without a leaf's reply.
 func (e *Engine) refuse(now clock.Milli, q *query, reason Refusal, cause string) {
 	if reason == Late && !q.mayHaveRun() {
-		reason = NoRoom
+		reason = NoCapacity
 	}
 	n := Note{
 		Kind: NoteRefused, Request: q.request.ID, Query: q.id, Version: q.version,
@@ -239,7 +239,7 @@
 		return retryNoConfig + spread
 	case NoLeaf:
 		return retryNoLeaf + spread
-	case NoRoom:
+	case NoCapacity:
 		return retryNoRoom + spread
 	case Harmful:
 		return crash.ReportTTL
--- a/share/router/forward.go
+++ b/share/router/forward.go
@@ -74,7 +74,7 @@
 	switch {
 	case d.Kind == call.Answered && d.Reply.Successful():
 		e.merge(now, r, d.Reply)
-	case d.Refusal == NoRoom:
+	case d.Refusal == NoCapacity:
 		// The other host knows the leaves there better than this one.
 		e.noteForwardFailed(now, r, d)
 		q.peerFull = true
--- a/share/router/forward_test.go
+++ b/share/router/forward_test.go
@@ -100,7 +100,7 @@
 	r.handle(Facts{Table: table(6, merged(2)), Leaves: pairs(2)})
 	ask := func(version uint64, shards ...string) Answer {
 		r.queries++
-		r.handle(Arrive{
+		r.handle(Arrival{
 			Query: r.queries, Wait: 1000, Forwarded: true, Version: version, Shards: shards, Target: 100,
 			Request: &call.Request{ID: "q", Target: "/all/x", Host: "h"},
 		})
@@ -119,7 +119,7 @@
 	r := newRig(t)
 	r.handle(Facts{Table: table(6, merged(4)), Leaves: pairs(4)})
 	r.queries++
-	r.handle(Arrive{
+	r.handle(Arrival{
 		Query: 1, Wait: 1000, Forwarded: true, Version: 6, Shards: []string{"s0", "s1", "s2"}, Target: 100,
 		Request: &call.Request{ID: "q", Target: "/all/x", Host: "h"},
 	})
@@ -156,7 +156,7 @@
 	for _, f := range r.engine.leaves {
 		f.limit = 0
 	}
-	r.handle(Arrive{
+	r.handle(Arrival{
 		Query: 1, Wait: 1000, Forwarded: true, Version: 6, Shards: []string{"s0"}, Target: 150,
 		Request: &call.Request{ID: "q", Target: "/all/x", Host: "h"},
 	})
--- a/share/router/late_test.go
+++ b/share/router/late_test.go
@@ -73,7 +73,7 @@
 	r.handle(Facts{Table: table(1, merged(1)), Leaves: pairs(1)})
 	for range 80 {
 		r.queries++
-		r.handle(Arrive{
+		r.handle(Arrival{
 			Query: r.queries, Wait: 1100, Forwarded: true, Shards: []string{"s0"}, Target: 200, Version: 1,
 			Request: &call.Request{ID: "x", Method: "GET", Target: "/all/x", Host: "h"},
 		})
--- a/share/router/limit_test.go
+++ b/share/router/limit_test.go
@@ -29,7 +29,7 @@
 	first := r.arrive("/all/x", 1500)
 	back := r.arrive("/all/x", 1200-retryNoRoom)
 	for _, q := range []uint64{first, back} {
-		assert.Equal(t, r.answers[q].Refusal, NoRoom)
+		assert.Equal(t, r.answers[q].Refusal, NoCapacity)
 		assert.Assert(t, r.answers[q].RetryAfter >= retryNoRoom)
 	}
 	assert.Equal(t, len(r.sends), 0)
@@ -72,7 +72,7 @@
 	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
 	r.engine.limiter = limited(20)
 	r.queries++
-	r.handle(Arrive{
+	r.handle(Arrival{
 		Query: r.queries, Wait: 900, Forwarded: true, Late: true, Shards: []string{"s0", "s1"}, Target: 200, Version: 1,
 		Request: r.request("/all/x"),
 	})
--- a/share/router/overload.go
+++ b/share/router/overload.go
@@ -78,7 +78,7 @@
 
 // slow reports whether a leaf is slow for a query's route.
 func (e *Engine) slow(now clock.Milli, f *leaf, q *query) bool {
-	return q.route.Merged() && q.route.Target > 0 && e.tieredIn(e.Self.Domain) && f.expected(now, e.typicalLatency(f)) > slowShare*float64(q.route.Target)
+	return q.route.Sharded() && q.route.Target > 0 && e.tieredIn(e.Self.Domain) && f.expected(now, e.typicalLatency(f)) > slowShare*float64(q.route.Target)
 }
 
 // expectedAnswer returns when a shard is expected to be answered if it were requested
@@ -141,7 +141,7 @@
 
 // acceptsQuery reports whether a query over shards is admitted by its prospect.
 func (e *Engine) acceptsQuery(now clock.Milli, q *query, local []*shard) bool {
-	if !q.route.Merged() || len(local) == 0 || !e.tieredIn(e.Self.Domain) {
+	if !q.route.Sharded() || len(local) == 0 || !e.tieredIn(e.Self.Domain) {
 		return true
 	}
 	l := e.shedders[q.route.Name]
--- a/share/router/peer.go
+++ b/share/router/peer.go
@@ -87,7 +87,7 @@
 // split divides a query's shards into those requested from here and those forwarded
 // to other hosts.
 func (e *Engine) split(now clock.Milli, q *query) (local []*shard, remote []forwardGroup) {
-	if !q.route.Merged() || len(e.peers) == 0 {
+	if !q.route.Sharded() || len(e.peers) == 0 {
 		return q.shards, nil
 	}
 	var far []*shard
@@ -295,7 +295,7 @@
 // recordForward updates a host's state with the outcome of a forward.
 func (e *Engine) recordForward(now clock.Milli, r *forward, d Done) {
 	p := r.peer
-	if d.Refusal == NoRoom {
+	if d.Refusal == NoCapacity {
 		p.pause = 0 // its leaves have no capacity; the host is healthy
 		return
 	}
--- a/share/router/place.go
+++ b/share/router/place.go
@@ -46,7 +46,7 @@
 	s.queued = false
 	s.sentAt = now
 	s.hedgeAt = now + e.hedgeDelay(now, s, f)
-	e.do(Send{Call: a.id, Request: q.request, Leaf: f.ID, Address: f.Address, Timeout: max(1, q.deadline-now), Watch: !q.route.Merged()})
+	e.do(Send{Call: a.id, Request: q.request, Leaf: f.ID, Address: f.Address, Timeout: max(1, q.deadline-now), Watch: !q.route.Sharded()})
 }
 
 const (
@@ -168,7 +168,7 @@
 
 // needsOpenShards reports whether a query can't be answered without its open shards.
 func (q *query) needsOpenShards() bool {
-	return !q.route.Merged() || !q.forwarded && q.answered < q.route.MinShards()
+	return !q.route.Sharded() || !q.forwarded && q.answered < q.route.MinShards()
 }
 
 // abandon gives up on a shard.
--- a/share/router/query_test.go
+++ b/share/router/query_test.go
@@ -77,7 +77,7 @@
 	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
 	ask := func(wait clock.Milli) uint64 {
 		r.queries++
-		r.handle(Arrive{
+		r.handle(Arrival{
 			Query: r.queries, Wait: wait, Remote: "10.9.9.9:4000",
 			Request: &call.Request{ID: "q", Method: "GET", Target: "/all/x", Host: "h"},
 		})
--- a/share/router/router_test.go
+++ b/share/router/router_test.go
@@ -73,7 +73,7 @@
 func (r *rig) pass(span clock.Milli) {
 	end := r.now + span
 	for {
-		next := r.engine.Next()
+		next := r.engine.NextTick()
 		if next == 0 || next > end {
 			break
 		}
@@ -86,7 +86,7 @@
 // arrive sends a request in and returns its number.
 func (r *rig) arrive(path string, wait clock.Milli) uint64 {
 	r.queries++
-	r.handle(Arrive{
+	r.handle(Arrival{
 		Query: r.queries, Wait: wait,
 		Request: r.request(path),
 	})
@@ -131,7 +131,7 @@
 func merged(n int) route.Route {
 	r := route.Route{
 		Name: "all", Host: "h", Prefix: "/all/", Idempotent: true, Attempts: 2, Timeout: 1500, Target: 250,
-		Top: 5, MinShare: 0.75,
+		TopK: 5, MinShare: 0.75,
 	}
 	for i := range n {
 		r.Shards = append(r.Shards, fmt.Sprintf("s%d", i))
--- a/share/router/types.go
+++ b/share/router/types.go
@@ -17,8 +17,8 @@
 // Event is an input of the engine; one of the types below.
 type Event interface{ event() }
 
-// Arrive is a request that has been read in full.
-type Arrive struct {
+// Arrival is a request that has been read in full.
+type Arrival struct {
 	// Query identifies the request within this process.
 	Query   uint64
 	Request *call.Request
@@ -94,7 +94,7 @@
 // Tick reports that the time returned by Engine.Next has come.
 type Tick struct{}
 
-func (Arrive) event()      {}
+func (Arrival) event()     {}
 func (CallerGone) event()  {}
 func (ConnRefused) event() {}
 func (Done) event()        {}
@@ -173,7 +173,7 @@
 	Parts []*call.Reply
 	// Missing names the shards that the answer lacks.
 	Missing []string
-	Top     int
+	TopK    int
 }
 
 // Refusal is the reason for which a request got no leaf's reply.
@@ -191,7 +191,7 @@
 	// NoLeaf: no leaf of the service can serve it now.
 	NoLeaf
 	// NoRoom: the load exceeds what can be served in time.
-	NoRoom
+	NoCapacity
 	// Failed: leaves were asked and did not return a proper reply.
 	Failed
 	// Harmful: leaves have crashed while they ran this request.
--- a/share/router/world_test.go
+++ b/share/router/world_test.go
@@ -175,7 +175,7 @@
 	for _, a := range engine.Handle(h.w.now, ev) {
 		h.act(engine, a)
 	}
-	next := engine.Next()
+	next := engine.NextTick()
 	if next != 0 && (h.tick == 0 || next < h.tick) {
 		h.tick = next
 		h.w.at(next, func() {
@@ -261,7 +261,7 @@
 			return
 		}
 		came := w.now
-		arrive := Arrive{
+		arrive := Arrival{
 			Wait: a.Timeout, Request: a.Request, Forwarded: true, Shards: a.Shards, Target: a.Target, Version: a.Version, Remote: h.address, Late: a.Late,
 		}
 		other.arrive(arrive, func(ans Answer) {
@@ -276,7 +276,7 @@
 	})
 }
 
-func (h *simHost) arrive(a Arrive, answer func(Answer)) {
+func (h *simHost) arrive(a Arrival, answer func(Answer)) {
 	h.queries++
 	a.Query = h.queries
 	h.answers[a.Query] = answer
@@ -467,7 +467,7 @@
 			w.again(r)
 			return
 		}
-		h.arrive(Arrive{Request: q, Wait: left, Remote: "caller:1"}, func(a Answer) {
+		h.arrive(Arrival{Request: q, Wait: left, Remote: "caller:1"}, func(a Answer) {
 			w.at(w.now+simWay, func() { w.answered(r, a) })
 		})
 	})
@@ -581,14 +581,14 @@
 // browse and peek are the two kinds of queries that people wait for.
 func browse(perSecond float64) simKind {
 	return simKind{
-		route:     route.Route{Name: "browse", Host: "h", Prefix: "/browse/", Idempotent: true, Attempts: 2, Timeout: 2000, Target: 200, Top: 20, MinShare: 0.89, Priority: 1},
+		route:     route.Route{Name: "browse", Host: "h", Prefix: "/browse/", Idempotent: true, Attempts: 2, Timeout: 2000, Target: 200, TopK: 20, MinShare: 0.89, Priority: 1},
 		perSecond: perSecond, deadline: 2000, work: 28, retries: 1,
 	}
 }
 
 func peek(perSecond float64) simKind {
 	return simKind{
-		route:     route.Route{Name: "peek", Host: "h", Prefix: "/peek/", Idempotent: true, Attempts: 2, Timeout: 1200, Target: 120, Top: 5, MinShare: 0.75, Priority: 2},
+		route:     route.Route{Name: "peek", Host: "h", Prefix: "/peek/", Idempotent: true, Attempts: 2, Timeout: 1200, Target: 120, TopK: 5, MinShare: 0.75, Priority: 2},
 		perSecond: perSecond, deadline: 1200, work: 9.2, retries: 1,
 	}
 }
--- a/share/sched/flow.go
+++ b/share/sched/flow.go
@@ -45,7 +45,7 @@
 // refusalReason returns why a call is rejected and when to retry, or ReasonNone.
 func (e *Engine) refusalReason(now clock.Milli, f *leaf, c Call) (query.Reason, clock.Milli) {
 	if now < e.suspendedUntil {
-		return query.ReasonWaking, e.suspendedUntil - now
+		return query.ReasonSuspended, e.suspendedUntil - now
 	}
 	if e.leaving {
 		return query.ReasonLeaving, 0
--- a/share/sched/lease.go
+++ b/share/sched/lease.go
@@ -31,7 +31,7 @@
 // ServerAges lists the leaves of a server with their ages.
 type ServerAges struct {
 	Server string
-	Leafs  []LeafAge
+	Leaves []LeafAge
 	// Granted is set if the sender won't send calls to the server's leaves.
 	Granted bool
 }
@@ -150,11 +150,11 @@
 func appendAge(list []ServerAges, now clock.Milli, f *leaf) []ServerAges {
 	for i := range list {
 		if list[i].Server == f.server {
-			list[i].Leafs = append(list[i].Leafs, f.age(now))
+			list[i].Leaves = append(list[i].Leaves, f.age(now))
 			return list
 		}
 	}
-	return append(list, ServerAges{Server: f.server, Leafs: []LeafAge{f.age(now)}})
+	return append(list, ServerAges{Server: f.server, Leaves: []LeafAge{f.age(now)}})
 }
 
 func (f *leaf) age(now clock.Milli) LeafAge {
@@ -171,7 +171,7 @@
 	for _, f := range e.byName {
 		if f.server == server {
 			busy = busy || f.busy+f.orphanCount(now) > 0
-			s.Leafs = append(s.Leafs, f.age(now))
+			s.Leaves = append(s.Leaves, f.age(now))
 		}
 	}
 	return s, busy
@@ -264,7 +264,7 @@
 }
 
 func (e *Engine) mergeAges(now clock.Milli, s ServerAges) {
-	for _, a := range s.Leafs {
+	for _, a := range s.Leaves {
 		if f := e.leaves[a.Leaf]; f != nil && a.Known {
 			f.ramp.mergeAge(now, a.Age)
 		}
--- a/share/sched/sched_test.go
+++ b/share/sched/sched_test.go
@@ -152,7 +152,7 @@
 	assert.Assert(t, paused)
 	out := submit(e, now, 1)
 	assert.Equal(t, len(sends(out)), 0)
-	assert.Equal(t, replies(out)[0].Reason, query.ReasonWaking)
+	assert.Equal(t, replies(out)[0].Reason, query.ReasonSuspended)
 	e.ResumeAdmission()
 	assert.Equal(t, len(sends(submit(e, now, 2))), 1)
 }
@@ -254,7 +254,7 @@
 	e.leaves["l"].rank = 0
 	for _, a := range tick(e, now+5) {
 		if c, ok := a.(Claim); ok {
-			warm := ServerAges{Server: "s", Leafs: []LeafAge{{Leaf: "l", Age: clock.Minute, Known: true}}}
+			warm := ServerAges{Server: "s", Leaves: []LeafAge{{Leaf: "l", Age: clock.Minute, Known: true}}}
 			e.GrantReceived(now+10, c.Host, c.ID, []ServerAges{warm}, leaseDuration)
 		}
 	}
--- a/share/syncer/engine.go
+++ b/share/syncer/engine.go
@@ -75,8 +75,8 @@
 	Stamp Stamp
 }
 
-// Refuse reports that a version is invalid; the previous one stays in force.
-type Refuse struct {
+// Reject reports that a version is invalid; the previous one stays in force.
+type Reject struct {
 	Key   string
 	Stamp Stamp
 	Err   error
@@ -87,7 +87,7 @@
 func (SendStamps) action()   {}
 func (ReadPlatform) action() {}
 func (Adopt) action()        {}
-func (Refuse) action()       {}
+func (Reject) action()       {}
 
 // ReadResult is the result of a ReadPlatform: a whole set, or an error. The program
 // assembles the set from its parts.
--- a/share/syncer/pull.go
+++ b/share/syncer/pull.go
@@ -134,7 +134,7 @@
 	if e.Check != nil {
 		if err := e.Check(key, s); err != nil {
 			v.refused = stamp
-			return []Action{Refuse{Key: key, Stamp: stamp, Err: err}}
+			return []Action{Reject{Key: key, Stamp: stamp, Err: err}}
 		}
 	}
 	if v.current != nil {
--- a/share/topo/routes.go
+++ b/share/topo/routes.go
@@ -53,9 +53,9 @@
 		Name: f.Name, Host: f.Host, Prefix: f.Prefix, Idempotent: f.Idempotent,
 		Attempts: orDefault(f.Attempts, defaultAttempts),
 		Timeout:  orDefault(clock.Milli(f.Timeout), defaultTimeout), Target: clock.Milli(f.Target),
-		Priority: f.Rank, Shards: f.Shards, Top: f.Top, Regions: f.Regions,
+		Priority: f.Rank, Shards: f.Shards, TopK: f.Top, Regions: f.Regions,
 	}
-	if r.Merged() {
+	if r.Sharded() {
 		r.MinShare = orDefault(f.LeastShare, float64(defaultMinShare))
 	}
 	if f.Service != "" {
--- a/share/topo/routes_test.go
+++ b/share/topo/routes_test.go
@@ -30,7 +30,7 @@
 	table := c.RouteTable()
 	assert.Equal(t, table.Version, uint64(7))
 	find, ok := table.Match("find.example", "/find/2f")
-	assert.Assert(t, ok && find.Merged())
+	assert.Assert(t, ok && find.Sharded())
 	assert.Equal(t, find.Attempts, defaultAttempts)
 	assert.Equal(t, find.Timeout, defaultTimeout)
 	file, ok := table.Match("find.example", "/file/x/y")
--- a/stile/cmds/diff.go
+++ b/stile/cmds/diff.go
@@ -160,7 +160,7 @@
 	add(a.Priority == b.Priority, "rank")
 	add(slices.Equal(a.Services, b.Services), "services")
 	add(slices.Equal(a.Shards, b.Shards), "shards")
-	add(a.Top == b.Top && a.MinShare == b.MinShare, "what an answer holds")
+	add(a.TopK == b.TopK && a.MinShare == b.MinShare, "what an answer holds")
 	add(slices.Equal(a.Regions, b.Regions), "regions")
 	return list
 }
--- a/stile/cmds/effect.go
+++ b/stile/cmds/effect.go
@@ -119,7 +119,7 @@
 		if gone > 0 {
 			list = append(list, fmt.Sprintf("route %s: %d of %d shards have no backend server in service where the route may be served", r.Name, gone, len(r.Shards)))
 		}
-		if len(r.Shards)-gone < r.MinShards() && r.Merged() {
+		if len(r.Shards)-gone < r.MinShards() && r.Sharded() {
 			list = append(list, fmt.Sprintf("route %s: fewer than %d shards can answer: each request will be refused", r.Name, r.MinShards()))
 		}
 		for _, w := range r.Services {
