--- a/share/httpc/conn.go
+++ b/share/httpc/conn.go
@@ -20,53 +20,54 @@
 
 // Errors of calls.
 var (
-	// ErrForeignReply: the reply names another request.
+	// ErrWrongRequestID reports a reply that carries another request's ID.
 	ErrWrongRequestID = errors.New("reply belongs to another request")
-	// ErrUnsigned: a success without the leaf's signature is no reply.
+	// ErrUnsigned reports a success without the leaf's stamp.
 	ErrUnsigned = errors.New("reply has no signature")
-	// ErrIdle: the connection ended or carried bytes while no call was on it.
+	// ErrIdleClosed reports a connection that was closed, or carried bytes, while
+	// no call was active on it.
 	ErrIdleClosed = errors.New("connection ended while idle")
-	// ErrTooLarge: the reply is larger than allowed.
+	// ErrTooLarge reports a reply above the size limit.
 	ErrTooLarge = errors.New("reply is too large")
 )
 
 const (
-	// maxReply is the largest reply taken, in bytes; leafs answer with some
-	// tens of KB at most.
-	maxReply = 4 << 20
-	// maxStrays is how many replies to other requests are skipped while a call
-	// waits for its own.
-	maxStrays = 3
-	// readBuffer fits an ordinary reply with its headers.
-	readBuffer = 4 << 10
-	// unackedTimeout ends a connection whose peer acknowledges nothing: its
-	// host is gone or cut off.
+	// maxReplyBytes is the largest accepted reply. Leaves reply with tens of KB
+	// at most.
+	maxReplyBytes = 4 << 20
+	// maxForeignReplies is how many replies to other requests are skipped before
+	// a call fails.
+	maxForeignReplies = 3
+	// readBufferBytes fits an ordinary reply with its headers.
+	readBufferBytes = 4 << 10
+	// unackedTimeout closes a connection whose peer acknowledges no data because
+	// its host is down or unreachable.
 	unackedTimeout = 1500 * time.Millisecond
-	// idleMargin is how long before a leaf's own idle timeout its connection
-	// is no longer used: a request must not cross the leaf's close.
+	// idleMargin is how long before a leaf's idle timeout its connection is no
+	// longer used, so that a request does not cross the leaf's close.
 	idleMargin = clock.Second
 )
 
 // job is one call on a connection.
 type job struct {
 	request *http.Request
-	// unsigned replies bear no leaf's signature: those to probes, and other
-	// hosts' merged answers.
+	// unsigned is set when the reply needs no stamp: health checks and merged
+	// answers of other hosts.
 	unsigned bool
 	done     chan result
 }
 
 type result struct {
 	reply *call.Reply
-	// keep is set when the connection may carry another call.
+	// keep is set when the connection can carry another call.
 	keep bool
-	// idle is how long the leaf keeps it open; 0 is not told.
+	// idle is the leaf's idle timeout for the connection; 0 if not given.
 	idle clock.Milli
 	err  error
 }
 
-// conn is one connection. Its reader runs from the opening to the end, so that
-// a close or stray bytes on an idle connection are seen before it is used.
+// conn is one connection. Its reader runs for the lifetime of the connection, so
+// that a close or unexpected bytes on an idle connection are seen before its next use.
 type conn struct {
 	net     net.Conn
 	dialect *Dialect
@@ -75,17 +76,17 @@
 	job    *job
 	closed bool
 	ended  chan struct{}
-	// until is when the leaf may close the idle connection.
-	until clock.Milli
+	// usableUntil is when the leaf may close the idle connection; 0 if unknown.
+	usableUntil clock.Milli
 }
 
 func newConn(c net.Conn, d *Dialect) *conn {
 	k := &conn{net: c, dialect: d, ended: make(chan struct{})}
-	go k.read()
+	go k.readLoop()
 	return k
 }
 
-// begin puts a call on the connection; false if it has ended.
+// begin assigns a call to the connection. It reports false if the connection is closed or busy.
 func (c *conn) begin(j *job) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,23 +97,22 @@
 	return true
 }
 
-// freshWait is how much longer than its opening took a new connection is watched
-// before the only leaf of a request is sent it. A leaf that holds all the
-// connections it accepts resets a new one as it accepts it, which is seen one way
-// there and back after the connection is open, and a few ms for its turn.
-// After the request was sent nobody could tell whether it ran: it could not be
-// sent again if it may run once only, and took a second call from the budget if
-// not. Before, another leaf may be asked for nothing. Such requests have targets
-// of a second, of which this is little.
-const freshWait = 6 * time.Millisecond
+// newConnWatch is how much longer than its opening took a new connection is
+// watched before the request is sent when no other leaf can serve it. A leaf at
+// its connection limit resets a connection as it accepts it; the reset arrives one
+// round trip after the connection opens, plus a few ms until the leaf is scheduled.
+// Once the request is sent it is unknown whether it ran: it cannot be retried if
+// it is not idempotent, and a retry takes from the budget otherwise. Before that,
+// another leaf can be tried at no cost. Such requests have targets of about 1 s.
+const newConnWatch = 6 * time.Millisecond
 
-// turnedAway watches a new connection, whose opening took so long, for a moment
-// and tells whether it ended.
-func (c *conn) turnedAway(opening time.Duration) bool {
+// awaitReset watches a new connection that took so long to open and reports
+// whether the peer closed it.
+func (c *conn) awaitReset(opening time.Duration) bool {
 	select {
 	case <-c.ended:
 		return true
-	case <-time.After(opening + freshWait):
+	case <-time.After(opening + newConnWatch):
 		return false
 	}
 }
@@ -123,7 +123,7 @@
 	return c.job
 }
 
-// finish hands a result to the call that is on the connection.
+// finish delivers a result to the active call.
 func (c *conn) finish(r result) {
 	c.mu.Lock()
 	j := c.job
@@ -137,26 +137,26 @@
 	}
 }
 
-// shut closes the connection.
-func (c *conn) shut() {
+// close closes the connection.
+func (c *conn) close() {
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
-	_ = c.net.Close() // an error here says only that it was closed already
+	_ = c.net.Close() // fails only if already closed
 }
 
-// alive tells whether the connection can take a call.
+// alive reports whether the connection can take a call.
 func (c *conn) alive(now clock.Milli) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.closed && (c.until == 0 || now < c.until)
+	return !c.closed && (c.usableUntil == 0 || now < c.usableUntil)
 }
 
-// read takes replies until the connection ends.
-func (c *conn) read() {
+// readLoop reads replies until the connection ends.
+func (c *conn) readLoop() {
 	defer close(c.ended)
-	defer c.shut()
-	br := bufio.NewReaderSize(c.net, readBuffer)
+	defer c.close()
+	br := bufio.NewReaderSize(c.net, readBufferBytes)
 	for {
 		if _, err := br.Peek(1); err != nil {
 			c.finish(result{err: errors.Wrap(err, "read reply")})
@@ -164,11 +164,11 @@
 		}
 		j := c.current()
 		if j == nil {
-			return // bytes that nobody asked for
+			return // unsolicited bytes
 		}
-		r := c.reply(br, j)
+		r := c.readReply(br, j)
 		if br.Buffered() > 0 {
-			r.keep = false // more bytes than the reply
+			r.keep = false // bytes after the reply
 		}
 		c.finish(r)
 		if !r.keep {
@@ -177,11 +177,11 @@
 	}
 }
 
-// reply reads the reply to a call. Replies to other requests that come first
-// are skipped: they arrived late on a connection that is sound otherwise.
-func (c *conn) reply(br *bufio.Reader, j *job) result {
-	for range maxStrays {
-		r := c.one(br, j)
+// readReply reads the reply to a call. It skips late replies to earlier requests;
+// the connection is otherwise intact.
+func (c *conn) readReply(br *bufio.Reader, j *job) result {
+	for range maxForeignReplies {
+		r := c.readOne(br, j)
 		if !errors.Is(r.err, ErrWrongRequestID) {
 			return r
 		}
@@ -189,7 +189,7 @@
 	return result{err: ErrWrongRequestID}
 }
 
-func (c *conn) one(br *bufio.Reader, j *job) result {
+func (c *conn) readOne(br *bufio.Reader, j *job) result {
 	q := j.request
 	res, err := http.ReadResponse(br, q)
 	for err == nil && res.StatusCode >= 100 && res.StatusCode < 200 {
@@ -198,12 +198,12 @@
 	if err != nil {
 		return result{err: errors.Wrap(err, "read reply")}
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxReply+1))
-	_ = res.Body.Close() // it was read to its end, or the connection goes
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes+1))
+	_ = res.Body.Close() // fully read, or the connection is closed
 	if err != nil {
 		return result{err: errors.Wrap(err, "read reply")}
 	}
-	if len(body) > maxReply {
+	if len(body) > maxReplyBytes {
 		return result{err: ErrTooLarge}
 	}
 	id := res.Header.Get(c.dialect.RequestID)
@@ -214,11 +214,11 @@
 	if reply.Successful() && reply.Stamp == "" && !j.unsigned {
 		return result{err: ErrUnsigned}
 	}
-	return result{reply: reply, keep: !res.Close, idle: idleTime(res.Header)}
+	return result{reply: reply, keep: !res.Close, idle: parseIdleTimeout(res.Header)}
 }
 
-// idleTime reads how long a leaf keeps an idle connection.
-func idleTime(h http.Header) clock.Milli {
+// parseIdleTimeout returns the idle timeout of a Keep-Alive header, or 0.
+func parseIdleTimeout(h http.Header) clock.Milli {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -226,15 +226,15 @@
 		}
 		seconds, err := strconv.Atoi(value)
 		if err != nil {
-			return 0 // not told in a form that can be read
+			return 0 // not a number of seconds
 		}
 		return clock.Milli(seconds) * clock.Second
 	}
 	return 0
 }
 
-// write sends a request. The target goes out byte for byte as the caller wrote
-// it; net/http's own writer would normalise it.
+// write sends a request. It writes the target byte for byte, since net/http's own
+// writer would normalise it.
 func (c *conn) write(q *http.Request, target string, body []byte) error {
 	var b bytes.Buffer
 	b.WriteString(q.Method)
@@ -252,14 +252,14 @@
 	return errors.Wrap(err, "send request")
 }
 
-// control sets the options of a connection to a leaf before it is opened.
-func control(_, _ string, raw syscall.RawConn) error {
-	var failed error
+// setSocketOptions sets the options of a connection before it is opened.
+func setSocketOptions(_, _ string, raw syscall.RawConn) error {
+	var optErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
+		optErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
 	})
-	return errors.CombineErrors(err, failed)
+	return errors.CombineErrors(err, optErr)
 }
 
-// tcpUserTimeout is TCP_USER_TIMEOUT, which the syscall package does not name.
+// tcpUserTimeout is TCP_USER_TIMEOUT, which the syscall package lacks.
 const tcpUserTimeout = 0x12
--- a/share/httpc/dialect.go
+++ b/share/httpc/dialect.go
@@ -1,29 +1,29 @@
-// Package hop carries requests to leafs over HTTP, one call at a time on each
-// connection, and tells exactly what is known of a call that did not end well.
+// Package httpc sends requests over HTTP to leaves and other hosts, one call at a
+// time on each connection, and reports what is known about each failed call.
 //
-// It reads replies with net/http's codec and not with nbhttp's: a leaf may end
-// a reply by closing, break off, answer before it has read a body, or send
-// bytes that belong to no request, and each of these must be told apart on a
-// connection that stays in this package's hands.
+// It parses replies with net/http rather than nbhttp. A leaf may end a reply by
+// closing the connection, truncate it, reply before it has read the body, or send
+// bytes outside any reply. The package must distinguish these cases, and keep
+// control of the connection.
 package httpc
 
-// Dialect names the headers that the tier and its leafs speak.
+// Dialect holds the names of the headers between the tier and its leaves.
 type Dialect struct {
-	// RequestID carries the caller's name for an attempt, both ways.
+	// RequestID identifies an attempt in both directions.
 	RequestID string
-	// Deadline carries how many ms are left.
+	// Deadline carries the remaining time in ms.
 	Deadline string
-	// ExpectLeaf names the leaf that a request is meant for; any other leaf at
-	// the address turns it down.
+	// ExpectLeaf names the leaf that a request is for; any other leaf at the
+	// address rejects it.
 	ExpectLeaf string
-	// LeafID names the leaf on its health replies.
+	// LeafID identifies the leaf on its health replies.
 	LeafID string
-	// Stamp is the leaf's signature under its reply.
+	// Stamp is the leaf's signature on its reply.
 	Stamp string
-	// NotRun stands on a reply that says the leaf did not run the request.
+	// NotRun marks a reply of a leaf that did not run the request.
 	NotRun string
-	// PartStamps and Missing tell of a merged answer which replies are in it and
-	// how many shards are not.
+	// PartStamps and MissingShards describe a merged answer: the stamps of the
+	// replies in it, and how many shards are missing.
 	PartStamps, MissingShards string
 }
 
@@ -35,18 +35,18 @@
 
 // Headers between hosts of the system.
 const (
-	// HeaderForwardTarget says in how many ms a forwarded request's answer must
-	// leave.
+	// HeaderForwardTarget is the time in ms within which the answer to a forwarded
+	// request must be sent.
 	HeaderForwardTarget = "Relay-Target-Ms"
-	// HeaderForwardShards names the shards that are asked for, and
-	// HeaderForwardMissing those that the answer lacks, with commas between.
+	// HeaderForwardShards lists the requested shards, and HeaderForwardMissing the
+	// shards missing from the answer, separated by commas.
 	HeaderForwardShards  = "Relay-Shards"
 	HeaderForwardMissing = "Relay-Missing"
-	// HeaderForwardLate stands on a request whose caller's target had passed when
-	// it came to the sender.
+	// HeaderForwardLate marks a request whose caller's target had already passed
+	// when the sender received it.
 	HeaderForwardLate = "Relay-Late"
-	// HeaderForwardVersion is the configuration that the sender goes by.
+	// HeaderForwardVersion is the sender's configuration version.
 	HeaderForwardVersion = "Relay-Version"
-	// HeaderForwardProcessingTime says how many ms the other host worked on it.
+	// HeaderForwardProcessingTime is the time in ms that the other host spent on the request.
 	HeaderForwardProcessingTime = "Relay-Worked-Ms"
 )
--- a/share/httpc/fuzz_test.go
+++ b/share/httpc/fuzz_test.go
@@ -9,8 +9,8 @@
 	"dandelionstile/share/call"
 )
 
-// Whatever bytes a leaf sends, a call ends, and a success bears a signature and
-// the request's own id.
+// Guards against replies of any bytes that never end a call, and against successes
+// without a stamp or with another request's ID.
 func FuzzReply(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nLeaf-Stamp: s\r\nContent-Length: 2\r\n\r\nab"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nRequest-Id: other\r\nLeaf-Stamp: s\r\n\r\nHTTP/1.1 200 OK\r\n"))
@@ -20,21 +20,21 @@
 		c := newConn(ours, &DefaultDialect)
 		j := &job{done: make(chan result, 1), request: &http.Request{Method: http.MethodGet, Header: http.Header{"Request-Id": {"own"}}}}
 		if !c.begin(j) {
-			t.Fatal("a new connection takes no call")
+			t.Fatal("a new connection rejects a call")
 		}
 		go func() {
-			_, _ = theirs.Write(sent) // the reader may close before the end
+			_, _ = theirs.Write(sent) // the reader may close early
 			_ = theirs.Close()
 		}()
 		r := <-j.done
-		_, _ = io.Copy(io.Discard, theirs) // it ends with the connection
+		_, _ = io.Copy(io.Discard, theirs) // ends with the connection
 		<-c.ended
 		if r.err != nil {
 			return
 		}
 		id := r.reply.Header.Get("Request-Id")
 		if r.reply.Successful() && (r.reply.Stamp == "" || id != "" && id != "own") {
-			t.Fatalf("took %+v", r.reply)
+			t.Fatalf("accepted %+v", r.reply)
 		}
 		p := Pool{Dialect: DefaultDialect}
 		if d := p.classify(r.reply); d.Kind == call.Answered && d.Reply == nil {
--- a/share/httpc/hop_test.go
+++ b/share/httpc/httpc_test.go
@@ -18,20 +18,20 @@
 	"dandelionstile/share/router"
 )
 
-// leafAt answers each connection by a script.
-type leafAt struct {
+// fakeLeaf is a leaf whose connections are each handled by a script.
+type fakeLeaf struct {
 	t        *testing.T
 	ln       net.Listener
 	wait     sync.WaitGroup
 	accepted chan struct{}
 }
 
-// serve starts a leaf that gives each connection to a script.
-func serve(t *testing.T, script func(net.Conn, *bufio.Reader)) *leafAt {
+// serve starts a leaf that runs a script for each connection.
+func serve(t *testing.T, script func(net.Conn, *bufio.Reader)) *fakeLeaf {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	l := &leafAt{t: t, ln: ln, accepted: make(chan struct{}, 100)}
+	l := &fakeLeaf{t: t, ln: ln, accepted: make(chan struct{}, 100)}
 	l.wait.Go(func() {
 		for {
 			c, err := ln.Accept()
@@ -52,8 +52,8 @@
 	return l
 }
 
-// conns is how many connections the leaf has had.
-func (l *leafAt) conns() int { return len(l.accepted) }
+// conns returns how many connections the leaf has accepted.
+func (l *fakeLeaf) conns() int { return len(l.accepted) }
 
 // caller makes calls through a pool, one at a time.
 type caller struct {
@@ -71,9 +71,9 @@
 	return c
 }
 
-const patience = 5 * time.Second
+const testTimeout = 5 * time.Second
 
-func (c *caller) send(l *leafAt, id string, body []byte) {
+func (c *caller) send(l *fakeLeaf, id string, body []byte) {
 	c.last++
 	method := http.MethodGet
 	if body != nil {
@@ -90,19 +90,19 @@
 	select {
 	case d := <-c.done:
 		return d
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		c.t.Fatal("the call did not end")
 		return router.Done{}
 	}
 }
 
-func (c *caller) ask(l *leafAt, id string) router.Done {
+func (c *caller) ask(l *fakeLeaf, id string) router.Done {
 	c.t.Helper()
 	c.send(l, id, nil)
 	return c.result()
 }
 
-func take(t *testing.T, r *bufio.Reader) *http.Request {
+func readRequest(t *testing.T, r *bufio.Reader) *http.Request {
 	t.Helper()
 	q, err := http.ReadRequest(r)
 	if err != nil {
@@ -113,21 +113,23 @@
 	return q
 }
 
-func say(c net.Conn, text string) { _, _ = io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n")) }
+func writeText(c net.Conn, text string) {
+	_, _ = io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n"))
+}
 
-func answer(id, body string) string {
+func response(id, body string) string {
 	return "HTTP/1.1 200 OK\nRequest-Id: " + id + "\nLeaf-Stamp: s-" + id + "\nContent-Length: " +
 		string(rune('0'+len(body))) + "\n\n" + body
 }
 
-// A request passes unchanged but for the tier's own headers, and the
-// connection is used again for the next.
+// Guards against requests that are altered beyond the tier's own headers, and
+// against a new connection for each request.
 func TestRequestPassesUnchanged(t *testing.T) {
 	seen := make(chan *http.Request, 2)
 	l := serve(t, func(c net.Conn, r *bufio.Reader) {
-		for q := take(t, r); q != nil; q = take(t, r) {
+		for q := readRequest(t, r); q != nil; q = readRequest(t, r) {
 			seen <- q
-			say(c, answer(q.Header.Get("Request-Id"), "body"))
+			writeText(c, response(q.Header.Get("Request-Id"), "body"))
 		}
 	})
 	c := newCaller(t)
@@ -146,9 +148,8 @@
 	assert.Equal(t, l.conns(), 1)
 }
 
-// A leaf breaks off in the middle of its reply, with a length, in chunks, or
-// by a reset where the end of the connection would be the end of the reply.
-// None of these is a reply: a caller must not take a part for the whole.
+// A leaf truncates its reply: with a length, in chunks, or by a reset where the
+// reply ends with the connection. A partial reply must not count as a whole one.
 func TestReplyThatBreaksOffIsNone(t *testing.T) {
 	for name, text := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\nLeaf-Stamp: s\nContent-Length: 10\n\nhalf",
@@ -159,8 +160,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := serve(t, func(c net.Conn, r *bufio.Reader) {
-				take(t, r)
-				say(c, text)
+				readRequest(t, r)
+				writeText(c, text)
 				if name == "reset" {
 					time.Sleep(20 * time.Millisecond)
 					assert.NilError(t, c.(*net.TCPConn).SetLinger(0))
@@ -171,32 +172,31 @@
 	}
 }
 
-// A reply without a length that ends with its connection in good order is
-// whole.
+// A reply without a length ends with an orderly close of its connection and is
+// complete.
 func TestReplyMayEndWithItsConnection(t *testing.T) {
 	l := serve(t, func(c net.Conn, r *bufio.Reader) {
-		take(t, r)
-		say(c, "HTTP/1.1 200 OK\nLeaf-Stamp: s\n\nwhole")
+		readRequest(t, r)
+		writeText(c, "HTTP/1.1 200 OK\nLeaf-Stamp: s\n\nwhole")
 	})
 	d := newCaller(t).ask(l, "x")
 	assert.Equal(t, d.Kind, call.Answered)
 	assert.Equal(t, string(d.Reply.Body), "whole")
 }
 
-// A leaf sends a second reply after the first, at once or when the next
-// request is already on its way. The next caller gets its own answer and not
-// the stray one, which names another request.
+// A leaf sends a second reply to the first request, immediately or while the next
+// request is in flight. The next caller must get its own reply, not the stray one.
 func TestStrayReplyReachesNobody(t *testing.T) {
 	l := serve(t, func(c net.Conn, r *bufio.Reader) {
-		first := take(t, r)
-		say(c, answer(first.Header.Get("Request-Id"), "one"))
-		q := take(t, r)
+		first := readRequest(t, r)
+		writeText(c, response(first.Header.Get("Request-Id"), "one"))
+		q := readRequest(t, r)
 		if q == nil {
 			return
 		}
-		say(c, answer(first.Header.Get("Request-Id"), "old"))
-		say(c, answer(q.Header.Get("Request-Id"), "new"))
-		take(t, r)
+		writeText(c, response(first.Header.Get("Request-Id"), "old"))
+		writeText(c, response(q.Header.Get("Request-Id"), "new"))
+		readRequest(t, r)
 	})
 	c := newCaller(t)
 	assert.Equal(t, string(c.ask(l, "a").Reply.Body), "one")
@@ -205,18 +205,18 @@
 	assert.Equal(t, string(d.Reply.Body), "new")
 }
 
-// Bytes come on an idle connection. They belong to nobody, and the connection
-// is not used again.
+// Bytes arrive on an idle connection, outside any call. The connection must not be
+// used again.
 func TestBytesOnAnIdleConnectionEndIt(t *testing.T) {
 	l := serve(t, func(c net.Conn, r *bufio.Reader) {
-		q := take(t, r)
+		q := readRequest(t, r)
 		if q == nil {
 			return
 		}
-		say(c, answer(q.Header.Get("Request-Id"), "one"))
+		writeText(c, response(q.Header.Get("Request-Id"), "one"))
 		time.Sleep(20 * time.Millisecond)
-		say(c, answer("zz", "odd"))
-		take(t, r)
+		writeText(c, response("zz", "odd"))
+		readRequest(t, r)
 	})
 	c := newCaller(t)
 	c.ask(l, "a")
@@ -225,8 +225,8 @@
 	assert.Equal(t, l.conns(), 2)
 }
 
-// A leaf answers before it has read the body and keeps the connection. Another
-// request on it would be read as the rest of the body, so it goes elsewhere.
+// A leaf replies before it has read the body and keeps the connection. It would
+// read another request as the rest of the body, so the next one needs a new connection.
 func TestEarlyReplyDoesNotFreeTheConnection(t *testing.T) {
 	release := make(chan struct{})
 	l := serve(t, func(c net.Conn, r *bufio.Reader) {
@@ -234,7 +234,7 @@
 		if err != nil {
 			return
 		}
-		say(c, answer(q.Header.Get("Request-Id"), "no"))
+		writeText(c, response(q.Header.Get("Request-Id"), "no"))
 		<-release
 	})
 	c := newCaller(t)
@@ -246,39 +246,39 @@
 	close(release)
 }
 
-// What a leaf says of a request that it did not run is told from failures.
+// Guards against rejections by a leaf that are taken for failures, and the reverse.
 func TestRefusalsAreTold(t *testing.T) {
 	for text, kind := range map[string]call.Kind{
 		"HTTP/1.1 503 Busy\nNot-Run: 1\nContent-Length: 0\n\n":       call.Shed,
 		"HTTP/1.1 421 Wrong\nContent-Length: 0\n\n":                  call.Foreign,
 		"HTTP/1.1 500 Oops\nContent-Length: 0\n\n":                   call.Answered,
-		"HTTP/1.1 200 OK\nRelay-Worked-Ms: 1\nContent-Length: 0\n\n": call.Broken, // a leaf is no host
+		"HTTP/1.1 200 OK\nRelay-Worked-Ms: 1\nContent-Length: 0\n\n": call.Broken, // a leaf is not a host
 		"HTTP/1.1 200 OK\nContent-Length: 0\n\n":                     call.Broken, // no signature
 		"HTTP/1.1 503 Full\nLeaf-Stamp: s\nContent-Length: 0\n\n":    call.Answered,
 	} {
 		l := serve(t, func(c net.Conn, r *bufio.Reader) {
-			if take(t, r) != nil {
-				say(c, text)
-				take(t, r)
+			if readRequest(t, r) != nil {
+				writeText(c, text)
+				readRequest(t, r)
 			}
 		})
 		assert.Equal(t, newCaller(t).ask(l, "x").Kind, kind, "%q", text)
 	}
 }
 
-// Nobody listens: the request has not left this host, which is said so.
+// Nothing listens at the address: the request counts as not sent.
 func TestRefusedConnectionIsNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	assert.NilError(t, ln.Close())
-	assert.Equal(t, newCaller(t).ask(&leafAt{ln: ln}, "x").Kind, call.NotSent)
+	assert.Equal(t, newCaller(t).ask(&fakeLeaf{ln: ln}, "x").Kind, call.NotSent)
 }
 
-// A call is given up: the leaf sees its connection close at once.
+// A call is cancelled: the leaf's connection must be closed at once.
 func TestCancelClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
 	l := serve(t, func(_ net.Conn, r *bufio.Reader) {
-		take(t, r)
+		readRequest(t, r)
 		_, err := r.ReadByte()
 		assert.Assert(t, err != nil)
 		close(closed)
@@ -291,34 +291,34 @@
 	assert.Equal(t, c.result().Kind, call.Cancelled)
 	select {
 	case <-closed:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the leaf's connection stayed open")
 	}
 }
 
-// A leaf names how long it keeps an idle connection. It is not used beyond:
-// the request would cross the leaf's close.
+// A leaf names its idle timeout. The connection must not be used close to that
+// time, when the request would cross the leaf's close.
 func TestIdleTimeoutOfTheLeafIsKept(t *testing.T) {
-	assert.Equal(t, idleTime(http.Header{"Keep-Alive": {"max=5, timeout=7"}}), 7*clock.Second)
-	assert.Equal(t, idleTime(http.Header{"Keep-Alive": {"timeout=soon"}}), clock.Milli(0))
+	assert.Equal(t, parseIdleTimeout(http.Header{"Keep-Alive": {"max=5, timeout=7"}}), 7*clock.Second)
+	assert.Equal(t, parseIdleTimeout(http.Header{"Keep-Alive": {"timeout=soon"}}), clock.Milli(0))
 	var now clock.Virtual
 	p := &Pool{Clock: &now}
 	ours, theirs := net.Pipe()
 	defer func() { _ = theirs.Close() }()
 	c := newConn(ours, &p.Dialect)
-	p.put("l", c, 3*clock.Second)
+	p.putIdle("l", c, 3*clock.Second)
 	now.Run(1900)
 	assert.Assert(t, c.alive(now.Now()))
 	now.Run(2100)
 	assert.Assert(t, !c.alive(now.Now()))
-	c.shut()
+	c.close()
 }
 
-// A leaf holds all the connections it accepts, as after a loss of power of all
-// hosts, whose connections it does not know to be gone: it resets each new one. A
-// request that may run once only was sent on such a connection, and its caller was
-// told that it may have run. It is held until the connection has stood for a
-// moment, so that it can go elsewhere.
+// A leaf at its connection limit resets each connection as it accepts it, as after a
+// power loss of all hosts, whose old connections it still holds. A request that
+// must run only once was sent on such a connection and reported as possibly run. It
+// must wait until the connection has stayed open for a moment, so that another
+// leaf can take it.
 func TestFullLeafGetsNoRequest(t *testing.T) {
 	reset := func(c net.Conn, _ *bufio.Reader) {
 		assert.Check(t, c.(*net.TCPConn).SetLinger(0))
@@ -334,9 +334,9 @@
 	assert.Assert(t, d.Kind.NotRun())
 }
 
-// This host gives up on a call while its connection is being opened. Nothing left
-// the host, and it says nothing of the leaf: told like a connection that could
-// not be opened, it made thousands of sound leafs suspect on a day.
+// The host cancels a call while its connection is being opened. Nothing was sent, and
+// it says nothing about the leaf: reported as a failed dial, such calls made
+// thousands of healthy leaves suspect in a day.
 func TestCallGivenUpBeforeItsConnectionIsWithdrawn(t *testing.T) {
 	c := newCaller(t)
 	full, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -345,13 +345,13 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err = c.pool.dial(ctx, full.Addr().String())
-	d := unopened(ctx, err)
+	d := dialFailure(ctx, err)
 	assert.Equal(t, d.Kind, call.Withdrawn, d.Cause)
 	assert.Assert(t, d.Kind.NotRun())
 }
 
-// A call broke. Whether its leaf went down with it shows a connection check: where nobody
-// listens the leaf is told absent; where somebody does, nothing is told.
+// After a broken call, a connection check finds out whether the leaf went down.
+// Only an address that nothing listens at must be reported.
 func TestConnCheckTellsOnlyOfAbsentLeafs(t *testing.T) {
 	absent := make(chan router.ConnRefused, 2)
 	p := &Pool{Dialect: DefaultDialect, Clock: clock.Wall{}, OnConnRefused: func(a router.ConnRefused) { absent <- a }}
@@ -364,8 +364,8 @@
 	select {
 	case a := <-absent:
 		assert.Equal(t, a.Leaf, "gone")
-	case <-time.After(patience):
-		t.Fatal("not told")
+	case <-time.After(testTimeout):
+		t.Fatal("the refused connection was not reported")
 	}
 	assert.NilError(t, p.Close())
 	assert.Equal(t, len(absent), 0)
--- a/share/httpc/pool.go
+++ b/share/httpc/pool.go
@@ -18,40 +18,39 @@
 	"dandelionstile/share/router"
 )
 
-// dialTimeout bounds the opening of a connection. It covers a way of 2 x 40 ms
-// between regions several times; a leaf that has not accepted by then does not
-// listen, or its queue of new connections is full and the next try of the
-// system comes a second later.
+// dialTimeout bounds the opening of a connection. It covers several cross-region
+// round trips of 2 x 40 ms. A leaf that has not accepted by then is not listening, or
+// its accept queue is full and the kernel sends the next SYN only after 1 s.
 const dialTimeout = 400 * time.Millisecond
 
-// Pool holds the connections to all leafs. Send and Cancel do not block; each
-// call ends with one report.
+// Pool holds the connections to all leaves. Send and Cancel do not block; each
+// call ends with one call of OnDone.
 type Pool struct {
 	Dialect Dialect
-	// Source is the IP that connections are opened from; empty leaves it to
-	// the system.
+	// Source is the local IP of connections; empty lets the operating system
+	// choose.
 	Source string
 	Clock  clock.Clock
-	// OnDone takes the end of a call, Probed that of a probe, and Absent the
-	// news that a connection check found nobody, from any goroutine.
+	// OnDone receives the result of a call, OnProbed that of a probe, and OnConnRefused
+	// the refusal of a connection check. They are called from any goroutine.
 	OnDone        func(router.Done)
 	OnProbed      func(router.ProbeResult)
 	OnConnRefused func(router.ConnRefused)
 
 	mu   sync.Mutex
 	idle map[string][]*conn // by leaf, or by address of another host
-	// opening counts connections that are being opened ahead.
+	// opening counts the connections being opened ahead of use, by address.
 	opening map[string]int
-	calls   map[uint64]*flight
+	calls   map[uint64]*activeCall
 	closed  bool
 	wait    sync.WaitGroup
 }
 
-// flight is a call under way.
-type flight struct{ cancel context.CancelFunc }
+// activeCall is a call in flight.
+type activeCall struct{ cancel context.CancelFunc }
 
 // Send starts a call.
-func (p *Pool) Send(s router.Send) { p.start(s, p.request(s)) }
+func (p *Pool) Send(s router.Send) { p.start(s, p.newRequest(s)) }
 
 func (p *Pool) start(s router.Send, q *http.Request) {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -62,16 +61,16 @@
 		return
 	}
 	if p.calls == nil {
-		p.calls = map[uint64]*flight{}
+		p.calls = map[uint64]*activeCall{}
 	}
-	p.calls[s.Call] = &flight{cancel: cancel}
+	p.calls[s.Call] = &activeCall{cancel: cancel}
 	p.wait.Go(func() { p.run(ctx, s, q) })
 }
 
-// Forward hands a request to another host; it ends with a report as Send does.
+// Forward sends a request to another host. Like Send, it ends with one call of OnDone.
 func (p *Pool) Forward(r router.Forward) {
 	s := router.Send{Call: r.Call, Request: r.Request, Leaf: r.Address, Address: r.Address, Timeout: r.Timeout}
-	q := p.request(s)
+	q := p.newRequest(s)
 	delete(q.Header, p.Dialect.ExpectLeaf)
 	q.Header[HeaderForwardTarget] = []string{strconv.FormatInt(int64(r.Target), 10)}
 	q.Header[HeaderForwardShards] = []string{strings.Join(r.Shards, ",")}
@@ -83,15 +82,15 @@
 	p.Preconnect(r.Address)
 }
 
-// mostSpare bounds the idle connections that are opened ahead to another host.
-const mostSpare = 2
+// maxSpareConns bounds the idle connections opened ahead to another host.
+const maxSpareConns = 2
 
-// Preconnect opens a connection ahead to another host if few are idle, so that the
-// next forwarded request does not pay for the way there and back once more.
+// Preconnect opens a connection to another host if few are idle, which saves the
+// next forwarded request a round trip.
 func (p *Pool) Preconnect(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || len(p.idle[address])+p.opening[address] >= mostSpare {
+	if p.closed || len(p.idle[address])+p.opening[address] >= maxSpareConns {
 		return
 	}
 	if p.opening == nil {
@@ -104,18 +103,18 @@
 		p.opening[address]--
 		p.mu.Unlock()
 		if err == nil {
-			p.put(address, newConn(n, &p.Dialect), 0)
+			p.putIdle(address, newConn(n, &p.Dialect), 0)
 		}
-		// A host that cannot be reached shows so with the next request.
+		// An unreachable host is detected by the next request.
 	})
 }
 
-// probeTimeout bounds a probe: a leaf whose health check waits for a slot
-// longer than this has no room for work either.
+// probeTimeout bounds a probe. A leaf whose health check waits for a slot longer
+// than this has no capacity for requests either.
 const probeTimeout = 800 * time.Millisecond
 
-// Probe asks a leaf for its health over a connection of its own, which proves
-// that new ones can be opened.
+// Probe checks a leaf's health over a new connection, which proves that the leaf
+// accepts connections.
 func (p *Pool) Probe(a router.Probe) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,9 +128,9 @@
 	})
 }
 
-// CheckConn opens a connection to a leaf, and closes it, to see whether anybody
-// listens there. A connection that is not answered tells nothing: the way may be
-// cut.
+// CheckConn opens and closes a connection to a leaf to find out whether its address
+// still listens. Only a refused connection is reported: a timeout may be due to the
+// network.
 func (p *Pool) CheckConn(k router.CheckConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,15 +149,15 @@
 	})
 }
 
-// healthy tells whether the leaf itself, and not another at its address, says
-// that it is well. Whatever else comes back counts as not.
+// healthy reports whether the expected leaf, not another one at its address,
+// replies that it is healthy. Any other reply counts as unhealthy.
 func (p *Pool) healthy(ctx context.Context, a router.Probe) bool {
 	n, err := p.dial(ctx, a.Address)
 	if err != nil {
 		return false
 	}
 	c := newConn(n, &p.Dialect)
-	defer c.shut()
+	defer c.close()
 	h := http.Header{"Connection": {"close"}}
 	j := &job{request: &http.Request{Method: http.MethodGet, Host: a.Address, Header: h}, unsigned: true, done: make(chan result, 1)}
 	if !c.begin(j) || c.write(j.request, a.Path, nil) != nil {
@@ -172,8 +171,8 @@
 	}
 }
 
-// Cancel gives up on a call: its connection is closed, which tells the leaf to
-// stop.
+// Cancel aborts a call by closing its connection, which signals the leaf to stop
+// the work.
 func (p *Pool) Cancel(id uint64) {
 	p.mu.Lock()
 	f := p.calls[id]
@@ -183,18 +182,18 @@
 	}
 }
 
-// Forget closes the idle connections to a leaf that is gone.
+// Forget closes the idle connections to a removed leaf.
 func (p *Pool) Forget(leaf string) {
 	p.mu.Lock()
 	list := p.idle[leaf]
 	delete(p.idle, leaf)
 	p.mu.Unlock()
 	for _, c := range list {
-		c.shut()
+		c.close()
 	}
 }
 
-// Close ends all calls and connections and waits for them.
+// Close cancels all calls, closes all connections and waits for them to end.
 func (p *Pool) Close() error {
 	p.mu.Lock()
 	p.closed = true
@@ -206,7 +205,7 @@
 	p.mu.Unlock()
 	for _, list := range lists {
 		for _, c := range list {
-			c.shut()
+			c.close()
 			<-c.ended
 		}
 	}
@@ -230,18 +229,18 @@
 	}
 }
 
-// call makes one call over an idle connection or a new one.
+// call makes one call over an idle or a new connection.
 func (p *Pool) call(ctx context.Context, s router.Send, q *http.Request) router.Done {
-	j := &job{request: q, unsigned: forwarded(q), done: make(chan result, 1)}
-	c := p.take(s.Leaf, j)
+	j := &job{request: q, unsigned: isForwarded(q), done: make(chan result, 1)}
+	c := p.takeIdle(s.Leaf, j)
 	if c == nil {
 		began := p.Clock.Now()
 		n, err := p.dial(ctx, s.Address)
 		if err != nil {
-			return unopened(ctx, err)
+			return dialFailure(ctx, err)
 		}
 		c = newConn(n, &p.Dialect)
-		if s.Watch && c.turnedAway((p.Clock.Now() - began).Duration()) {
+		if s.Watch && c.awaitReset((p.Clock.Now() - began).Duration()) {
 			return router.Done{Kind: call.Full, Cause: "the leaf ended a new connection"}
 		}
 		if !c.begin(j) {
@@ -251,71 +250,71 @@
 	return p.exchange(ctx, c, j, s)
 }
 
-// unopened tells why there is no connection.
-func unopened(ctx context.Context, err error) router.Done {
+// dialFailure classifies a failed dial.
+func dialFailure(ctx context.Context, err error) router.Done {
 	switch {
 	case ctx.Err() != nil:
 		return router.Done{Kind: call.Withdrawn, Cause: "given up"}
 	case errors.Is(err, syscall.ECONNRESET):
-		return router.Done{Kind: call.Full, Cause: short(err)}
+		return router.Done{Kind: call.Full, Cause: shortError(err)}
 	}
-	return router.Done{Kind: call.NotSent, Cause: short(err)}
+	return router.Done{Kind: call.NotSent, Cause: shortError(err)}
 }
 
-// forwarded tells whether a request goes to another host.
-func forwarded(q *http.Request) bool { return len(q.Header[HeaderForwardTarget]) > 0 }
+// isForwarded reports whether a request goes to another host.
+func isForwarded(q *http.Request) bool { return len(q.Header[HeaderForwardTarget]) > 0 }
 
-// exchange sends the request and waits for the end of the call.
+// exchange sends the request and waits for the result of the call.
 func (p *Pool) exchange(ctx context.Context, c *conn, j *job, s router.Send) router.Done {
-	// The reply may come before the whole body is written; the leaf then reads
-	// on, and the connection is not used again until the body is through.
+	// The reply may arrive before the whole body is written. The leaf then keeps
+	// reading, and the connection is not reused unless the body was written.
 	written := make(chan error, 1)
-	if len(s.Request.Body) > inlineBody {
+	if len(s.Request.Body) > inlineBodyBytes {
 		go func() { written <- c.write(j.request, s.Request.Target, s.Request.Body) }()
 	} else {
 		written <- c.write(j.request, s.Request.Target, s.Request.Body)
 	}
 	select {
 	case r := <-j.done:
-		return p.ended(c, s.Leaf, j, r, written)
+		return p.finish(c, s.Leaf, j, r, written)
 	case <-ctx.Done():
-		c.shut()
+		c.close()
 		return router.Done{Kind: call.Cancelled, Cause: "given up"}
 	}
 }
 
-// inlineBody is the largest body that is written without a goroutine of its
-// own: with its headers it fits any socket's buffer.
-const inlineBody = 4 << 10
+// inlineBodyBytes is the largest body written without a separate goroutine: with
+// its headers it fits any socket's send buffer.
+const inlineBodyBytes = 4 << 10
 
-func (p *Pool) ended(c *conn, leaf string, j *job, r result, written chan error) router.Done {
+func (p *Pool) finish(c *conn, leaf string, j *job, r result, written chan error) router.Done {
 	if r.err != nil {
-		c.shut()
-		return router.Done{Kind: call.Broken, Cause: short(r.err)}
+		c.close()
+		return router.Done{Kind: call.Broken, Cause: shortError(r.err)}
 	}
 	keep := r.keep
 	select {
 	case err := <-written:
 		keep = keep && err == nil
 	default:
-		keep = false // the body is not through
+		keep = false // the body is not fully written
 	}
 	if keep {
-		p.put(leaf, c, r.idle)
+		p.putIdle(leaf, c, r.idle)
 	} else {
-		c.shut()
+		c.close()
 	}
 	done := p.classify(r.reply)
-	if forwarded(j.request) {
+	if isForwarded(j.request) {
 		done.Refusal = router.ParseRefusal(r.reply.Header.Get(p.Dialect.NotRun))
 	}
-	if done.Kind == call.Answered && forwarded(j.request) {
-		p.merged(&done)
+	if done.Kind == call.Answered && isForwarded(j.request) {
+		p.readMergedHeaders(&done)
 	}
 	return done
 }
 
-// classify tells a leaf's refusal from its reply.
+// classify distinguishes a leaf's rejection from an answer.
 func (p *Pool) classify(r *call.Reply) router.Done {
 	switch {
 	case r.Status == http.StatusMisdirectedRequest:
@@ -326,13 +325,13 @@
 	return router.Done{Kind: call.Answered, Reply: r}
 }
 
-// merged reads what another host tells of its merged answer.
-func (p *Pool) merged(d *router.Done) {
+// readMergedHeaders reads the headers of another host's merged answer.
+func (p *Pool) readMergedHeaders(d *router.Done) {
 	ms, err := strconv.ParseInt(d.Reply.Header.Get(HeaderForwardProcessingTime), 10, 64)
 	if err == nil {
 		d.ProcessingTime = clock.Milli(ms)
 	}
-	// A time that cannot be read is as one not told: the way is not learnt.
+	// An unreadable time counts as absent: the round trip is then not measured.
 	r := d.Reply
 	r.Stamp = r.Header.Get(p.Dialect.PartStamps)
 	if list := r.Header.Get(HeaderForwardMissing); list != "" {
@@ -340,9 +339,9 @@
 	}
 }
 
-// request builds what a leaf is sent: the caller's request without the headers
-// of its connection, with the tier's own.
-func (p *Pool) request(s router.Send) *http.Request {
+// newRequest builds the request to a leaf: the caller's headers without those of
+// its connection, and the tier's own.
+func (p *Pool) newRequest(s router.Send) *http.Request {
 	h := make(http.Header, len(s.Request.Header)+2)
 	for name, values := range s.Request.Header {
 		h[name] = values
@@ -350,26 +349,26 @@
 	h[p.Dialect.RequestID] = []string{s.Request.ID}
 	h[p.Dialect.Deadline] = []string{strconv.FormatInt(int64(s.Timeout), 10)}
 	h[p.Dialect.ExpectLeaf] = []string{s.Leaf}
-	if len(s.Request.Body) > 0 || bodied(s.Request.Method) {
+	if len(s.Request.Body) > 0 || expectsBody(s.Request.Method) {
 		h["Content-Length"] = []string{strconv.Itoa(len(s.Request.Body))}
 	}
 	return &http.Request{Method: s.Request.Method, Host: s.Request.Host, Header: h}
 }
 
-// bodied tells whether a method has a body by its nature, so that its length
-// is stated even when it is 0.
-func bodied(method string) bool {
+// expectsBody reports whether a method has a body by definition, so that its length
+// is sent even when it is 0.
+func expectsBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
 func (p *Pool) dial(ctx context.Context, address string) (net.Conn, error) {
-	d := net.Dialer{Timeout: dialTimeout, Control: control, KeepAlive: -1, LocalAddr: fetch.SourceAddr(p.Source)}
+	d := net.Dialer{Timeout: dialTimeout, Control: setSocketOptions, KeepAlive: -1, LocalAddr: fetch.SourceAddr(p.Source)}
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// take puts a call on an idle connection, the one used last: the others may
-// reach their idle timeout and close.
-func (p *Pool) take(leaf string, j *job) *conn {
+// takeIdle assigns a call to the most recently used idle connection; the others
+// may reach their idle timeout and be closed.
+func (p *Pool) takeIdle(leaf string, j *job) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Clock.Now()
@@ -381,22 +380,22 @@
 		if c.alive(now) && c.begin(j) {
 			return c
 		}
-		c.shut()
+		c.close()
 	}
 	return nil
 }
 
-func (p *Pool) put(leaf string, c *conn, idle clock.Milli) {
+func (p *Pool) putIdle(leaf string, c *conn, idle clock.Milli) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		c.shut()
+		c.close()
 		return
 	}
 	c.mu.Lock()
-	c.until = 0
+	c.usableUntil = 0
 	if idle > 0 {
-		c.until = p.Clock.Now() + max(idle-idleMargin, idle/2)
+		c.usableUntil = p.Clock.Now() + max(idle-idleMargin, idle/2)
 	}
 	c.mu.Unlock()
 	if p.idle == nil {
@@ -405,9 +404,9 @@
 	p.idle[leaf] = append(p.idle[leaf], c)
 }
 
-// short is an error's text without the addresses, which the log line names
-// anyway.
-func short(err error) string {
+// shortError returns an error's text without the addresses, which are separate
+// fields of the log line.
+func shortError(err error) string {
 	var op *net.OpError
 	if errors.As(err, &op) {
 		return op.Op + ": " + op.Err.Error()
