--- a/share/roster/roster.go
+++ b/share/roster/roster.go
@@ -1,7 +1,7 @@
-// Package roster keeps what leafs say of themselves in a directory that this
-// system only reads. A leaf that starts again is a new incarnation, an entry
-// that disappears is a leaf that is gone, and neither is believed blindly while
-// the directory itself is in trouble.
+// Package roster keeps the entries that leaves write about themselves to a
+// directory that this system only reads. A restarted leaf is a new incarnation,
+// and a removed entry is a removed leaf, except while the directory itself is
+// unreachable or has just recovered.
 package roster
 
 import (
@@ -10,127 +10,127 @@
 	"dandelionstile/share/clock"
 )
 
-// Leaf is one entry.
+// Leaf is one entry of the directory.
 type Leaf struct {
 	ID      string
 	Service string
-	// Address is the IP and port. Another leaf may get it later.
+	// Address is the IP and port. It may be reused by another leaf later.
 	Address string
 	Domain  string
-	// Slots is how many requests the leaf works on at once.
+	// Slots is how many requests the leaf runs concurrently.
 	Slots int
-	// Draining leafs get no new work.
+	// Draining leaves receive no new requests.
 	Draining bool
-	// Started is when the leaf started, in Unix milliseconds by its own clock; it
-	// tells two incarnations with one ID apart. 0 is not told.
+	// Started is when the leaf started, in Unix ms by its own clock. It
+	// distinguishes incarnations with the same ID; 0 if unknown.
 	Started int64
-	// WarmupLeft is how much longer the leaf bears only a part of its load.
+	// WarmupLeft is how much longer the leaf can take only part of its load.
 	WarmupLeft clock.Milli
 }
 
-// RemovalGrace is how long an entry that disappeared while the directory was out
-// of reach is still believed after the directory is back. Leafs that live
-// write their entries again within about two seconds of its return; without
-// the reprieve, a directory that lost all entries in an outage would leave
-// every route without a leaf at once.
+// RemovalGrace is how long an entry that disappeared while the directory was
+// unreachable is kept after the directory is back. Live leaves rewrite their
+// entries within about 2 s of its return. Without the grace period, a directory
+// that lost all entries in an outage would leave every route without a leaf at
+// once.
 const RemovalGrace clock.Milli = 2300
 
-// Directory is the directory as this host knows it. The zero value is empty.
+// Directory holds the entries known to this host. The zero value is empty.
 type Directory struct {
-	leafs map[string]Leaf
-	// leaving holds entries that disappeared during or just after an outage,
-	// and when each is taken as gone.
-	leaving map[string]clock.Milli
-	lost    bool
-	until   clock.Milli // end of the reprieve after an outage
+	leaves map[string]Leaf
+	// removals holds entries that disappeared during or just after an outage, and
+	// when each is removed.
+	removals    map[string]clock.Milli
+	unreachable bool
+	graceUntil  clock.Milli // end of the grace period after an outage
 }
 
-// Put records an entry and tells whether it changed anything. An entry of an
-// earlier incarnation than the known one arrived late and is ignored.
+// Put records an entry and reports whether it changed anything. It ignores late
+// entries of an earlier incarnation than the known one.
 func (b *Directory) Put(l Leaf) bool {
-	if b.leafs == nil {
-		b.leafs = map[string]Leaf{}
-		b.leaving = map[string]clock.Milli{}
+	if b.leaves == nil {
+		b.leaves = map[string]Leaf{}
+		b.removals = map[string]clock.Milli{}
 	}
-	old, known := b.leafs[l.ID]
+	old, known := b.leaves[l.ID]
 	if known && l.Started != 0 && l.Started < old.Started {
 		return false
 	}
-	delete(b.leaving, l.ID)
-	b.leafs[l.ID] = l
+	delete(b.removals, l.ID)
+	b.leaves[l.ID] = l
 	return !known || old != l
 }
 
-// Remove records that an entry disappeared and tells whether the leaf is taken
-// as gone now.
+// Remove records that an entry disappeared and reports whether the leaf is removed
+// now.
 func (b *Directory) Remove(now clock.Milli, id string) bool {
-	if _, ok := b.leafs[id]; !ok {
+	if _, ok := b.leaves[id]; !ok {
 		return false
 	}
-	if b.lost || now < b.until {
-		if _, ok := b.leaving[id]; !ok {
-			b.leaving[id] = max(b.until, now+RemovalGrace)
+	if b.unreachable || now < b.graceUntil {
+		if _, ok := b.removals[id]; !ok {
+			b.removals[id] = max(b.graceUntil, now+RemovalGrace)
 		}
 		return false
 	}
-	delete(b.leafs, id)
+	delete(b.leaves, id)
 	return true
 }
 
-// Retain takes entries that a whole listing does not hold as disappeared, and
-// tells whether any leaf is taken as gone now.
+// Retain removes the entries that a full listing lacks and reports whether any leaf
+// is removed now.
 func (b *Directory) Retain(now clock.Milli, listed func(id string) bool) bool {
-	gone := false
-	for id := range b.leafs {
+	removed := false
+	for id := range b.leaves {
 		if !listed(id) {
-			gone = b.Remove(now, id) || gone
+			removed = b.Remove(now, id) || removed
 		}
 	}
-	return gone
+	return removed
 }
 
-// StoreLost says that the directory is out of reach.
-func (b *Directory) StoreLost() { b.lost = true }
+// StoreLost records that the directory is unreachable.
+func (b *Directory) StoreLost() { b.unreachable = true }
 
-// StoreRecovered says that the directory answers again.
+// StoreRecovered records that the directory is reachable again.
 func (b *Directory) StoreRecovered(now clock.Milli) {
-	if !b.lost {
+	if !b.unreachable {
 		return
 	}
-	b.lost = false
-	b.until = now + RemovalGrace
-	for id := range b.leaving {
-		b.leaving[id] = b.until
+	b.unreachable = false
+	b.graceUntil = now + RemovalGrace
+	for id := range b.removals {
+		b.removals[id] = b.graceUntil
 	}
 }
 
-// Expire takes entries as gone whose reprieve is over and returns their ids in
+// Expire removes entries whose grace period is over and returns their IDs in
 // order.
 func (b *Directory) Expire(now clock.Milli) []string {
-	if b.lost {
+	if b.unreachable {
 		return nil
 	}
-	var gone []string
-	for id, at := range b.leaving {
+	var removed []string
+	for id, at := range b.removals {
 		if now >= at {
-			gone = append(gone, id)
-			delete(b.leaving, id)
-			delete(b.leafs, id)
+			removed = append(removed, id)
+			delete(b.removals, id)
+			delete(b.leaves, id)
 		}
 	}
-	sort.Strings(gone)
-	return gone
+	sort.Strings(removed)
+	return removed
 }
 
-// Leaves lists the known leafs, ordered by id.
+// Leaves lists the known leaves in order of ID.
 func (b *Directory) Leaves() []Leaf {
-	list := make([]Leaf, 0, len(b.leafs))
-	for _, l := range b.leafs {
+	list := make([]Leaf, 0, len(b.leaves))
+	for _, l := range b.leaves {
 		list = append(list, l)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	return list
 }
 
-// Pending tells whether entries are about to be taken as gone.
-func (b *Directory) Pending() bool { return len(b.leaving) > 0 }
+// Pending reports whether any entry awaits removal.
+func (b *Directory) Pending() bool { return len(b.removals) > 0 }
--- a/share/roster/roster_test.go
+++ b/share/roster/roster_test.go
@@ -16,9 +16,9 @@
 	return list
 }
 
-// The directory is away and loses all its entries meanwhile. The leafs still
-// live, and write them again just after it is back: no leaf is given up. One
-// that does not come back is taken as gone.
+// The directory fails and loses all its entries. The leaves still run and rewrite
+// their entries after it is back: none must be removed. A leaf whose entry does not
+// return is removed.
 func TestEntriesLostInAnOutageGetAReprieve(t *testing.T) {
 	var b Directory
 	b.Put(Leaf{ID: "a", Started: 1})
@@ -35,8 +35,8 @@
 	assert.DeepEqual(t, ids(&b), []string{"a"})
 }
 
-// In calm times an entry that disappears is a leaf that leaves, and gets no
-// more work from that moment.
+// Guards against requests to a leaf whose entry disappears while the directory is
+// reachable.
 func TestEntryThatDisappearsIsGone(t *testing.T) {
 	var b Directory
 	b.Put(Leaf{ID: "a"})
@@ -45,8 +45,8 @@
 	assert.Assert(t, !b.Remove(clock.Minute, "a"))
 }
 
-// A leaf starts again under its id. What its former incarnation wrote arrives
-// late and must not undo that.
+// A leaf restarts under its ID. A late entry of its former incarnation must not
+// replace the new one.
 func TestFormerIncarnationIsIgnored(t *testing.T) {
 	var b Directory
 	assert.Assert(t, b.Put(Leaf{ID: "a", Started: 200, Address: "new"}))
@@ -55,7 +55,7 @@
 	assert.Assert(t, !b.Put(Leaf{ID: "a", Started: 200, Address: "new"}), "nothing changed")
 }
 
-// A whole listing no longer holds a leaf: it is gone.
+// A full listing lacks a known leaf, which must be removed.
 func TestLeafsThatAreNotListedAreGone(t *testing.T) {
 	var b Directory
 	b.Put(Leaf{ID: "a"})
