--- a/share/member/codec.go
+++ b/share/member/codec.go
@@ -14,18 +14,18 @@
 	"dandelionstile/share/wire"
 )
 
-// ErrInvalidPacket says that a datagram is not one of this system.
-var ErrInvalidPacket = errors.New("no packet of hosts")
+// ErrInvalidPacket reports a datagram that is not a valid packet.
+var ErrInvalidPacket = errors.New("invalid membership packet")
 
-// thousand is the scale of shares on the wire.
-const thousand = 1000
+// perMille is the scale of fractions on the wire.
+const perMille = 1000
 
-// Encode writes a packet. Updates of hosts whose address is not an IP and a port
-// are left out: nobody could reach them.
+// Encode encodes a packet. It omits updates of hosts without a valid IP and port,
+// which are unreachable.
 func Encode(p Packet) ([]byte, error) {
 	e := encoder{domains: map[string]uint32{}}
 	g := &wire.MemberPacket{
-		Kind: uint32(p.Kind), Sequence: p.Sequence, Sender: e.member(p.Sender), Target: address(p.Target), Digest: p.Digest, Sum: p.Checksum,
+		Kind: uint32(p.Kind), Sequence: p.Sequence, Sender: e.member(p.Sender), Target: packAddress(p.Target), Digest: p.Digest, Sum: p.Checksum,
 		Updates: make([]*wire.Member, 0, len(p.Updates)),
 	}
 	if g.Sender == nil {
@@ -41,20 +41,20 @@
 		g.Crashes = append(g.Crashes, &wire.CrashReport{Fingerprint: c.Fingerprint, Leaf: c.Leaf, AgeMs: uint32(max(0, c.Age))})
 	}
 	for _, n := range p.Leaves {
-		g.Leaves = append(g.Leaves, &wire.LeafReport{Leaf: n.ID, LateMs: uint32(max(0, n.ExtraLatency)), Failing: uint32(n.FailureRatio * thousand)})
+		g.Leaves = append(g.Leaves, &wire.LeafReport{Leaf: n.ID, LateMs: uint32(max(0, n.ExtraLatency)), Failing: uint32(n.FailureRatio * perMille)})
 	}
 	body, err := proto.Marshal(g)
 	return body, errors.Wrap(err, "encode packet")
 }
 
-// encoder numbers the failure domains of a packet.
+// encoder assigns numbers to the failure domains of a packet.
 type encoder struct {
 	names   []string
 	domains map[string]uint32
 }
 
 func (e *encoder) member(u Update) *wire.Member {
-	at := address(u.Host.GossipAddress)
+	at := packAddress(u.Host.GossipAddress)
 	if at == nil {
 		return nil
 	}
@@ -65,30 +65,30 @@
 		e.names = append(e.names, u.Host.Domain)
 	}
 	return &wire.Member{
-		Address: at, ForwardPort: port(u.Host.ForwardAddress), Domain: index,
+		Address: at, ForwardPort: portOf(u.Host.ForwardAddress), Domain: index,
 		Started: u.Host.Started, Incarnation: u.Host.Incarnation, State: uint32(u.State),
 		Capacity: u.Host.Capacity,
 	}
 }
 
-// Decode reads a packet.
+// Decode decodes a packet.
 func Decode(body []byte) (Packet, error) {
 	var g wire.MemberPacket
 	if err := proto.Unmarshal(body, &g); err != nil {
 		return Packet{}, errors.Wrap(err, "decode packet")
 	}
-	sender, ok := update(&g, g.GetSender())
+	sender, ok := decodeUpdate(&g, g.GetSender())
 	if !ok || g.GetKind() > uint32(Diff) {
 		return Packet{}, ErrInvalidPacket
 	}
 	p := Packet{Kind: Kind(g.GetKind()), Sequence: g.GetSequence(), Sender: sender, Digest: g.GetDigest(), Checksum: g.GetSum()}
 	if p.Kind == PingReq {
-		if p.Target, ok = readAddress(g.GetTarget()); !ok {
+		if p.Target, ok = unpackAddress(g.GetTarget()); !ok {
 			return Packet{}, ErrInvalidPacket
 		}
 	}
 	for _, m := range g.GetUpdates() {
-		if u, ok := update(&g, m); ok {
+		if u, ok := decodeUpdate(&g, m); ok {
 			p.Updates = append(p.Updates, u)
 		}
 	}
@@ -97,15 +97,16 @@
 	}
 	for _, n := range g.GetLeaves() {
 		p.Leaves = append(p.Leaves, report.Leaf{
-			ID: n.GetLeaf(), ExtraLatency: clock.Milli(n.GetLateMs()), FailureRatio: min(1, float64(n.GetFailing())/thousand),
+			ID: n.GetLeaf(), ExtraLatency: clock.Milli(n.GetLateMs()), FailureRatio: min(1, float64(n.GetFailing())/perMille),
 		})
 	}
 	return p, nil
 }
 
-// update reads one member; false if it cannot be reached or its state is unknown.
-func update(g *wire.MemberPacket, m *wire.Member) (Update, bool) {
-	at, ok := readAddress(m.GetAddress())
+// decodeUpdate decodes one member. It reports false if the address is invalid or
+// the state is unknown.
+func decodeUpdate(g *wire.MemberPacket, m *wire.Member) (Update, bool) {
+	at, ok := unpackAddress(m.GetAddress())
 	if !ok || m.GetState() > uint32(Left) || int(m.GetDomain()) >= len(g.GetDomains()) {
 		return Update{}, false
 	}
@@ -119,8 +120,8 @@
 	}}, true
 }
 
-// address packs an IP and a port; nil for anything else.
-func address(text string) []byte {
+// packAddress encodes an IP and port; it returns nil for any other text.
+func packAddress(text string) []byte {
 	at, err := netip.ParseAddrPort(text)
 	if err != nil {
 		return nil
@@ -132,7 +133,7 @@
 	return packed
 }
 
-func readAddress(packed []byte) (string, bool) {
+func unpackAddress(packed []byte) (string, bool) {
 	var at netip.AddrPort
 	if err := at.UnmarshalBinary(packed); err != nil || !at.IsValid() {
 		return "", false
@@ -140,9 +141,9 @@
 	return at.String(), true
 }
 
-// port is the port of an address; 0 if it has none, for a host that takes no
-// forwarded requests.
-func port(address string) uint32 {
+// portOf returns the port of an address, or 0 if it has none, as for a host that
+// accepts no forwarded requests.
+func portOf(address string) uint32 {
 	_, text, err := net.SplitHostPort(address)
 	if err != nil {
 		return 0
--- a/share/member/fleet_test.go
+++ b/share/member/fleet_test.go
@@ -10,7 +10,7 @@
 	"dandelionstile/share/clock"
 )
 
-// fleet is a number of hosts under a virtual clock, whose packets may be lost.
+// fleet is a set of hosts on a virtual clock, with packet loss.
 type fleet struct {
 	now    clock.Virtual
 	rand   *rand.Rand
@@ -18,13 +18,13 @@
 	byName map[string]*simHost
 	loss   float64
 	cut    func(from, to string) bool
-	// packets and bytes were sent since the last reset.
+	// packets and bytes count what was sent since the last reset.
 	packets, bytes int
-	// sized is which share of packets is encoded to learn its size.
-	sized int
+	// sampleEvery is the interval of packets that are encoded to measure their size.
+	sampleEvery int
 }
 
-// simHost is one host. A stopped one neither sends nor reads.
+// simHost is one host. A stopped host neither sends nor reads packets.
 type simHost struct {
 	list    *List
 	stopped bool
@@ -37,9 +37,9 @@
 
 func newFleet(t *testing.T, n int, loss float64) *fleet {
 	t.Helper()
-	w := &fleet{rand: rand.New(rand.NewPCG(uint64(n), 7)), byName: map[string]*simHost{}, loss: loss, sized: 1}
+	w := &fleet{rand: rand.New(rand.NewPCG(uint64(n), 7)), byName: map[string]*simHost{}, loss: loss, sampleEvery: 1}
 	if n > 1000 {
-		w.sized = 32
+		w.sampleEvery = 32
 	}
 	seeds := []string{name(0), name(1), "10.9.9.9:1"}
 	for i := range n {
@@ -50,7 +50,7 @@
 
 func name(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/200, i%200) }
 
-// start runs a host from now on, in place of one at the same address.
+// start adds a host, which replaces one at the same address.
 func (w *fleet) start(t *testing.T, host string, seeds []string, started uint64) *simHost {
 	r := &simHost{list: &List{Seeds: seeds, Self: Host{
 		GossipAddress: host, ForwardAddress: host, Domain: fmt.Sprintf("d%d", len(w.hosts)%domains), Started: started,
@@ -73,7 +73,7 @@
 	w.schedule(t, r)
 }
 
-// schedule ticks a host when it is due.
+// schedule schedules the next tick of a host.
 func (w *fleet) schedule(t *testing.T, r *simHost) {
 	at := max(r.list.Next(), w.now.Now()+1)
 	if r.due > w.now.Now() && r.due <= at {
@@ -89,11 +89,11 @@
 
 func (w *fleet) send(t *testing.T, packets []Packet) {
 	for _, p := range packets {
-		if w.packets++; w.packets%w.sized == 0 {
+		if w.packets++; w.packets%w.sampleEvery == 0 {
 			body, err := Encode(p)
 			assert.NilError(t, err)
 			const headers = 28 // of IP and UDP
-			w.bytes += (len(body) + headers) * w.sized
+			w.bytes += (len(body) + headers) * w.sampleEvery
 		}
 		if w.rand.Float64() < w.loss || w.cut != nil && w.cut(p.Sender.Host.GossipAddress, p.To) {
 			continue
@@ -114,7 +114,7 @@
 	}
 }
 
-// stop holds a host for a span; what it was sent waits.
+// stop stalls a host for a span; it reads the packets sent meanwhile afterwards.
 func (w *fleet) stop(t *testing.T, r *simHost, span clock.Milli) {
 	r.stopped = true
 	w.now.After(span, func() {
@@ -129,7 +129,7 @@
 
 func (w *fleet) run(span clock.Milli) { w.now.Run(w.now.Now() + span) }
 
-// running lists the hosts that are there.
+// running lists the hosts that are not dead.
 func (w *fleet) running() []*simHost {
 	var list []*simHost
 	for _, r := range w.hosts {
@@ -140,8 +140,8 @@
 	return list
 }
 
-// fewest is the least number of others that any host counts on.
-func (w *fleet) fewest() int {
+// minKnown returns the smallest number of other hosts in any list.
+func (w *fleet) minKnown() int {
 	least := len(w.hosts)
 	for _, r := range w.running() {
 		least = min(least, len(r.list.ring))
@@ -149,8 +149,8 @@
 	return least
 }
 
-// counted is how many pairs there are of a host and another that it counts on.
-func (w *fleet) counted() int {
+// knownPairs returns the number of pairs of a host and another host in its list.
+func (w *fleet) knownPairs() int {
 	n := 0
 	for _, r := range w.running() {
 		n += len(r.list.ring)
--- a/share/member/fuzz_test.go
+++ b/share/member/fuzz_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// Guards against datagrams, which come from anywhere, that make a host count on
-// another without an address or hold what cannot be passed on.
+// Guards against datagrams from any sender that add a host without an address, or
+// updates that can't be encoded.
 func FuzzDecode(f *testing.F) {
-	body, err := Encode(Packet{Kind: Sync, Sender: Update{Host: Host{GossipAddress: "10.0.0.1:1", ForwardAddress: "10.0.0.1:2", Domain: "d"}}, Digest: make([]uint32, buckets)})
+	body, err := Encode(Packet{Kind: Sync, Sender: Update{Host: Host{GossipAddress: "10.0.0.1:1", ForwardAddress: "10.0.0.1:2", Domain: "d"}}, Digest: make([]uint32, maxBuckets)})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/share/member/gossip.go
+++ b/share/member/gossip.go
@@ -10,52 +10,54 @@
 )
 
 const (
-	// gossipPeriod is the pause between two rounds in which updates are
-	// published, while there are any.
+	// gossipPeriod is the interval between gossip rounds while updates are
+	// queued.
 	gossipPeriod clock.Milli = 200
-	// gossipNear and gossipAny are how many hosts are told a round, of the own
-	// failure domain and of all: bytes between domains are billed.
-	gossipNear = 2
-	gossipAny  = 1
-	// perPacket is how many updates a packet takes, about 1 KB.
-	perPacket = 32
-	// sendsMore is how often a host sends an update beyond the binary digits of
-	// the number of hosts, in which it reaches nearly all.
-	sendsMore = 2
-	// mostQueued bounds the updates that wait: where more hosts change at once,
-	// digests mend what was not published.
-	mostQueued = 10 * perPacket
-	// leaveTold is how many hosts a leaving host tells itself.
-	leaveTold = 24
+	// gossipSameDomain and gossipAnyDomain are how many hosts of the own failure
+	// domain and of all domains get a packet each round. Few cross domains because
+	// traffic between domains is billed.
+	gossipSameDomain = 2
+	gossipAnyDomain  = 1
+	// updatesPerPacket is the limit of updates in a packet, about 1 KB.
+	updatesPerPacket = 32
+	// extraSends is how often a host sends an update beyond the bit length of the
+	// number of hosts, after which it has reached nearly all of them.
+	extraSends = 2
+	// maxQueued bounds the queued updates. When more hosts change at once, digests
+	// repair what was not published.
+	maxQueued = 10 * updatesPerPacket
+	// leaveFanout is how many hosts a leaving host notifies directly.
+	leaveFanout = 24
 
-	// syncEvery is the pause between two comparisons of digests, syncAgain after
-	// one that has shown a difference or came after syncFirst, and syncFirst after one
-	// that has shown many, or for the firstSyncs of a host that has just started.
-	syncEvery              = 5 * clock.Second
-	syncAgain              = clock.Second
-	syncFirst  clock.Milli = 150
-	firstSyncs             = 12
-	// learnedMany is how many hosts one comparison must bring for the next to
-	// come at once.
-	learnedMany = 8
-	// seedEvery is each how many comparisons a seed is asked: it joins parts of
-	// the system that have lost each other.
-	seedEvery = 4
-	// syncMost is how many hosts are published in answer to one digest, and
-	// syncsServed how many digests a second are answered so; others get perPacket
-	// hosts, whom they can ask in turn. Seeds are asked by all that start.
-	syncMost    = 12 * perPacket
-	syncsServed = 40
-	// buckets is how many parts of the list have a hash of their own at most, a
-	// power of two. A digest has one for each perBucket hosts or so.
-	buckets   = 256
-	perBucket = 8
+	// syncInterval is the interval between digest comparisons. syncSoonInterval
+	// follows one that found a difference or came after syncFastInterval, and
+	// syncFastInterval one that found many, or each of the first startupSyncs.
+	syncInterval                 = 5 * clock.Second
+	syncSoonInterval             = clock.Second
+	syncFastInterval clock.Milli = 150
+	startupSyncs                 = 12
+	// fastSyncThreshold is how many hosts a comparison must bring to be followed by
+	// another after syncFastInterval.
+	fastSyncThreshold = 8
+	// seedSyncEvery is the number of comparisons per comparison with a seed, which
+	// rejoins partitions of the system.
+	seedSyncEvery = 4
+	// maxSyncUpdates is how many hosts the answer to a digest may hold, and
+	// fullSyncsPerSecond how many answers a second may do so. Further answers hold
+	// updatesPerPacket hosts, which the receiver can ask in turn. The limit protects
+	// seeds, which every starting host asks.
+	maxSyncUpdates     = 12 * updatesPerPacket
+	fullSyncsPerSecond = 40
+	// maxBuckets is the largest number of buckets in a digest, a power of two. A
+	// digest has about one bucket per hostsPerBucket hosts.
+	maxBuckets     = 256
+	hostsPerBucket = 8
 )
 
-// publish sends an update along with the next packets.
+// publish queues an update for the next packets.
 func (l *List) publish(e *entry) {
-	e.sends = sendsMore + bits.Len(uint(len(l.ring)+1))
-	if !e.queued && (len(l.queue) < mostQueued || e == &l.self) {
+	e.sendsLeft = extraSends + bits.Len(uint(len(l.ring)+1))
+	if !e.queued && (len(l.queue) < maxQueued || e == &l.self) {
 		e.queued = true
 		l.queue = append(l.queue, e)
 	}
@@ -63,7 +65,7 @@
 
 func (l *List) publishSelf() { l.publish(&l.self) }
 
-// takeUpdates takes updates for one packet, in turn.
+// takeUpdates dequeues updates for one packet, and requeues those with sends left.
 func (l *List) takeUpdates(room int) []Update {
 	n := min(room, len(l.queue))
 	if n <= 0 {
@@ -74,7 +76,7 @@
 	l.queue = l.queue[n:]
 	for _, e := range taken {
 		list = append(list, e.Update)
-		if e.sends--; e.sends > 0 {
+		if e.sendsLeft--; e.sendsLeft > 0 {
 			l.queue = append(l.queue, e)
 			continue
 		}
@@ -83,63 +85,63 @@
 	return list
 }
 
-// packet fills a packet with the sender and what is to be published.
+// packet adds the sender and queued updates to a packet.
 func (l *List) packet(to string, p Packet) Packet {
 	p.To = to
 	p.Sender = l.self.Update
-	p.Updates = append(p.Updates, l.takeUpdates(perPacket-len(p.Updates))...)
+	p.Updates = append(p.Updates, l.takeUpdates(updatesPerPacket-len(p.Updates))...)
 	return p
 }
 
-// Gossip returns packets for a few random hosts, with updates if there are any.
+// Gossip returns packets to a few random hosts, with queued updates if any.
 func (l *List) Gossip(now clock.Milli) []Packet {
 	l.start(now)
 	var packets []Packet
-	for _, e := range append(l.sample(l.near, gossipNear, nil), l.sample(l.ring, gossipAny, nil)...) {
+	for _, e := range append(l.sample(l.sameDomain, gossipSameDomain, nil), l.sample(l.ring, gossipAnyDomain, nil)...) {
 		packets = append(packets, l.packet(e.Host.GossipAddress, Packet{Kind: Publish}))
 	}
 	return packets
 }
 
-// sample draws different hosts from a list, without one.
-func (l *List) sample(from []*entry, most int, without *entry) []*entry {
-	if len(from) <= 2*most {
-		list := slices.DeleteFunc(slices.Clone(from), func(e *entry) bool { return e == without })
+// sample returns up to limit distinct random hosts of a list, except one.
+func (l *List) sample(from []*entry, limit int, except *entry) []*entry {
+	if len(from) <= 2*limit {
+		list := slices.DeleteFunc(slices.Clone(from), func(e *entry) bool { return e == except })
 		l.rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-		return list[:min(len(list), most)]
+		return list[:min(len(list), limit)]
 	}
-	list := make([]*entry, 0, most)
-	for len(list) < most {
-		if e := from[l.rand.IntN(len(from))]; e != without && !slices.Contains(list, e) {
+	list := make([]*entry, 0, limit)
+	for len(list) < limit {
+		if e := from[l.rand.IntN(len(from))]; e != except && !slices.Contains(list, e) {
 			list = append(list, e)
 		}
 	}
 	return list
 }
 
-// sync sends the digest of the list to another host, or to a seed.
+// sync sends the digest of the list to another host, a seed or both.
 func (l *List) sync(now clock.Milli) []Packet {
 	l.syncs++
 	l.syncedAt = now
-	period := syncEvery
+	period := syncInterval
 	switch {
-	case l.syncs <= firstSyncs || l.learned >= learnedMany:
-		period = syncFirst
-	case l.learned > 0 || l.syncPeriod == syncFirst:
-		// One that brings nothing after others that did may have been lost.
-		period = syncAgain
+	case l.syncs <= startupSyncs || l.learned >= fastSyncThreshold:
+		period = syncFastInterval
+	case l.learned > 0 || l.syncPeriod == syncFastInterval:
+		// A comparison that brings nothing after others that did may have been lost.
+		period = syncSoonInterval
 	}
 	l.syncPeriod, l.syncAt = period, now+period
 	l.learned = 0
-	whole := l.whole()
-	digest := fold(whole[:], l.digestSize())
+	whole := l.fullDigest()
+	digest := foldDigest(whole[:], l.digestSize())
 	var packets []Packet
 	send := func(to string) {
 		if to != l.Self.GossipAddress {
 			packets = append(packets, l.packet(to, Packet{Kind: Sync, Digest: digest}))
 		}
 	}
-	if len(l.Seeds) > 0 && (len(l.ring) == 0 || l.syncs%seedEvery == 1) {
+	if len(l.Seeds) > 0 && (len(l.ring) == 0 || l.syncs%seedSyncEvery == 1) {
 		send(l.Seeds[l.rand.IntN(len(l.Seeds))])
 	}
 	if l.syncWith != "" {
@@ -153,21 +155,21 @@
 	return packets
 }
 
-// differing answers a digest with the hosts of buckets that differ, and those
-// that are gone, of which the other may not know.
-func (l *List) differing(now clock.Milli, to string, digest []uint32) []Packet {
+// diffPackets answers a digest with the hosts of the differing buckets, including
+// removed hosts, which the receiver may still list.
+func (l *List) diffPackets(now clock.Milli, to string, digest []uint32) []Packet {
 	size := len(digest)
-	if size == 0 || size > buckets || size&(size-1) != 0 {
+	if size == 0 || size > maxBuckets || size&(size-1) != 0 {
 		return nil
 	}
-	most := l.syncRoom(now)
-	whole := l.whole()
-	own := fold(whole[:], size)
+	limit := l.syncBudget(now)
+	whole := l.fullDigest()
+	own := foldDigest(whole[:], size)
 	differs := func(e *entry) bool {
 		i := e.hash % uint64(size)
 		return own[i] != digest[i]
 	}
-	var counts [buckets]int
+	var counts [maxBuckets]int
 	count := func(list []*entry) {
 		for _, e := range list {
 			if differs(e) {
@@ -176,25 +178,25 @@
 		}
 	}
 	count(l.ring)
-	count(l.gone)
-	// Whole buckets, which one answer settles, from one drawn anew, so that several
-	// hosts together answer a long list in full.
-	room := most
-	var chosen [buckets]bool
+	count(l.removed)
+	// Prefers whole buckets, which one answer settles. Starting at a random bucket
+	// lets several hosts together answer a long list in full.
+	room := limit
+	var chosen [maxBuckets]bool
 	for i, first := 0, l.rand.IntN(size); i < size; i++ {
 		bucket := (first + i) % size
-		if n := counts[bucket]; n > 0 && (n <= room || room == most) {
+		if n := counts[bucket]; n > 0 && (n <= room || room == limit) {
 			chosen[bucket] = true
 			room -= n
 		}
 	}
 	var list []Update
 	add := func(e *entry) {
-		if chosen[e.hash%uint64(size)] && len(list) < most {
+		if chosen[e.hash%uint64(size)] && len(list) < limit {
 			list = append(list, e.Update)
 		}
 	}
-	// A single bucket that is larger than an answer is cut at a place drawn anew.
+	// A single bucket larger than an answer is cut at a random position.
 	cut := 0
 	if len(l.ring) > 0 {
 		cut = l.rand.IntN(len(l.ring))
@@ -202,36 +204,36 @@
 	for i := range l.ring {
 		add(l.ring[(cut+i)%len(l.ring)])
 	}
-	for _, e := range slices.Backward(l.gone) {
+	for _, e := range slices.Backward(l.removed) {
 		add(e)
 	}
 	var packets []Packet
 	for len(list) > 0 {
-		n := min(perPacket, len(list))
+		n := min(updatesPerPacket, len(list))
 		packets = append(packets, l.packet(to, Packet{Kind: Diff, Updates: list[:n:n]}))
 		list = list[n:]
 	}
 	return packets
 }
 
-// syncRoom is how many hosts may be published in answer to one more digest.
-func (l *List) syncRoom(now clock.Milli) int {
-	if now >= l.servedAt+clock.Second {
-		l.servedAt, l.served = now, 0
+// syncBudget returns how many hosts the answer to one more digest may hold.
+func (l *List) syncBudget(now clock.Milli) int {
+	if now >= l.syncsServedAt+clock.Second {
+		l.syncsServedAt, l.syncsServed = now, 0
 	}
-	if l.served++; l.served > syncsServed {
-		return perPacket
+	if l.syncsServed++; l.syncsServed > fullSyncsPerSecond {
+		return updatesPerPacket
 	}
-	return syncMost
+	return maxSyncUpdates
 }
 
-// digestSize is the length of a digest, for the number of hosts known.
+// digestSize returns the length of a digest for the number of known hosts.
 func (l *List) digestSize() int {
-	return min(buckets, 1<<bits.Len(uint(len(l.ring)/perBucket)))
+	return min(maxBuckets, 1<<bits.Len(uint(len(l.ring)/hostsPerBucket)))
 }
 
-// fold shortens a digest to a size that is a power of two.
-func fold(digest []uint32, size int) []uint32 {
+// foldDigest shortens a digest to a size that is a power of two.
+func foldDigest(digest []uint32, size int) []uint32 {
 	folded := make([]uint32, size)
 	for i, part := range digest {
 		folded[i%size] ^= part
@@ -239,28 +241,28 @@
 	return folded
 }
 
-// whole is the digest of all hosts, this one included.
-func (l *List) whole() [buckets]uint32 {
+// fullDigest returns the digest of all hosts, including this one.
+func (l *List) fullDigest() [maxBuckets]uint32 {
 	digest := l.digest
 	digest[l.self.bucket()] ^= l.self.fingerprint()
 	return digest
 }
 
-// sum is a hash of the whole list.
-func (l *List) sum() uint32 {
+// checksum returns a hash of the whole list.
+func (l *List) checksum() uint32 {
 	var sum uint32
-	for _, part := range l.whole() {
+	for _, part := range l.fullDigest() {
 		sum ^= part
 	}
 	return sum
 }
 
-// toggle adds a host to the digest, or takes it out.
-func (l *List) toggle(e *entry) { l.digest[e.bucket()] ^= e.fingerprint() }
+// toggleDigest adds a host to the digest or removes it.
+func (l *List) toggleDigest(e *entry) { l.digest[e.bucket()] ^= e.fingerprint() }
 
-func (e *entry) bucket() int { return int(e.hash % buckets) }
+func (e *entry) bucket() int { return int(e.hash % maxBuckets) }
 
-// fingerprint is a hash of a host and its incarnation.
+// fingerprint returns a hash of a host and its incarnation.
 func (e *entry) fingerprint() uint32 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], e.Host.Started)
--- a/share/member/member.go
+++ b/share/member/member.go
@@ -1,16 +1,16 @@
-// Package member keeps the list of hosts that are up. Each host probes a few
-// others in turn, directly and then through third hosts; one that does not
-// answer is suspected, may refute that with a higher incarnation, and is dropped
-// otherwise. Changes travel with all packets and are pushed to random hosts while
-// they are new; digests of the whole list, compared now and then, mend what was
-// lost. Nothing is agreed on: each list is its host's own belief, used to share
-// limits out and to find helpers.
+// Package member keeps a SWIM-like list of live hosts. Each host probes a few
+// others in turn, directly and then through other hosts. A host that does not
+// reply is suspected; unless it refutes the suspicion with a higher incarnation, it
+// is removed. Every packet carries recent changes, and gossip sends them to random
+// hosts. Periodic comparisons of digests repair lost updates. There is no
+// consensus: each list is one host's own view, used to divide limits between hosts
+// and to find hosts to forward to.
 //
-// The load pattern: hundreds to thousands of hosts, lost packets, hosts that stand
-// still for seconds, and many that end at the same time. What a host sends does
-// not grow with the number of hosts.
+// It is designed for hundreds to thousands of hosts, packet loss, hosts that stall
+// for seconds, and many hosts that stop at the same time. The traffic of a host
+// does not grow with the number of hosts.
 //
-// The package decides only; its caller owns the socket.
+// The package holds only the protocol; its caller owns the socket.
 package member
 
 import (
@@ -26,40 +26,39 @@
 
 // Host is one process of the system.
 type Host struct {
-	// GossipAddress takes packets, by UDP, and identifies the host. Relay takes
-	// forwarded requests, by TCP.
+	// GossipAddress receives packets over UDP and identifies the host.
+	// ForwardAddress receives forwarded requests over TCP.
 	GossipAddress, ForwardAddress string
 	Domain                        string
-	// Capacity is the processor that it may use, in thousandths of a core; 0 if
-	// it is not known.
+	// Capacity is the available CPU in thousandths of a core; 0 if unknown.
 	Capacity uint32
 	// Started is when the process started, in Unix ms by its own clock.
 	Started uint64
-	// Incarnation is raised by the host itself to refute others' beliefs of it.
+	// Incarnation is raised by the host itself to refute a suspicion.
 	Incarnation uint64
 }
 
-// State is what is believed of a host. Of two beliefs about one incarnation the
-// higher replaces the lower.
+// State is the state of a host in one list. For the same incarnation, the higher
+// state takes precedence.
 type State uint8
 
 // States of hosts.
 const (
 	Alive State = iota
-	// Suspect hosts have not answered and are still counted on.
+	// Suspect hosts have not replied; they still count as up.
 	Suspect
 	Dead
-	// Left hosts have said themselves that they leave.
+	// Left hosts have announced that they are leaving.
 	Left
 )
 
-// Update is one belief about a host.
+// Update is one report of a host's state.
 type Update struct {
 	Host  Host
 	State State
 }
 
-// supersedes tells whether a belief replaces another about the same address.
+// supersedes reports whether an update replaces another one for the same address.
 func (u Update) supersedes(o Update) bool {
 	if u.Host.Started != o.Host.Started {
 		return u.Host.Started > o.Host.Started
@@ -70,20 +69,20 @@
 	return u.State > o.State
 }
 
-// Kind is what a packet is for.
+// Kind is the purpose of a packet.
 type Kind uint8
 
 // Kinds of packets.
 const (
-	// Publish carries updates only.
+	// Publish carries only updates.
 	Publish Kind = iota
-	// Ping asks for an Ack with the same sequence.
+	// Ping requests an Ack with the same sequence number.
 	Ping
 	Ack
-	// PingReq asks the receiver to probe Target and to pass its Ack on.
+	// PingReq asks the receiver to probe Target and to forward its Ack.
 	PingReq
-	// Sync carries a digest; the receiver answers with Diff, the hosts of buckets
-	// that differ.
+	// Sync carries a digest. The receiver replies with Diff, the hosts of the
+	// differing buckets.
 	Sync
 	Diff
 )
@@ -94,34 +93,34 @@
 	Kind     Kind
 	Sequence uint64
 	Sender   Update
-	// Target is the host to probe, of PingFor.
+	// Target is the host to probe; set in PingReq.
 	Target  string
 	Updates []Update
-	// Digest is a hash for each bucket of the sender's list, of Sync.
+	// Digest holds a hash for each bucket of the sender's list; set in Sync.
 	Digest []uint32
-	// Checksum is a hash of the sender's whole list, of Ack.
+	// Checksum is a hash of the sender's whole list; set in Ack.
 	Checksum uint32
-	// Crashes and Leafs pass through: they are the caller's.
+	// Crashes and Leaves are the caller's payload.
 	Crashes []crash.Report
 	Leaves  []report.Leaf
 }
 
-// Change is a host that has come or gone, for the log.
+// Change is an added or removed host, for the log.
 type Change struct {
 	Host  Host
 	State State
 }
 
 const (
-	// forgetAfter is how long a host that is gone is remembered, so that an old
-	// update cannot bring it back and a healed network is noticed.
-	forgetAfter = 10 * clock.Minute
-	// mostChanges bounds the changes kept for the log.
-	mostChanges = 64
+	// removedRetention is how long a removed host is remembered, so that an old
+	// update cannot re-add it and a healed partition is noticed.
+	removedRetention = 10 * clock.Minute
+	// maxChanges bounds the changes kept for the log.
+	maxChanges = 64
 )
 
-// List is one host's belief about all hosts. Self and Seeds are set before first
-// use; Seeds may be replaced at any time.
+// List is one host's view of all hosts. Self and Seeds are set before first use;
+// Seeds may be replaced at any time.
 type List struct {
 	Self  Host
 	Seeds []string
@@ -129,50 +128,50 @@
 	started bool
 	rand    *rand.Rand
 	known   map[string]*entry
-	// ring holds the others that count as up, in the order of their hashes, and
-	// near those of them in the own failure domain.
-	ring, near []*entry
-	// gone holds those that do not, oldest first.
-	gone    []*entry
-	digest  [buckets]uint32
-	queue   []*entry
-	self    entry
-	version uint64
-	changes []Change
-	missed  int
+	// ring holds the other hosts that are up, in order of their hashes, and
+	// sameDomain the ones in the own failure domain.
+	ring, sameDomain []*entry
+	// removed holds the hosts that are down or have left, oldest first.
+	removed        []*entry
+	digest         [maxBuckets]uint32
+	queue          []*entry
+	self           entry
+	version        uint64
+	changes        []Change
+	droppedChanges int
 
-	probes   map[uint64]*probe
-	proxied  map[uint64]proxied
-	sequence uint64
-	suspects []*entry
-	dueAt    clock.Milli
-	probeAt  clock.Milli
-	gossipAt clock.Milli
-	syncAt   clock.Milli
-	// syncPeriod is the pause that followed the last sync.
+	probes        map[uint64]*probe
+	proxiedProbes map[uint64]proxiedProbe
+	sequence      uint64
+	suspects      []*entry
+	nextTickAt    clock.Milli
+	probeAt       clock.Milli
+	gossipAt      clock.Milli
+	syncAt        clock.Milli
+	// syncPeriod is the interval that followed the last sync.
 	syncPeriod clock.Milli
 	syncedAt   clock.Milli
-	// syncWith is a host whose list differs.
+	// syncWith is a host whose list differs; empty if none.
 	syncWith string
 	syncs    int
-	// learned counts the updates that the last sync has brought.
-	learned  int
-	servedAt clock.Milli
-	served   int
+	// learned counts the new hosts and states since the last sync.
+	learned       int
+	syncsServedAt clock.Milli
+	syncsServed   int
 }
 
 // entry is one host of the list.
 type entry struct {
 	Update
 	hash uint64
-	// goneAt is when it was dropped, and suspectedAt when it was suspected.
-	goneAt, suspectedAt clock.Milli
-	// sends is how many more packets publish it.
-	sends  int
-	queued bool
+	// removedAt is when the host was removed, and suspectedAt when it was suspected.
+	removedAt, suspectedAt clock.Milli
+	// sendsLeft is how many more packets carry the update.
+	sendsLeft int
+	queued    bool
 }
 
-// up tells whether the host counts as there.
+// up reports whether the host counts as up.
 func (e *entry) up() bool { return e.State == Alive || e.State == Suspect }
 
 func (l *List) start(now clock.Milli) {
@@ -182,17 +181,17 @@
 	l.started = true
 	l.known = map[string]*entry{}
 	l.probes = map[uint64]*probe{}
-	l.proxied = map[uint64]proxied{}
+	l.proxiedProbes = map[uint64]proxiedProbe{}
 	l.self = entry{Update: Update{Host: l.Self}, hash: rank.Hash(l.Self.GossipAddress)}
-	// Seeded by the address: repeatable, and different between hosts.
+	// The seed is derived from the address: reproducible and different on each host.
 	l.rand = rand.New(rand.NewPCG(l.self.hash, l.Self.Started))
-	// The phase of the probes differs between hosts.
+	// A random phase spreads the probes of all hosts over the period.
 	l.probeAt = now + clock.Milli(l.rand.Int64N(int64(probePeriod)))
 	l.syncAt = now
 	l.publishSelf()
 }
 
-// Alive lists the other hosts that count as up, by address. Version changes
+// Alive lists the other hosts that are up, in order of address. Version changes
 // whenever the list does.
 func (l *List) Alive() []Host {
 	list := make([]Host, len(l.ring))
@@ -203,7 +202,7 @@
 	return list
 }
 
-// Suspected tells whether a host that counts as up does not answer.
+// Suspected reports whether a host that counts as up does not reply to probes.
 func (l *List) Suspected(gossip string) bool {
 	e := l.known[gossip]
 	return e != nil && e.State == Suspect
@@ -212,15 +211,15 @@
 // Version counts the changes of Alive and Suspected.
 func (l *List) Version() uint64 { return l.version }
 
-// Changes returns the hosts that have come or gone since the last call, and how
-// many more there were.
+// Changes returns the hosts added or removed since the last call, and how many
+// more were dropped from the list.
 func (l *List) Changes() (list []Change, more int) {
-	list, more = l.changes, l.missed
-	l.changes, l.missed = nil, 0
+	list, more = l.changes, l.droppedChanges
+	l.changes, l.droppedChanges = nil, 0
 	return list, more
 }
 
-// apply takes an update from another host and says whether it was news.
+// apply records an update from another host and reports whether it changed the list.
 func (l *List) apply(now clock.Milli, u Update) bool {
 	switch u.Host.GossipAddress {
 	case "":
@@ -236,48 +235,48 @@
 	if !u.supersedes(e.Update) {
 		return false
 	}
-	l.set(now, e, u)
+	l.replace(now, e, u)
 	return true
 }
 
-// add takes a host that was not known; one that is gone is kept only so that no
-// older update brings it back.
+// add records an unknown host. A removed one is kept only to block older updates
+// that would re-add it.
 func (l *List) add(now clock.Milli, u Update) bool {
 	e := &entry{Update: u, hash: rank.Hash(u.Host.GossipAddress)}
 	l.known[u.Host.GossipAddress] = e
 	if !e.up() {
-		e.goneAt = now
-		l.gone = append(l.gone, e)
+		e.removedAt = now
+		l.removed = append(l.removed, e)
 		return false
 	}
 	l.insert(e)
-	l.suspectFrom(now, e)
+	l.startSuspicion(now, e)
 	l.changed(e)
 	return true
 }
 
-// spread takes an update and publishes it if it was news.
-func (l *List) spread(now clock.Milli, u Update) {
+// applyAndPublish records an update and publishes it if it changed the list.
+func (l *List) applyAndPublish(now clock.Milli, u Update) {
 	if l.apply(now, u) {
 		l.publish(l.known[u.Host.GossipAddress])
 	}
 }
 
-// set replaces what is believed of a host.
-func (l *List) set(now clock.Milli, e *entry, u Update) {
+// replace replaces the state of a host.
+func (l *List) replace(now clock.Milli, e *entry, u Update) {
 	former := *e
 	if former.up() {
 		l.remove(e)
 	} else {
-		l.gone = slices.DeleteFunc(l.gone, func(o *entry) bool { return o == e })
+		l.removed = slices.DeleteFunc(l.removed, func(o *entry) bool { return o == e })
 	}
 	e.Update = u
 	if e.up() {
 		l.insert(e)
-		l.suspectFrom(now, e)
+		l.startSuspicion(now, e)
 	} else {
-		e.goneAt = now
-		l.gone = append(l.gone, e)
+		e.removedAt = now
+		l.removed = append(l.removed, e)
 	}
 	if former.up() != e.up() || former.Host.Started != e.Host.Started || former.Host.ForwardAddress != e.Host.ForwardAddress {
 		l.changed(e)
@@ -286,34 +285,34 @@
 	}
 }
 
-// changed records a change of the list.
+// changed records a change for the log.
 func (l *List) changed(e *entry) {
 	l.version++
-	if len(l.changes) >= mostChanges {
-		l.missed++
+	if len(l.changes) >= maxChanges {
+		l.droppedChanges++
 		return
 	}
 	l.changes = append(l.changes, Change{Host: e.Host, State: e.State})
 }
 
 func (l *List) insert(e *entry) {
-	l.toggle(e)
+	l.toggleDigest(e)
 	at, _ := l.position(e)
 	l.ring = slices.Insert(l.ring, at, e)
 	if e.Host.Domain == l.Self.Domain {
-		l.near = append(l.near, e)
+		l.sameDomain = append(l.sameDomain, e)
 	}
 }
 
 func (l *List) remove(e *entry) {
-	l.toggle(e)
+	l.toggleDigest(e)
 	if at, ok := l.position(e); ok {
 		l.ring = slices.Delete(l.ring, at, at+1)
 	}
-	l.near = slices.DeleteFunc(l.near, func(o *entry) bool { return o == e })
+	l.sameDomain = slices.DeleteFunc(l.sameDomain, func(o *entry) bool { return o == e })
 }
 
-// position finds where a host stands on the ring, or would stand.
+// position returns a host's index on the ring, or where it would be inserted.
 func (l *List) position(e *entry) (int, bool) {
 	return slices.BinarySearchFunc(l.ring, e, func(a, b *entry) int {
 		switch {
@@ -326,10 +325,10 @@
 	})
 }
 
-// forget drops hosts that have been gone for long.
-func (l *List) forget(now clock.Milli) {
-	for len(l.gone) > 0 && now-l.gone[0].goneAt > forgetAfter {
-		delete(l.known, l.gone[0].Host.GossipAddress)
-		l.gone = l.gone[1:]
+// pruneRemoved forgets hosts that were removed long ago.
+func (l *List) pruneRemoved(now clock.Milli) {
+	for len(l.removed) > 0 && now-l.removed[0].removedAt > removedRetention {
+		delete(l.known, l.removed[0].Host.GossipAddress)
+		l.removed = l.removed[1:]
 	}
 }
--- a/share/member/member_test.go
+++ b/share/member/member_test.go
@@ -11,19 +11,19 @@
 	"dandelionstile/share/report"
 )
 
-// full adds the largest fleets, which take minutes and gigabytes.
+// full enables the largest fleets, which take minutes and gigabytes.
 var full = flag.Bool("full", false, "also play fleets of 5,600 hosts")
 
-// largeness is how many hosts a fleet has and how many packets it loses.
-type largeness struct {
+// fleetCase is a fleet's number of hosts and its share of lost packets.
+type fleetCase struct {
 	hosts int
 	loss  float64
 }
 
-// Guards against lists that miss hosts, count on dead ones or cost more as the
-// fleet grows.
+// Guards against lists that miss live hosts, keep dead ones, or cause more traffic as
+// the fleet grows.
 func TestListsHoldAtEverySize(t *testing.T) {
-	hold(t, []largeness{
+	runCases(t, []fleetCase{
 		{6, 0},
 		{6, 0.02},
 		{6, 0.1},
@@ -39,43 +39,43 @@
 	})
 }
 
-// Guards against the same at the size to design for.
+// Guards against the same at the largest supported size.
 func TestListsHoldAtFullSize(t *testing.T) {
 	if !*full {
 		t.Skip("takes minutes and gigabytes: -full")
 	}
-	hold(t, []largeness{{5600, 0}, {5600, 0.02}, {5600, 0.1}})
+	runCases(t, []fleetCase{{5600, 0}, {5600, 0.02}, {5600, 0.1}})
 }
 
-func hold(t *testing.T, list []largeness) {
+func runCases(t *testing.T, list []fleetCase) {
 	t.Helper()
 	for _, one := range list {
 		t.Run(fmt.Sprintf("%d-hosts-%.0f-lost", one.hosts, 100*one.loss), func(t *testing.T) {
 			t.Parallel()
-			holds(t, one.hosts, one.loss)
+			testFleet(t, one.hosts, one.loss)
 		})
 	}
 }
 
-// holds plays a fleet from its start, through a calm time, stopped hosts, dead
-// ones and a fresh one.
-func holds(t *testing.T, n int, loss float64) {
+// testFleet runs a fleet through its start, a steady period, stalled hosts, dead hosts
+// and a new host.
+func testFleet(t *testing.T, n int, loss float64) {
 	w := newFleet(t, n, loss)
 	w.run(14 * clock.Second)
-	t.Logf("after the start: %d of %d", w.fewest(), n-1)
+	t.Logf("after the start: %d of %d", w.minKnown(), n-1)
 	if n > 1000 {
 		w.run(16 * clock.Second)
-		t.Logf("later: %d of %d", w.fewest(), n-1)
+		t.Logf("later: %d of %d", w.minKnown(), n-1)
 	}
-	assert.Equal(t, w.fewest(), n-1)
+	assert.Equal(t, w.minKnown(), n-1)
 
 	w.packets, w.bytes = 0, 0
-	dropped := w.watch(10*clock.Second, nil)
+	dropped := w.maxDropped(10*clock.Second, nil)
 	packets, bytes := float64(w.packets)/float64(n)/10, float64(w.bytes)/float64(n)/10
 	t.Logf("calm: %.1f packets and %.0f bytes a host and second, %d pairs dropped at most", packets, bytes, dropped)
 	const mostPackets, mostBytes = 15, 1500
 	assert.Assert(t, packets < mostPackets && bytes < mostBytes)
-	assert.Assert(t, dropped <= n*n/1000, "living hosts dropped: %d pairs", dropped)
+	assert.Assert(t, dropped <= n*n/1000, "live hosts removed: %d pairs", dropped)
 
 	stopped := map[*simHost]bool{}
 	for i := 1; i <= n/10; i++ {
@@ -83,11 +83,11 @@
 		stopped[r] = true
 		w.stop(t, r, 3*clock.Second)
 	}
-	dropped = w.watch(3*clock.Second, stopped)
-	t.Logf("%d stopped: %d pairs of others dropped at most", len(stopped), dropped)
-	assert.Assert(t, dropped <= n*n/1000, "hosts that were not stopped were dropped: %d pairs", dropped)
+	dropped = w.maxDropped(3*clock.Second, stopped)
+	t.Logf("%d stalled: %d pairs of other hosts removed at most", len(stopped), dropped)
+	assert.Assert(t, dropped <= n*n/1000, "hosts that did not stall were removed: %d pairs", dropped)
 	w.run(4 * clock.Second)
-	assert.Assert(t, w.counted() >= n*(n-1)-n*n/1000, "stopped hosts are not back: %d of %d pairs", w.counted(), n*(n-1))
+	assert.Assert(t, w.knownPairs() >= n*(n-1)-n*n/1000, "stalled hosts are still removed: %d of %d pairs", w.knownPairs(), n*(n-1))
 
 	dead := max(1, n/20)
 	for i := range dead {
@@ -95,19 +95,20 @@
 	}
 	w.run(6 * clock.Second)
 	left := n - dead
-	extra := w.counted() - left*(left-1)
-	t.Logf("%d dead: %d of %d pairs count on them after 6 s", dead, extra, left*dead)
-	assert.Assert(t, extra*100 <= left*dead, "dead hosts are counted on by more than one list in a hundred")
+	extra := w.knownPairs() - left*(left-1)
+	t.Logf("%d dead: %d of %d pairs still list them after 6 s", dead, extra, left*dead)
+	assert.Assert(t, extra*100 <= left*dead, "more than one pair in a hundred still lists dead hosts")
 
 	fresh := w.start(t, "10.8.0.1:7000", []string{name(0), name(1)}, 1)
 	w.run(3 * clock.Second)
-	t.Logf("a fresh host knows %d of %d", len(fresh.list.ring), left)
-	assert.Assert(t, len(fresh.list.ring) >= left, "a fresh host knows %d of %d", len(fresh.list.ring), left)
+	t.Logf("a new host lists %d of %d", len(fresh.list.ring), left)
+	assert.Assert(t, len(fresh.list.ring) >= left, "a new host lists %d of %d", len(fresh.list.ring), left)
 }
 
-// watch runs the fleet and returns the most pairs of a host and a living other
-// that it does not count on, at any moment. Hosts that stand still are left out.
-func (w *fleet) watch(span clock.Milli, without map[*simHost]bool) int {
+// maxDropped runs the fleet for a span and returns the highest number, at any moment,
+// of pairs of a host and a live host missing from its list. Stalled hosts are
+// excluded.
+func (w *fleet) maxDropped(span clock.Milli, without map[*simHost]bool) int {
 	most := 0
 	for range span / 250 {
 		w.run(250)
@@ -127,22 +128,22 @@
 	return most
 }
 
-// Guards against hosts that are dead and stay in the lists, and against one that
-// starts again, its clock set back, and is not seen.
+// Guards against dead hosts that stay in the lists, and against a restarted host that
+// is ignored because its clock was set back.
 func TestKilledHostsAreMissed(t *testing.T) {
 	w := newFleet(t, 20, 0)
 	w.run(10 * clock.Second)
 	w.byName[name(5)].dead = true
 	w.byName[name(0)].dead = true
 	w.run(8 * clock.Second)
-	assert.Equal(t, w.fewest(), 17)
+	assert.Equal(t, w.minKnown(), 17)
 	w.start(t, name(5), []string{name(1)}, 2)
 	w.start(t, name(0), []string{name(1)}, 0)
 	w.run(12 * clock.Second)
-	assert.Equal(t, w.fewest(), 19)
+	assert.Equal(t, w.minKnown(), 19)
 }
 
-// Guards against work sent to a host that has said that it leaves.
+// Guards against requests forwarded to a host that has announced that it is leaving.
 func TestLeavingHostIsDropped(t *testing.T) {
 	w := newFleet(t, 7, 0)
 	w.run(8 * clock.Second)
@@ -151,12 +152,12 @@
 	w.run(200)
 	for _, o := range w.running() {
 		for _, h := range o.list.Alive() {
-			assert.Assert(t, h.GossipAddress != name(3), "%s still counts on it", o.list.Self.GossipAddress)
+			assert.Assert(t, h.GossipAddress != name(3), "%s still lists the host", o.list.Self.GossipAddress)
 		}
 	}
 }
 
-// Guards against a leaving host that many of a large fleet do not hear of.
+// Guards against a leaving host that many hosts of a large fleet still list.
 func TestLeavingHostIsDroppedByLargeFleets(t *testing.T) {
 	w := newFleet(t, 200, 0.02)
 	w.run(8 * clock.Second)
@@ -164,11 +165,11 @@
 	w.send(t, r.list.Leave(w.now.Now()))
 	w.run(1500)
 	for _, o := range w.running() {
-		assert.Assert(t, o == r || !o.list.known[name(3)].up(), "%s still counts on it", o.list.Self.GossipAddress)
+		assert.Assert(t, o == r || !o.list.known[name(3)].up(), "%s still lists the host", o.list.Self.GossipAddress)
 	}
 }
 
-// Guards against parts of the system that have lost each other and stay apart.
+// Guards against partitions of the system that do not rejoin after the network heals.
 func TestPartsFindEachOtherAgain(t *testing.T) {
 	for _, n := range []int{20, 200} {
 		w := newFleet(t, n, 0)
@@ -179,15 +180,15 @@
 		}
 		w.cut = func(from, to string) bool { return side[from] != side[to] }
 		w.run(20 * clock.Second)
-		assert.Equal(t, w.fewest(), n/2-1)
+		assert.Equal(t, w.minKnown(), n/2-1)
 		w.cut = nil
 		w.run(10 * clock.Second)
-		assert.Equal(t, w.fewest(), n-1)
+		assert.Equal(t, w.minKnown(), n-1)
 	}
 }
 
-// Guards against a dead host that comes back to life by an old update, and
-// against one at its address that is taken for it.
+// Guards against old updates that re-add a dead host, and against a new process at its
+// address that is mistaken for it.
 func TestOldUpdatesDoNotReviveTheDead(t *testing.T) {
 	l := List{Self: Host{GossipAddress: "10.0.0.1:1", Domain: "d0", Started: 1}}
 	other := Host{GossipAddress: "10.0.0.2:1", Domain: "d1", Started: 5, Incarnation: 3}
@@ -211,8 +212,7 @@
 	assert.DeepEqual(t, l.Alive(), []Host{next})
 }
 
-// Guards against hosts that are dropped although they answer: one that is
-// suspected refutes before others give it up.
+// Guards against the removal of live hosts: a suspected host must refute in time.
 func TestSuspectedHostRefutes(t *testing.T) {
 	w := newFleet(t, 30, 0)
 	w.run(10 * clock.Second)
@@ -224,10 +224,10 @@
 	w.run(1500)
 	assert.Equal(t, r.list.Self.Incarnation, uint64(1))
 	w.run(4 * clock.Second)
-	assert.Equal(t, w.fewest(), 29)
+	assert.Equal(t, w.minKnown(), 29)
 }
 
-// Guards against a host that stood still and, waking, takes all others for dead.
+// Guards against a stalled host that removes all others once it runs again.
 func TestStoppedHostDropsNobody(t *testing.T) {
 	w := newFleet(t, 30, 0)
 	w.run(10*clock.Second + 100)
@@ -237,11 +237,11 @@
 	w.run(9 * clock.Second)
 	assert.Equal(t, len(r.list.ring), 29)
 	assert.Equal(t, r.list.Version(), version)
-	assert.Equal(t, w.fewest(), 29)
+	assert.Equal(t, w.minKnown(), 29)
 }
 
-// Guards against hosts of the own failure domain that are left out for good where
-// there are more than may be told at once.
+// Guards against hosts of the own failure domain that never get a packet when there
+// are more hosts than the limit.
 func TestNearHostsAreTold(t *testing.T) {
 	l := List{Self: Host{GossipAddress: "10.0.0.1:1", Domain: "d0"}}
 	l.start(1000)
@@ -264,18 +264,18 @@
 func TestChangesAreBounded(t *testing.T) {
 	l := List{Self: Host{GossipAddress: "10.0.0.1:1", Domain: "d0"}}
 	l.start(1000)
-	for i := range 2 * mostChanges {
+	for i := range 2 * maxChanges {
 		l.apply(1000, Update{Host: Host{GossipAddress: name(i)}})
 	}
 	list, more := l.Changes()
-	assert.Equal(t, len(list), mostChanges)
-	assert.Equal(t, more, mostChanges)
+	assert.Equal(t, len(list), maxChanges)
+	assert.Equal(t, more, maxChanges)
 	list, more = l.Changes()
 	assert.Equal(t, len(list)+more, 0)
 }
 
-// Guards against reports of leaves that change on their way, and against nonsense
-// in them.
+// Guards against load reports that are altered by encoding, and against values out
+// of range.
 func TestLeafReportsTravel(t *testing.T) {
 	sent := []report.Leaf{{ID: "i-1", ExtraLatency: 170, FailureRatio: 0.25}, {ID: "i-2"}, {ID: "i-3", ExtraLatency: -5, FailureRatio: 3}}
 	body, err := Encode(Packet{Sender: Update{Host: Host{GossipAddress: "10.0.0.1:1"}}, Leaves: sent})
@@ -286,7 +286,7 @@
 	assert.DeepEqual(t, p.Leaves, sent)
 }
 
-// Guards against packets that lose what they carry.
+// Guards against fields that are lost in encoding.
 func TestPacketsTravel(t *testing.T) {
 	sender := Update{Host: Host{GossipAddress: "10.0.0.1:1", ForwardAddress: "10.0.0.1:2", Domain: "d0", Capacity: 800, Started: 7, Incarnation: 2}}
 	other := Update{Host: Host{GossipAddress: "10.0.0.2:1", ForwardAddress: "10.0.0.2:2", Domain: "d1", Started: 8}, State: Suspect}
--- a/share/member/probe.go
+++ b/share/member/probe.go
@@ -7,66 +7,66 @@
 )
 
 const (
-	// probePeriod is the pause between two rounds of probes.
+	// probePeriod is the interval between rounds of probes.
 	probePeriod = clock.Second
-	// nearProbes and ringProbes are how many hosts are probed a round: the next
-	// of the own failure domain and the next of all, in the order of hashes. So
-	// each host is probed by as many others, and not all of its own domain.
-	nearProbes = 1
-	ringProbes = 2
-	// probeStep is the time between two tries of a probe. It covers a round trip
-	// between regions and a busy host's turn.
-	probeStep clock.Milli = 200
-	// directTries and proxyTries are how often a host is asked directly, and
-	// then through others, before it is suspected; lost packets alone must not
-	// raise suspicions, since each is published to all hosts.
-	directTries = 3
-	proxyTries  = 2
-	// proxies is how many others are asked to probe a host.
-	proxies = 3
-	// proxyWait is how long the last try may take.
-	proxyWait clock.Milli = 300
-	// suspicionTime is how long a suspected host has to refute.
-	suspicionTime = 2 * clock.Second
-	// ownStall is how late a tick must be for this host to have stood still.
-	ownStall clock.Milli = 400
-	// proxiedMost is how long an Ack is passed on.
-	proxiedMost = clock.Second
+	// sameDomainProbes and ringProbes are how many hosts are probed each round: the
+	// next ones of the own failure domain and of all, in order of hashes. Each host
+	// is thus probed by the same number of others, not all in its own domain.
+	sameDomainProbes = 1
+	ringProbes       = 2
+	// probeRetryInterval is the interval between attempts of a probe. It covers a
+	// cross-region round trip and the scheduling delay of a busy host.
+	probeRetryInterval clock.Milli = 200
+	// directAttempts and proxyAttempts are how often a host is probed directly and
+	// then through others before it is suspected. Packet loss alone must not cause
+	// suspicions, since each one is published to all hosts.
+	directAttempts = 3
+	proxyAttempts  = 2
+	// proxyFanout is how many other hosts are asked to probe a host.
+	proxyFanout = 3
+	// proxyTimeout bounds the last attempt.
+	proxyTimeout clock.Milli = 300
+	// suspicionTimeout is how long a suspected host has to refute.
+	suspicionTimeout = 2 * clock.Second
+	// stallThreshold is the delay of a tick from which this host counts as stalled.
+	stallThreshold clock.Milli = 400
+	// proxyAckTTL is how long an Ack is forwarded to the host that requested it.
+	proxyAckTTL = clock.Second
 )
 
-// probe is one host's answer that is waited for.
+// probe is a probe in progress.
 type probe struct {
-	target *entry
-	tries  int
-	at     clock.Milli
+	target   *entry
+	attempts int
+	nextAt   clock.Milli
 }
 
-// proxied is a probe made for another host.
-type proxied struct {
+// proxiedProbe is a probe on behalf of another host.
+type proxiedProbe struct {
 	from     string
 	sequence uint64
 	at       clock.Milli
 }
 
-// round starts the probes of a period.
-func (l *List) round(now clock.Milli) {
+// startProbes starts the probes of a round.
+func (l *List) startProbes(now clock.Milli) {
 	for _, e := range l.probeTargets() {
 		l.sequence++
-		l.probes[l.sequence] = &probe{target: e, at: now}
+		l.probes[l.sequence] = &probe{target: e, nextAt: now}
 	}
-	for sequence, p := range l.proxied {
-		if now-p.at > proxiedMost {
-			delete(l.proxied, sequence)
+	for sequence, p := range l.proxiedProbes {
+		if now-p.at > proxyAckTTL {
+			delete(l.proxiedProbes, sequence)
 		}
 	}
 }
 
-// probeTargets are the next hosts on the ring, the first of them in the own
-// failure domain.
+// probeTargets returns the next hosts on the ring, including one of the own failure
+// domain.
 func (l *List) probeTargets() []*entry {
 	at, _ := l.position(&l.self)
 	var list []*entry
-	near, far := nearProbes, ringProbes
+	near, far := sameDomainProbes, ringProbes
 	for i := range l.ring {
 		e := l.ring[(at+i)%len(l.ring)]
 		switch {
@@ -78,45 +78,45 @@
 			far--
 			list = append(list, e)
 		}
-		if far == 0 && (near == 0 || len(l.near) == 0) {
+		if far == 0 && (near == 0 || len(l.sameDomain) == 0) {
 			break
 		}
 	}
 	return list
 }
 
-// runProbes sends what is due of probes under way.
+// runProbes sends the packets due for probes in progress.
 func (l *List) runProbes(now clock.Milli) []Packet {
 	var packets []Packet
-	for _, sequence := range l.sequences() {
+	for _, sequence := range l.probeSequences() {
 		p := l.probes[sequence]
-		if now < p.at {
+		if now < p.nextAt {
 			continue
 		}
 		switch {
 		case !p.target.up():
 			delete(l.probes, sequence)
-		case p.tries < directTries:
+		case p.attempts < directAttempts:
 			packets = append(packets, l.packet(p.target.Host.GossipAddress, Packet{Kind: Ping, Sequence: sequence}))
-		case p.tries < directTries+proxyTries:
-			for _, e := range l.sample(l.ring, proxies, p.target) {
+		case p.attempts < directAttempts+proxyAttempts:
+			for _, e := range l.sample(l.ring, proxyFanout, p.target) {
 				packets = append(packets, l.packet(e.Host.GossipAddress, Packet{Kind: PingReq, Sequence: sequence, Target: p.target.Host.GossipAddress}))
 			}
 		default:
 			delete(l.probes, sequence)
 			packets = append(packets, l.suspect(now, p.target)...)
 		}
-		p.tries++
-		p.at = now + probeStep
-		if p.tries == directTries+proxyTries {
-			p.at = now + proxyWait
+		p.attempts++
+		p.nextAt = now + probeRetryInterval
+		if p.attempts == directAttempts+proxyAttempts {
+			p.nextAt = now + proxyTimeout
 		}
 	}
 	return packets
 }
 
-// sequences lists the probes under way, oldest first.
-func (l *List) sequences() []uint64 {
+// probeSequences lists the probes in progress, oldest first.
+func (l *List) probeSequences() []uint64 {
 	list := make([]uint64, 0, len(l.probes))
 	for sequence := range l.probes {
 		list = append(list, sequence)
@@ -125,21 +125,21 @@
 	return list
 }
 
-// suspect publishes that a host does not answer, and tells the host itself, which
-// can refute it soonest.
+// suspect publishes that a host does not reply. It also notifies that host, which
+// can refute it fastest.
 func (l *List) suspect(now clock.Milli, e *entry) []Packet {
 	if e.State != Alive {
 		return nil
 	}
 	u := e.Update
 	u.State = Suspect
-	l.set(now, e, u)
+	l.replace(now, e, u)
 	l.publish(e)
 	return []Packet{l.packet(e.Host.GossipAddress, Packet{Kind: Publish, Updates: []Update{u}})}
 }
 
-// suspectFrom starts the time in which a suspected host may refute.
-func (l *List) suspectFrom(now clock.Milli, e *entry) {
+// startSuspicion starts the time within which a suspected host may refute.
+func (l *List) startSuspicion(now clock.Milli, e *entry) {
 	if e.State != Suspect {
 		return
 	}
@@ -147,38 +147,38 @@
 	l.suspects = append(l.suspects, e)
 }
 
-// expire drops suspected hosts that have not refuted.
+// expire removes suspected hosts that have not refuted in time.
 func (l *List) expire(now clock.Milli) {
 	rest := l.suspects[:0]
 	for _, e := range l.suspects {
 		switch {
 		case e.State != Suspect:
-		case now-e.suspectedAt < suspicionTime:
+		case now-e.suspectedAt < suspicionTimeout:
 			rest = append(rest, e)
 		default:
 			u := e.Update
 			u.State = Dead
-			l.set(now, e, u)
+			l.replace(now, e, u)
 			l.publish(e)
 		}
 	}
 	l.suspects = rest
 }
 
-// stalled makes up for a time in which this host stood still: answers to its
-// probes may have come and gone, and refutations wait unread.
-func (l *List) stalled(late clock.Milli) {
+// compensateStall compensates for a stall of this host. Replies to its probes may
+// have been lost meanwhile, and refutations may be unread.
+func (l *List) compensateStall(late clock.Milli) {
 	clear(l.probes)
 	for _, e := range l.suspects {
 		e.suspectedAt += late
 	}
 }
 
-// refute raises the own incarnation above what others believe of it.
+// refute raises the own incarnation above that of an update about this host.
 func (l *List) refute(u Update) {
 	switch own := l.self.Update; {
 	case u.Host.Started > own.Host.Started:
-		// A former process at this address, by a clock that was ahead.
+		// An earlier process at this address whose clock was ahead.
 		l.self.Host.Started = u.Host.Started + 1
 	case u.Host.Started == own.Host.Started && (u.State > own.State && u.Host.Incarnation == own.Host.Incarnation || u.Host.Incarnation > own.Host.Incarnation):
 		l.self.Host.Incarnation = u.Host.Incarnation + 1
--- a/share/member/run.go
+++ b/share/member/run.go
@@ -4,18 +4,18 @@
 	"dandelionstile/share/clock"
 )
 
-// Tick does what is due and returns the packets to send.
+// Tick performs the due work and returns the packets to send.
 func (l *List) Tick(now clock.Milli) []Packet {
 	l.start(now)
-	if l.dueAt != 0 && now > l.dueAt+ownStall {
-		l.stalled(now - l.dueAt)
+	if l.nextTickAt != 0 && now > l.nextTickAt+stallThreshold {
+		l.compensateStall(now - l.nextTickAt)
 	}
-	l.forget(now)
+	l.pruneRemoved(now)
 	l.expire(now)
 	var packets []Packet
 	if now >= l.probeAt {
 		l.probeAt = now + probePeriod
-		l.round(now)
+		l.startProbes(now)
 		packets = append(packets, l.reconnect()...)
 	}
 	packets = append(packets, l.runProbes(now)...)
@@ -26,18 +26,18 @@
 		l.gossipAt = now + gossipPeriod
 		packets = append(packets, l.Gossip(now)...)
 	}
-	l.dueAt = l.Next()
+	l.nextTickAt = l.Next()
 	return packets
 }
 
-// Next is when Tick is due.
+// Next returns when Tick is due.
 func (l *List) Next() clock.Milli {
 	next := min(l.probeAt, l.syncAt)
 	for _, p := range l.probes {
-		next = min(next, p.at)
+		next = min(next, p.nextAt)
 	}
 	for _, e := range l.suspects {
-		next = min(next, e.suspectedAt+suspicionTime)
+		next = min(next, e.suspectedAt+suspicionTimeout)
 	}
 	if len(l.queue) > 0 {
 		next = min(next, l.gossipAt)
@@ -45,79 +45,79 @@
 	return next
 }
 
-// Receive takes a packet and returns the answers to it.
+// Receive processes a packet and returns the replies to it.
 func (l *List) Receive(now clock.Milli, p Packet) []Packet {
 	l.start(now)
 	if p.Sender.Host.GossipAddress == "" || p.Sender.Host.GossipAddress == l.Self.GossipAddress {
 		return nil
 	}
-	l.spread(now, p.Sender)
+	l.applyAndPublish(now, p.Sender)
 	for _, u := range p.Updates {
 		if p.Kind == Diff {
-			// It is new to this host only.
+			// The update is new only to this host, so it is not published.
 			if l.apply(now, u) {
 				l.learned++
 			}
 			continue
 		}
-		l.spread(now, u)
+		l.applyAndPublish(now, u)
 	}
-	return l.answer(now, p)
+	return l.reply(now, p)
 }
 
-func (l *List) answer(now clock.Milli, p Packet) []Packet {
+func (l *List) reply(now clock.Milli, p Packet) []Packet {
 	from := p.Sender.Host.GossipAddress
-	// A host that others believe to be gone learns so from any host that it
-	// speaks to, and refutes it.
-	var beliefs []Update
+	// A removed host that sends a packet learns its recorded state from any receiver
+	// and can refute it.
+	var corrections []Update
 	if e := l.known[from]; e != nil && e.supersedes(p.Sender) {
-		beliefs = []Update{e.Update}
+		corrections = []Update{e.Update}
 	}
 	switch p.Kind {
 	case Ping:
-		return []Packet{l.packet(from, Packet{Kind: Ack, Sequence: p.Sequence, Checksum: l.sum(), Updates: beliefs})}
+		return []Packet{l.packet(from, Packet{Kind: Ack, Sequence: p.Sequence, Checksum: l.checksum(), Updates: corrections})}
 	case Ack:
-		return l.acked(now, p)
+		return l.onAck(now, p)
 	case PingReq:
 		l.sequence++
-		l.proxied[l.sequence] = proxied{from: from, sequence: p.Sequence, at: now}
+		l.proxiedProbes[l.sequence] = proxiedProbe{from: from, sequence: p.Sequence, at: now}
 		return []Packet{l.packet(p.Target, Packet{Kind: Ping, Sequence: l.sequence})}
 	case Sync:
-		list := l.differing(now, from, p.Digest)
-		if len(beliefs) > 0 {
-			list = append(list, l.packet(from, Packet{Kind: Publish, Updates: beliefs}))
+		list := l.diffPackets(now, from, p.Digest)
+		if len(corrections) > 0 {
+			list = append(list, l.packet(from, Packet{Kind: Publish, Updates: corrections}))
 		}
 		return list
 	}
-	if len(beliefs) > 0 {
-		return []Packet{l.packet(from, Packet{Kind: Publish, Updates: beliefs})}
+	if len(corrections) > 0 {
+		return []Packet{l.packet(from, Packet{Kind: Publish, Updates: corrections})}
 	}
 	return nil
 }
 
-// acked ends a probe, or passes the answer on to the host that it was made for.
-func (l *List) acked(now clock.Milli, p Packet) []Packet {
+// onAck ends a probe, or forwards the Ack to the host that requested the probe.
+func (l *List) onAck(now clock.Milli, p Packet) []Packet {
 	delete(l.probes, p.Sequence)
-	if p.Checksum != l.sum() && len(l.queue) == 0 {
-		// What is being published would have mended it.
+	if p.Checksum != l.checksum() && len(l.queue) == 0 {
+		// Queued updates would account for the difference.
 		l.syncWith = p.Sender.Host.GossipAddress
-		l.syncAt = min(l.syncAt, max(now, l.syncedAt+syncAgain))
+		l.syncAt = min(l.syncAt, max(now, l.syncedAt+syncSoonInterval))
 	}
-	one, ok := l.proxied[p.Sequence]
+	request, ok := l.proxiedProbes[p.Sequence]
 	if !ok {
 		return nil
 	}
-	delete(l.proxied, p.Sequence)
-	return []Packet{l.packet(one.from, Packet{Kind: Ack, Sequence: one.sequence, Checksum: p.Checksum})}
+	delete(l.proxiedProbes, p.Sequence)
+	return []Packet{l.packet(request.from, Packet{Kind: Ack, Sequence: request.sequence, Checksum: p.Checksum})}
 }
 
-// reconnect speaks to a host that is gone, now and then, so that parts of the
-// system that have lost each other are joined again.
+// reconnect pings a random dead host, which rejoins partitions of the system that
+// have removed each other.
 func (l *List) reconnect() []Packet {
-	if len(l.gone) == 0 {
+	if len(l.removed) == 0 {
 		return nil
 	}
-	e := l.gone[l.rand.IntN(len(l.gone))]
+	e := l.removed[l.rand.IntN(len(l.removed))]
 	if e.State != Dead {
 		return nil
 	}
@@ -125,8 +125,8 @@
 	return []Packet{l.packet(e.Host.GossipAddress, Packet{Kind: Ping, Sequence: l.sequence, Updates: []Update{e.Update}})}
 }
 
-// Leave says that this host takes no more forwarded requests. The hosts told
-// publish it further.
+// Leave announces that this host no longer accepts forwarded requests. The notified
+// hosts publish it.
 func (l *List) Leave(now clock.Milli) []Packet {
 	l.start(now)
 	l.self.State = Left
@@ -134,18 +134,18 @@
 	l.Self = l.self.Host
 	l.publishSelf()
 	var packets []Packet
-	for _, e := range l.sample(l.ring, leaveTold, nil) {
+	for _, e := range l.sample(l.ring, leaveFanout, nil) {
 		packets = append(packets, Packet{To: e.Host.GossipAddress, Kind: Publish, Sender: l.self.Update})
 	}
 	return packets
 }
 
-// DomainPackets is a packet for each host of the own failure domain; if there are more
-// than a number of them, for others each time.
+// DomainPackets returns an empty packet for each host of the own failure domain, up
+// to a limit. If there are more hosts, it draws random ones at each call.
 func (l *List) DomainPackets(now clock.Milli, limit int) []Packet {
 	l.start(now)
-	l.rand.Shuffle(len(l.near), func(i, j int) { l.near[i], l.near[j] = l.near[j], l.near[i] })
-	list := l.near[:min(len(l.near), limit)]
+	l.rand.Shuffle(len(l.sameDomain), func(i, j int) { l.sameDomain[i], l.sameDomain[j] = l.sameDomain[j], l.sameDomain[i] })
+	list := l.sameDomain[:min(len(l.sameDomain), limit)]
 	packets := make([]Packet, len(list))
 	for i, e := range list {
 		packets[i] = Packet{To: e.Host.GossipAddress, Kind: Publish, Sender: l.self.Update}
