--- a/share/mirror/choose.go
+++ b/share/mirror/choose.go
@@ -9,64 +9,65 @@
 	"dandelionstile/share/rank"
 )
 
-// Peer is another host that may be followed.
+// Peer is another host to read from.
 type Peer struct {
 	Address string
 	Region  string
 }
 
-// readers is how many hosts of a region read the store in calm times. The
-// others fall back on the store by themselves, so that one is enough.
-const readers = 1
+// readersPerRegion is how many hosts of a region read the store while it is
+// healthy. One is enough, since the others fall back to the store by themselves.
+const readersPerRegion = 1
 
-// fallbacks is how many hosts of a region read the store as soon as what the reader
-// has is too old. The others ask the first of these before: in a large region all
-// would else read the store at once, each time it turns a reader away.
-const fallbacks = 4
+// directFallbacks is how many hosts of a region read the store as soon as the
+// reader's data is too old. The others try the first of these before the store:
+// in a large region all of them would otherwise read the store at once, each time
+// it rejects a reader.
+const directFallbacks = 4
 
-// chooser decides which source to read next: the store, or a host that does.
+// chooser selects the next source to read: the store or another host.
 type chooser struct {
 	self  Peer
 	peers []Peer
-	// bad is until when a source is passed over after it failed.
-	bad map[string]clock.Milli
-	// pause is how long it is passed over next time.
-	pause map[string]clock.Milli
+	// skipUntil is when a failed source may be used again.
+	skipUntil map[string]clock.Milli
+	// backoff is the current backoff of a failed source.
+	backoff map[string]clock.Milli
 }
 
-// theStore is the name of the store among the sources.
-const theStore = ""
+// storeSource is the store's name among the sources.
+const storeSource = ""
 
-// Pauses after a source has failed or had nothing fresh, in ms. The store's
-// grow less: it is the source of last resort.
+// Limits of the exponential backoff of a source that failed or had only old data.
+// The store's limit is lower, since it is the last resort.
 const (
-	pauseLeast clock.Milli = 500
-	pauseMost              = 8 * clock.Second
-	storeMost              = 800 * clock.Milli(1)
+	minBackoff      clock.Milli = 500
+	maxBackoff                  = 8 * clock.Second
+	maxStoreBackoff             = 800 * clock.Milli(1)
 )
 
-// sources lists where to read, best first: a reader reads the store; the
-// others the readers of their region, and most of them the next host that reads
-// the store; all of them, then, the store, and last any other host, which may
-// reach the store when this one does not.
+// sources lists the sources in order of preference. A reader reads the store. The
+// other hosts prefer the readers of their region; all but the first
+// directFallbacks hosts then try the next reader in line. Next comes the store, and last
+// any other host, which may reach the store when this one does not.
 func (c *chooser) sources() []string {
 	region := c.ranked(func(p Peer) bool { return p.Region == c.self.Region })
 	var list []string
 	for i, p := range region {
-		if i >= readers {
+		if i >= readersPerRegion {
 			break
 		}
 		if p.Address == c.self.Address {
-			list = append(list, theStore)
+			list = append(list, storeSource)
 			break
 		}
 		list = append(list, p.Address)
 	}
-	if own := slices.IndexFunc(region, func(p Peer) bool { return p.Address == c.self.Address }); own >= fallbacks {
-		list = append(list, region[readers].Address)
+	if own := slices.IndexFunc(region, func(p Peer) bool { return p.Address == c.self.Address }); own >= directFallbacks {
+		list = append(list, region[readersPerRegion].Address)
 	}
-	if len(list) == 0 || list[len(list)-1] != theStore {
-		list = append(list, theStore)
+	if len(list) == 0 || list[len(list)-1] != storeSource {
+		list = append(list, storeSource)
 	}
 	for _, p := range c.ranked(func(p Peer) bool { return p.Address != c.self.Address }) {
 		if !slices.Contains(list, p.Address) {
@@ -76,17 +77,17 @@
 	return list
 }
 
-// ranked orders this host and others by a hash of their addresses, the same on
-// all hosts.
-func (c *chooser) ranked(take func(Peer) bool) []Peer {
+// ranked returns the matching hosts, this one included, in order of a hash of their
+// addresses. The order is the same on all hosts.
+func (c *chooser) ranked(match func(Peer) bool) []Peer {
 	var list []Peer
 	for _, p := range append([]Peer{c.self}, c.peers...) {
-		if take(p) {
+		if match(p) {
 			list = append(list, p)
 		}
 	}
 	sort.Slice(list, func(i, j int) bool {
-		a, b := order(list[i].Address), order(list[j].Address)
+		a, b := addressHash(list[i].Address), addressHash(list[j].Address)
 		if a != b {
 			return a < b
 		}
@@ -95,41 +96,41 @@
 	return list
 }
 
-// order is a number that all hosts have for an address.
-func order(address string) uint64 { return rank.Hash(address, strconv.Itoa(len(address))) }
+// addressHash returns the same number for an address on all hosts.
+func addressHash(address string) uint64 { return rank.Hash(address, strconv.Itoa(len(address))) }
 
-// next is the best source that has not failed of late; when all have, the one
-// that was passed over longest.
+// next returns the first source that is not in backoff; if all are, the one whose
+// backoff ends first.
 func (c *chooser) next(now clock.Milli) string {
 	list := c.sources()
 	best := list[0]
 	for _, s := range list {
-		if now >= c.bad[s] {
+		if now >= c.skipUntil[s] {
 			return s
 		}
-		if c.bad[s] < c.bad[best] {
+		if c.skipUntil[s] < c.skipUntil[best] {
 			best = s
 		}
 	}
 	return best
 }
 
-// failed passes a source over for a while.
+// failed skips a source until its backoff ends.
 func (c *chooser) failed(now clock.Milli, source string) {
-	if c.bad == nil {
-		c.bad = map[string]clock.Milli{}
-		c.pause = map[string]clock.Milli{}
+	if c.skipUntil == nil {
+		c.skipUntil = map[string]clock.Milli{}
+		c.backoff = map[string]clock.Milli{}
 	}
-	most := pauseMost
-	if source == theStore {
-		most = storeMost
+	limit := maxBackoff
+	if source == storeSource {
+		limit = maxStoreBackoff
 	}
-	c.pause[source] = min(max(pauseLeast, 2*c.pause[source]), most)
-	c.bad[source] = now + c.pause[source]
+	c.backoff[source] = min(max(minBackoff, 2*c.backoff[source]), limit)
+	c.skipUntil[source] = now + c.backoff[source]
 }
 
-// worked forgets a source's failures.
-func (c *chooser) worked(source string) {
-	delete(c.bad, source)
-	delete(c.pause, source)
+// succeeded clears a source's failures.
+func (c *chooser) succeeded(source string) {
+	delete(c.skipUntil, source)
+	delete(c.backoff, source)
 }
--- a/share/mirror/follow.go
+++ b/share/mirror/follow.go
@@ -11,59 +11,60 @@
 	"dandelionstile/share/fetch"
 )
 
-// ErrCompacted means that the changes since a revision are no longer known; a whole page
-// is due.
+// ErrCompacted reports that the changes since a revision are no longer available, so
+// that a full page must be read.
 var ErrCompacted = errors.New("history is no longer available")
 
-// errStale: a host was asked that has itself not heard from the store of late.
-var errStale = errors.New("what the host has is too old")
+// errStale reports a page from a host that has not recently reached the store.
+var errStale = errors.New("page from the host is too old")
 
-// Source is where pages come from. After 0 asks for a whole page.
+// Source is a source of pages. An after of 0 requests a full page.
 type Source interface {
 	Read(after int64, wait clock.Milli) (Page, error)
-	// Disconnect gives up its connection.
+	// Disconnect closes the source's connection; the next read opens a new one.
 	Disconnect()
 }
 
-// Sink takes what was read, from one goroutine.
+// Sink receives the pages that were read. Its methods are called from one goroutine.
 type Sink interface {
-	// Apply gets each page that was read.
+	// Apply receives each page that was read.
 	Apply(now clock.Milli, p Page)
-	// StoreLost and Regained tell that no source, or one again, has fresh news.
+	// StoreLost reports that no source has fresh data, and StoreRecovered that one
+	// has again.
 	StoreLost(now clock.Milli)
 	StoreRecovered(now clock.Milli)
-	// Pending asks for turns while a read goes on, and Turn is one.
+	// Pending reports whether the sink needs ticks during a read; Tick is one.
 	Pending() bool
 	Tick(now clock.Milli)
 }
 
-// Timing of a follower, in ms.
+// Timing of a follower.
 const (
-	// gather is the pause between two reads: leafs that start together write
-	// one after the other, and each read of the store is billed.
-	gather clock.Milli = 150
+	// readInterval is the pause between two reads. Leaves that start together
+	// write one after the other, and each read of the store is billed.
+	readInterval clock.Milli = 150
 	// retryPause is the pause after a failed read.
 	retryPause clock.Milli = 100
-	// turnEvery is the pause between two turns of a sink that expects something.
-	turnEvery clock.Milli = 100
-	// lostAfter is after how long without fresh news the sink is told.
+	// tickInterval is the interval between ticks of a pending sink.
+	tickInterval clock.Milli = 100
+	// lostAfter is the time without fresh data after which the sink is notified.
 	lostAfter clock.Milli = 1500
-	// briefWait asks the store for what it has now.
-	briefWait clock.Milli = 1
-	// slack is what a page may be older than the longest wait of a reader.
-	slack clock.Milli = 500
+	// immediateWait requests the store's current state without waiting for a change.
+	immediateWait clock.Milli = 1
+	// ageSlack is how much a page's age may exceed the longest wait of a reader.
+	ageSlack clock.Milli = 500
 )
 
-// Follower keeps a mirror up to date. The exported fields are set before Start.
+// Follower keeps a mirror up to date. Exported fields are set before Start.
 type Follower struct {
 	Self  Peer
 	Store Source
-	// PollTimeout is how long a read of the store waits for a change. Twice as much
-	// may pass until a host notices that the one it follows is cut off.
+	// PollTimeout is how long a read of the store waits for a change. A host may
+	// take twice as long to notice that the host it reads from is unreachable.
 	PollTimeout clock.Milli
-	// DiscoveryTimeout is how long the first read waits at most for other hosts to be known,
-	// and PeerSettle how long it waits for more of them. Hosts that start together
-	// would otherwise all read the store.
+	// DiscoveryTimeout bounds the wait for other hosts before the first read, and
+	// DiscoverySettle is how long the follower then waits for more of them. Hosts
+	// that start together would otherwise all read the store.
 	DiscoveryTimeout, DiscoverySettle clock.Milli
 	Engine                            *fetch.Engine
 	Clock                             clock.Clock
@@ -72,9 +73,9 @@
 
 	mirror     Mirror
 	mu         sync.Mutex
-	choose     chooser
+	chooser    chooser
 	source     string
-	reading    Source
+	reader     Source
 	after      int64
 	freshAt    clock.Milli
 	lost       bool
@@ -83,31 +84,31 @@
 	done       sync.WaitGroup
 }
 
-// Mirror is what this host has, for others.
+// Mirror returns this host's copy, for other hosts to read.
 func (f *Follower) Mirror() *Mirror { return &f.mirror }
 
-// Start begins to read.
+// Start starts reading.
 func (f *Follower) Start() {
 	f.stop = make(chan struct{})
 	f.mu.Lock()
 	f.signalPeers()
 	f.mu.Unlock()
-	f.choose.self = f.Self
+	f.chooser.self = f.Self
 	f.freshAt = f.Clock.Now()
 	f.source = "none"
 	f.done.Go(f.run)
 }
 
-// SetPeers replaces the other hosts.
+// SetPeers replaces the list of other hosts.
 func (f *Follower) SetPeers(list []Peer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.choose.peers = list
+	f.chooser.peers = list
 	f.signalPeers()
 }
 
-// signalPeers makes the channel that is closed once other hosts are known, and closes
-// it when they are.
+// signalPeers creates the channel that is closed once other hosts are known, and
+// closes it if they are.
 func (f *Follower) signalPeers() {
 	if f.peersKnown == nil {
 		f.peersKnown = make(chan struct{})
@@ -115,13 +116,13 @@
 	select {
 	case <-f.peersKnown:
 	default:
-		if len(f.choose.peers) > 0 {
+		if len(f.chooser.peers) > 0 {
 			close(f.peersKnown)
 		}
 	}
 }
 
-// waitForPeers waits until other hosts are known.
+// waitForPeers waits until other hosts are known or DiscoveryTimeout has passed.
 func (f *Follower) waitForPeers() {
 	select {
 	case <-f.stop:
@@ -136,13 +137,13 @@
 	}
 }
 
-// Close ends the reading and waits.
+// Close stops reading and waits for the reader to end.
 func (f *Follower) Close() error {
 	close(f.stop)
 	f.done.Wait()
 	f.Store.Disconnect()
-	if f.reading != nil {
-		f.reading.Disconnect()
+	if f.reader != nil {
+		f.reader.Disconnect()
 	}
 	return nil
 }
@@ -150,7 +151,7 @@
 func (f *Follower) run() {
 	f.waitForPeers()
 	for {
-		pause := gather
+		pause := readInterval
 		if err := f.step(); err != nil {
 			pause = retryPause
 		}
@@ -162,17 +163,17 @@
 	}
 }
 
-// step makes one read from the best source.
+// step makes one read from the preferred source.
 func (f *Follower) step() error {
-	f.pick()
+	f.selectSource()
 	page, err := f.read()
 	now := f.Clock.Now()
-	if err == nil && page.Age > f.PollTimeout+slack {
-		f.takeOld(now, page)
+	if err == nil && page.Age > f.PollTimeout+ageSlack {
+		f.applyStale(now, page)
 		err = errors.Wrapf(errStale, "%d ms", page.Age)
 	}
 	if errors.Is(err, ErrCompacted) {
-		f.Log.Info().Str("source", f.name()).Int64("revision", f.after).Msg("history-gone")
+		f.Log.Info().Str("source", f.sourceLabel()).Int64("revision", f.after).Msg("history-gone")
 		f.after = 0
 		return nil
 	}
@@ -180,17 +181,17 @@
 		f.failed(now, err)
 		return err
 	}
-	f.took(now, page)
+	f.succeeded(now, page)
 	return nil
 }
 
-// read makes one read. The sink gets its turns meanwhile: what it expects falls
-// due by the clock. Left to the end of a read, an entry that was to be taken as
-// gone was kept for another second by a source that had just fallen silent.
+// read makes one read. The sink gets ticks meanwhile, since its pending entries are
+// due by the clock. When they waited for the end of the read, a source that had just
+// stopped replying delayed the removal of an entry by a second.
 func (f *Follower) read() (Page, error) {
-	wait := f.wait()
+	wait := f.readWait()
 	if !f.Sink.Pending() {
-		return f.reading.Read(f.after, wait)
+		return f.reader.Read(f.after, wait)
 	}
 	type result struct {
 		page Page
@@ -198,69 +199,68 @@
 	}
 	done := make(chan result, 1)
 	go func() {
-		page, err := f.reading.Read(f.after, wait)
+		page, err := f.reader.Read(f.after, wait)
 		done <- result{page, err}
 	}()
-	turns := time.NewTicker(turnEvery.Duration())
-	defer turns.Stop()
+	ticks := time.NewTicker(tickInterval.Duration())
+	defer ticks.Stop()
 	for {
 		select {
 		case r := <-done:
 			return r.page, r.err
-		case <-turns.C:
+		case <-ticks.C:
 			f.Sink.Tick(f.Clock.Now())
 		}
 	}
 }
 
-// wait is how long the next read waits for a change. The first read of the store
-// after its news have become old does not: others wait for the answer.
-func (f *Follower) wait() clock.Milli {
-	if f.source == theStore && f.Clock.Now()-f.freshAt > f.PollTimeout {
-		return briefWait
+// readWait returns how long the next read waits for a change. The first read of the
+// store after its data became old does not wait, since other hosts wait for the answer.
+func (f *Follower) readWait() clock.Milli {
+	if f.source == storeSource && f.Clock.Now()-f.freshAt > f.PollTimeout {
+		return immediateWait
 	}
 	return f.PollTimeout
 }
 
-// takeOld takes what is new here from a host that has itself not heard from the
-// store of late. A host that starts while the store is down would otherwise turn
-// its callers away until the store is back, for want of any routes. The news
-// stay old: the host goes on looking for fresher ones, and tells their age to
-// those that follow it.
-func (f *Follower) takeOld(now clock.Milli, page Page) {
+// applyStale applies new data from a host that has not recently reached the store. A
+// host that starts while the store is down would otherwise have no routes, and
+// reject its callers, until the store is back. The data still counts as old: the
+// host continues to look for fresher data, and reports the age to its own readers.
+func (f *Follower) applyStale(now clock.Milli, page Page) {
 	if page.Revision <= f.after {
 		return
 	}
-	f.Log.Warn().Str("source", f.name()).Int64("revision", page.Revision).Int64("former", f.after).
+	f.Log.Warn().Str("source", f.sourceLabel()).Int64("revision", page.Revision).Int64("former", f.after).
 		Int64("age-ms", int64(page.Age)).Msg("old-news-taken")
 	f.after = page.Revision
 	f.mirror.Apply(now, page)
 	f.Sink.Apply(now, page)
 }
 
-// pick takes the best source; a change of source is logged.
-func (f *Follower) pick() {
+// selectSource switches to the preferred source and logs a change.
+func (f *Follower) selectSource() {
 	f.mu.Lock()
-	best := f.choose.next(f.Clock.Now())
+	best := f.chooser.next(f.Clock.Now())
 	f.mu.Unlock()
 	if best == f.source {
 		return
 	}
-	if f.reading != nil {
-		f.reading.Disconnect()
+	if f.reader != nil {
+		f.reader.Disconnect()
 	}
 	f.Log.Info().Str("source", sourceName(best)).Str("former", sourceName(f.source)).Msg("source-chosen")
 	f.source = best
-	f.reading = f.Store
-	if best != theStore {
-		f.reading = &peerSource{line: fetch.Client{Engine: f.Engine, Address: best}}
+	f.reader = f.Store
+	if best != storeSource {
+		f.reader = &peerSource{line: fetch.Client{Engine: f.Engine, Address: best}}
 	}
 }
 
-func (f *Follower) name() string { return sourceName(f.source) }
+func (f *Follower) sourceLabel() string { return sourceName(f.source) }
 
 func sourceName(source string) string {
-	if source == theStore {
+	if source == storeSource {
 		return "store"
 	}
 	return source
@@ -268,9 +268,9 @@
 
 func (f *Follower) failed(now clock.Milli, err error) {
 	f.mu.Lock()
-	f.choose.failed(now, f.source)
+	f.chooser.failed(now, f.source)
 	f.mu.Unlock()
-	f.Log.Warn().Err(err).Str("source", f.name()).Int64("revision", f.after).
+	f.Log.Warn().Err(err).Str("source", f.sourceLabel()).Int64("revision", f.after).
 		Int64("age-ms", int64(now-f.freshAt)).Msg("source-failed")
 	if !f.lost && now-f.freshAt > lostAfter {
 		f.lost = true
@@ -278,22 +278,22 @@
 	}
 }
 
-func (f *Follower) took(now clock.Milli, page Page) {
+func (f *Follower) succeeded(now clock.Milli, page Page) {
 	f.mu.Lock()
-	f.choose.worked(f.source)
+	f.chooser.succeeded(f.source)
 	f.mu.Unlock()
 	if f.lost || now-f.freshAt > lostAfter+f.PollTimeout {
-		f.Log.Info().Str("source", f.name()).Int64("away-ms", int64(now-f.freshAt)).Msg("store-regained")
+		f.Log.Info().Str("source", f.sourceLabel()).Int64("away-ms", int64(now-f.freshAt)).Msg("store-regained")
 		f.Sink.StoreLost(now)
 		f.Sink.StoreRecovered(now)
 		f.lost = false
 	}
 	f.freshAt = max(f.freshAt, now-page.Age)
 	if page.Whole {
-		f.Log.Info().Str("source", f.name()).Int64("revision", page.Revision).Int("items", len(page.Items)).Msg("listed")
+		f.Log.Info().Str("source", f.sourceLabel()).Int64("revision", page.Revision).Int("items", len(page.Items)).Msg("listed")
 	}
 	if page.Whole && page.Revision < f.after {
-		return // an older listing than what is known
+		return // older than the known state
 	}
 	f.after = max(f.after, page.Revision)
 	f.mirror.Apply(now, page)
--- a/share/mirror/mirror.go
+++ b/share/mirror/mirror.go
@@ -1,9 +1,9 @@
-// Package mirror keeps what the platform's store publishes on every host while
-// only a few of them read the store. A host that reads it serves what it has to
-// the others of its region; whoever gets nothing fresh from there reads the
-// store itself. Reads of the store are billed and limited for all hosts
-// together, so they must not grow with the number of hosts; and no host may
-// miss a change because another one that it follows is dead, frozen or cut off.
+// Package mirror keeps a copy of the platform's store on every host while only a
+// few of them read the store. A host that reads it serves its copy to the other
+// hosts of its region; a host that gets no fresh data from there reads the store
+// itself. Reads of the store are billed and limited for all hosts together, so
+// they must not grow with the number of hosts. No host may miss a change because
+// the host it reads from is dead, frozen or unreachable.
 package mirror
 
 import (
@@ -12,49 +12,49 @@
 	"dandelionstile/share/clock"
 )
 
-// Item is one key and its value; a deleted one has none.
+// Item is one key and its value; a deleted item has no value.
 type Item struct {
 	Key     string
 	Value   []byte
 	Deleted bool
 }
 
-// Page is what one read brought.
+// Page is the result of one read.
 type Page struct {
 	Items []Item
-	// Revision is what to continue from.
+	// Revision is where the next read continues.
 	Revision int64
-	// Whole pages hold all there is; the others hold changes only.
+	// Whole pages hold all items; other pages hold changes only.
 	Whole bool
-	// Age is how long ago the store itself was last heard from.
+	// Age is the time since the store was last reached.
 	Age clock.Milli
 }
 
-// history is how many changes are kept for hosts that follow; one that is
-// further behind gets a whole page.
-const history = 4000
+// maxHistory is how many changes are kept for other hosts; a host that is further
+// behind gets a full page.
+const maxHistory = 4000
 
-// Mirror is one host's copy. The zero value is empty. It is safe for use by
-// several goroutines.
+// Mirror is one host's copy of the store. The zero value is empty. It is safe for
+// concurrent use.
 type Mirror struct {
-	mu       sync.Mutex
-	items    map[string][]byte
-	log      []logged
-	first    int64 // changes after this revision are in the log
-	revision int64
-	asOf     clock.Milli
-	changed  chan struct{}
+	mu           sync.Mutex
+	items        map[string][]byte
+	history      []change
+	historyStart int64 // changes after this revision are in history
+	revision     int64
+	asOf         clock.Milli
+	changed      chan struct{}
 
-	packing sync.Mutex
-	kept    keptPage
+	cacheMu sync.Mutex
+	cached  cachedPage
 }
 
-type logged struct {
+type change struct {
 	revision int64
 	item     Item
 }
 
-// Apply takes a page that was read at a time.
+// Apply applies a page that was read at the given time.
 func (m *Mirror) Apply(now clock.Milli, p Page) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -69,14 +69,14 @@
 	}
 	for _, i := range p.Items {
 		m.set(i)
-		m.log = append(m.log, logged{p.Revision, i})
+		m.history = append(m.history, change{p.Revision, i})
 	}
-	if over := len(m.log) - history; over > 0 {
-		m.first = m.log[over-1].revision
-		m.log = append([]logged(nil), m.log[over:]...)
+	if over := len(m.history) - maxHistory; over > 0 {
+		m.historyStart = m.history[over-1].revision
+		m.history = append([]change(nil), m.history[over:]...)
 	}
 	m.revision = max(m.revision, p.Revision)
-	m.wake()
+	m.notify()
 }
 
 func (m *Mirror) replace(p Page) {
@@ -84,9 +84,9 @@
 	for _, i := range p.Items {
 		m.set(i)
 	}
-	m.log = nil
-	m.first, m.revision = p.Revision, p.Revision
-	m.wake()
+	m.history = nil
+	m.historyStart, m.revision = p.Revision, p.Revision
+	m.notify()
 }
 
 func (m *Mirror) set(i Item) {
@@ -100,15 +100,15 @@
 	m.items[i.Key] = i.Value
 }
 
-func (m *Mirror) wake() {
+func (m *Mirror) notify() {
 	if m.changed != nil {
 		close(m.changed)
 		m.changed = nil
 	}
 }
 
-// Since returns what is new after a revision, and a channel that is closed at
-// the next change. It is false while nothing was ever read.
+// Since returns the changes after a revision, and a channel that is closed at the
+// next change. It reports false before the first page.
 func (m *Mirror) Since(now clock.Milli, after int64) (Page, <-chan struct{}, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -119,14 +119,14 @@
 		return Page{}, m.changed, false
 	}
 	p := Page{Revision: m.revision, Age: now - m.asOf}
-	if after < m.first {
+	if after < m.historyStart {
 		p.Whole = true
 		for key, value := range m.items {
 			p.Items = append(p.Items, Item{Key: key, Value: value})
 		}
 		return p, m.changed, true
 	}
-	for _, l := range m.log {
+	for _, l := range m.history {
 		if l.revision > after {
 			p.Items = append(p.Items, l.item)
 		}
--- a/share/mirror/mirror_test.go
+++ b/share/mirror/mirror_test.go
@@ -19,12 +19,12 @@
 	"dandelionstile/share/httpd"
 )
 
-// A host that follows gets what changed after its revision, all of it in
-// order; one that is further behind than the history gets everything anew.
+// A reader must get all changes after its revision in order. A reader further behind
+// than the history must get a full page.
 func TestSince(t *testing.T) {
 	var m Mirror
 	_, _, ok := m.Since(0, 0)
-	assert.Assert(t, !ok, "nothing is known yet")
+	assert.Assert(t, !ok, "the mirror is empty")
 	m.Apply(1000, Page{Whole: true, Revision: 10, Items: []Item{{Key: "a", Value: []byte("1")}}})
 	m.Apply(2000, Page{Revision: 12, Items: []Item{{Key: "b", Value: []byte("2")}, {Key: "a", Deleted: true}}, Age: 300})
 	p, changed, ok := m.Since(2500, 10)
@@ -38,17 +38,17 @@
 	select {
 	case <-changed:
 	default:
-		t.Fatal("who waits was not told")
+		t.Fatal("the waiting reader was not notified")
 	}
-	for i := range int64(history + 10) {
+	for i := range int64(maxHistory + 10) {
 		m.Apply(3000, Page{Revision: 20 + i, Items: []Item{{Key: "k"}}})
 	}
 	p, _, _ = m.Since(3000, 15)
-	assert.Assert(t, p.Whole, "the history has been cut")
+	assert.Assert(t, p.Whole, "the history is truncated")
 }
 
-// Hosts of a region agree, without a word, on who reads the store. A source
-// that failed is passed over for a while, the store for a shorter one.
+// The hosts of a region must agree, without messages, on which of them reads the store.
+// A failed source must be skipped for a while, and the store for a shorter time.
 func TestSources(t *testing.T) {
 	hosts := []Peer{{Address: "a:1", Region: "r"}, {Address: "b:1", Region: "r"}, {Address: "c:1", Region: "r"}, {Address: "d:1", Region: "q"}}
 	reading := 0
@@ -60,25 +60,25 @@
 				c.peers = append(c.peers, p)
 			}
 		}
-		if c.next(1000) == theStore {
+		if c.next(1000) == storeSource {
 			reading++
 			continue
 		}
 		follower = c
 	}
-	assert.Equal(t, reading, readers)
+	assert.Equal(t, reading, readersPerRegion)
 	reader := follower.next(1000)
 	follower.failed(1000, reader)
-	assert.Equal(t, follower.next(1001), theStore)
-	follower.failed(1001, theStore)
+	assert.Equal(t, follower.next(1001), storeSource)
+	follower.failed(1001, storeSource)
 	other := follower.next(1002)
-	assert.Assert(t, other != theStore && other != reader)
-	assert.Equal(t, follower.next(1000+pauseLeast), reader)
-	follower.worked(reader)
+	assert.Assert(t, other != storeSource && other != reader)
+	assert.Equal(t, follower.next(1000+minBackoff), reader)
+	follower.succeeded(reader)
 	assert.Equal(t, follower.next(1002), reader)
 }
 
-// scripted is a store whose next read is told by a test.
+// scripted is a store whose replies are set by a test.
 type scripted struct {
 	mu       sync.Mutex
 	revision int64
@@ -87,7 +87,7 @@
 	listed   int
 }
 
-// lists is how often all there is was read.
+// lists returns the number of full reads.
 func (s *scripted) lists() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,39 +126,39 @@
 	s.revision, s.down = revision, down
 }
 
-// kept is a sink that remembers the newest revision.
-type kept struct {
+// recordingSink is a sink that records the newest revision and the notifications.
+type recordingSink struct {
 	mu       sync.Mutex
 	revision int64
 	lost     int
 	regained int
-	expects  atomic.Bool
-	turns    atomic.Int64
+	pending  atomic.Bool
+	ticks    atomic.Int64
 }
 
-func (k *kept) Apply(_ clock.Milli, p Page) {
+func (k *recordingSink) Apply(_ clock.Milli, p Page) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.revision = max(k.revision, p.Revision)
 }
 
-func (k *kept) StoreLost(clock.Milli) {
+func (k *recordingSink) StoreLost(clock.Milli) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lost++
 }
 
-func (k *kept) StoreRecovered(clock.Milli) {
+func (k *recordingSink) StoreRecovered(clock.Milli) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.regained++
 }
 
-func (k *kept) Pending() bool { return k.expects.Load() }
+func (k *recordingSink) Pending() bool { return k.pending.Load() }
 
-func (k *kept) Tick(clock.Milli) { k.turns.Add(1) }
+func (k *recordingSink) Tick(clock.Milli) { k.ticks.Add(1) }
 
-func (k *kept) has(revision int64) func(poll.LogT) poll.Result {
+func (k *recordingSink) has(revision int64) func(poll.LogT) poll.Result {
 	return func(poll.LogT) poll.Result {
 		k.mu.Lock()
 		defer k.mu.Unlock()
@@ -169,20 +169,20 @@
 	}
 }
 
-// wasLost waits until the sink was told that nothing fresh can be had.
-func (k *kept) wasLost(poll.LogT) poll.Result {
+// wasLost waits until the sink was notified that no fresh data is available.
+func (k *recordingSink) wasLost(poll.LogT) poll.Result {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.lost > 0 {
 		return poll.Success()
 	}
-	return poll.Continue("not told")
+	return poll.Continue("not notified")
 }
 
 // host is a follower with its server.
 type host struct {
 	follower Follower
-	sink     kept
+	sink     recordingSink
 	server   httpd.Server
 	stop     chan struct{}
 	once     sync.Once
@@ -204,8 +204,8 @@
 	return startTogether(t, store, n, nil)
 }
 
-// startTogether is region, or hosts that are tuned first and get to know each
-// other after their start.
+// startTogether starts hosts of one region. With tune, it configures each one before
+// its start and announces the others after it.
 func startTogether(t *testing.T, store *scripted, n int, tune func(*Follower)) []*host {
 	t.Helper()
 	engine := &fetch.Engine{}
@@ -243,12 +243,11 @@
 func (h *host) reads() bool {
 	h.follower.mu.Lock()
 	defer h.follower.mu.Unlock()
-	return h.follower.choose.next(h.follower.Clock.Now()) == theStore
+	return h.follower.chooser.next(h.follower.Clock.Now()) == storeSource
 }
 
-// One host of a region reads the store and all have each change. It is killed
-// just before the next change: the others have it all the same, in about the
-// time of one wait.
+// One host of a region reads the store for all. It is killed just before a change,
+// which the others must still get within about one wait.
 func TestChangesArriveWhenTheReaderIsKilled(t *testing.T) {
 	store := &scripted{revision: 1}
 	hosts := region(t, store, 4)
@@ -273,8 +272,8 @@
 	}
 }
 
-// The store is away for a while. Each host is told that it has lost it, goes
-// by what it has, and is told again when the store is back.
+// The store is down for a while. Each host must be notified of the loss, keep its
+// data, and be notified of the recovery.
 func TestOutageOfTheStoreIsTold(t *testing.T) {
 	store := &scripted{revision: 1}
 	hosts := region(t, store, 2)
@@ -294,10 +293,9 @@
 	}
 }
 
-// A host starts while the store is down; another has what the store last said,
-// some seconds ago. The fresh host serves by that instead of telling its callers
-// that it has no routes, goes on looking for fresher news, and has them when the
-// store is back.
+// A host starts while the store is down and another host has the store's last data,
+// some seconds old. The new host must serve by that data instead of reporting that it
+// has no routes, and must get fresh data once the store is back.
 func TestFreshHostTakesOldNews(t *testing.T) {
 	store := &scripted{revision: 7}
 	old := region(t, store, 1)[0]
@@ -311,27 +309,27 @@
 	poll.WaitOn(t, fresh.sink.has(8))
 }
 
-// A configuration of a thousand routes goes to a dozen hosts over one host's
-// link at once. Packed, it takes a tenth of the bytes and more.
+// A configuration of a thousand routes goes to a dozen hosts over one host's link at
+// once. Compression must reduce it to less than a tenth.
 func TestLargePagesArePacked(t *testing.T) {
 	value := bytes.Repeat([]byte(`{"name":"r-0001","host":"h.example","prefix":"/p/","route_type":"safe"}`), 4000)
 	m := Mirror{}
 	m.Apply(0, Page{Whole: true, Revision: 3, Items: []Item{{Key: "k", Value: value}}})
 	page, _, _ := m.Since(0, 0)
-	body, err := m.packed(0, page)
+	body, err := m.encoded(0, page)
 	assert.NilError(t, err)
 	assert.Assert(t, len(body) < len(value)/10, "%d of %d bytes", len(body), len(value))
 	got, err := decode(body)
 	assert.NilError(t, err)
 	assert.Assert(t, got.Whole && got.Revision == 3 && bytes.Equal(got.Items[0].Value, value))
-	again, err := m.packed(0, page)
+	again, err := m.encoded(0, page)
 	assert.NilError(t, err)
-	assert.Assert(t, &again[0] == &body[0], "it is packed once")
+	assert.Assert(t, &again[0] == &body[0], "the page is encoded once")
 	_, err = decode([]byte("no page"))
 	assert.ErrorContains(t, err, "page")
 }
 
-// hanging is a source that has fallen silent: its reads end with the test.
+// hanging is a source that has stopped replying: its reads end with the test.
 type hanging struct{ end chan struct{} }
 
 func (h hanging) Disconnect() {}
@@ -341,22 +339,21 @@
 	return Page{}, errors.New("silent")
 }
 
-// A host is back in touch and has learnt that a leaf's entry went; it gives the
-// leaf some two seconds to return. Just before they are over, the source that it
-// reads from falls silent. The leaf must be taken as gone in time all the same:
-// at the end of the read, a second later, requests had gone to a leaf that had
-// left.
+// A host has recovered and keeps a leaf whose entry was removed for about 2 s. Just
+// before that time is over, its source stops replying. The leaf must still be removed
+// on time: when it was removed only at the end of the read, a second later, requests
+// went to a leaf that had left.
 func TestSinkGetsItsTurnsWhileASourceIsSilent(t *testing.T) {
 	source := hanging{make(chan struct{})}
-	var sink kept
-	sink.expects.Store(true)
+	var sink recordingSink
+	sink.pending.Store(true)
 	f := Follower{Store: source, PollTimeout: testWait, Clock: clock.Wall{}, Log: zerolog.Nop(), Sink: &sink}
 	f.Start()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if sink.turns.Load() >= 3 {
+		if sink.ticks.Load() >= 3 {
 			return poll.Success()
 		}
-		return poll.Continue("%d turns", sink.turns.Load())
+		return poll.Continue("%d ticks", sink.ticks.Load())
 	}, poll.WithTimeout(2*time.Second))
 	close(source.end)
 	assert.NilError(t, f.Close())
@@ -372,14 +369,14 @@
 	assert.Equal(t, store.lists(), 1)
 }
 
-// Guards against a host that knows no other and never reads.
+// Guards against a host that knows no others and never reads.
 func TestLoneHostReads(t *testing.T) {
 	store := &scripted{revision: 1}
 	h := startTogether(t, store, 1, func(f *Follower) { f.DiscoveryTimeout, f.DiscoverySettle = 100, 50 })[0]
 	poll.WaitOn(t, h.sink.has(1), poll.WithTimeout(5*time.Second))
 }
 
-// refusing is one host's way to the store, which may turn it away.
+// refusing is one host's access to the store, which may reject reads.
 type refusing struct {
 	*scripted
 	refuses atomic.Bool
@@ -389,13 +386,13 @@
 func (r *refusing) Read(after int64, wait clock.Milli) (Page, error) {
 	r.read.Add(1)
 	if r.refuses.Load() {
-		return Page{}, errors.New("turned away")
+		return Page{}, errors.New("read rejected")
 	}
 	return r.scripted.Read(after, wait)
 }
 
-// Guards against a large region whose hosts all read the store when it turns away
-// the one that reads for them.
+// Guards against a large region whose hosts all read the store when it rejects the
+// one that reads for them.
 func TestFewReadTheStoreInTheReadersPlace(t *testing.T) {
 	store := &scripted{revision: 1}
 	var ways []*refusing
@@ -411,7 +408,7 @@
 		ways[i].read.Store(0)
 		ways[i].refuses.Store(h.reads())
 	}
-	time.Sleep(2 * time.Second) // several times a follower's patience
+	time.Sleep(2 * time.Second) // longer than a follower waits for its source several times over
 	store.set(2, false)
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.has(2), poll.WithTimeout(3*time.Second))
--- a/share/mirror/peer.go
+++ b/share/mirror/peer.go
@@ -15,33 +15,32 @@
 	"dandelionstile/share/wire"
 )
 
-// Headers of a read from another host, and of its answer.
+// Headers of a read from another host and of its reply.
 const (
 	headerAfter = "Facts-After"
 	headerWait  = "Facts-Wait-Ms"
-	// headerAge says how long ago the host, or the one that it follows, last
-	// heard from the store. It is no part of the body, which is the same for
-	// all that ask.
+	// headerAge is the time since the host, or the one it reads from, last reached
+	// the store. It is not part of the body, which is the same for all readers.
 	headerAge = "Facts-Age-Ms"
 )
 
-// peerTimeout bounds a read from another host besides the wait it asks for.
-// Beyond it the host is dead, frozen or cut off, and the store is asked.
+// peerTimeout bounds a read from another host, in addition to the requested wait.
+// After it the host counts as dead, frozen or unreachable, and the store is read.
 const peerTimeout clock.Milli = 350
 
-// peerWait is the longest wait asked of another host: a silent one is noticed
-// after this and peerTimeout.
-const peerWait clock.Milli = 600
+// maxPeerWait is the longest wait requested from another host. An unresponsive host
+// is noticed after this and peerTimeout.
+const maxPeerWait clock.Milli = 600
 
 // peerSource reads from another host.
 type peerSource struct{ line fetch.Client }
 
-// Disconnect gives up the connection.
+// Disconnect closes the connection.
 func (s *peerSource) Disconnect() { s.line.Disconnect() }
 
-// Read asks for what is new after a revision.
+// Read requests the changes after a revision.
 func (s *peerSource) Read(after int64, wait clock.Milli) (Page, error) {
-	wait = min(wait, peerWait)
+	wait = min(wait, maxPeerWait)
 	r, err := fetch.Request(http.MethodGet, s.line.Address, "/", nil)
 	if err != nil {
 		return Page{}, err
@@ -53,7 +52,7 @@
 		return Page{}, err
 	}
 	if reply.Status != http.StatusOK {
-		return Page{}, errors.Newf("host answered %d", reply.Status)
+		return Page{}, errors.Newf("peer replied with status %d", reply.Status)
 	}
 	age, err := strconv.ParseInt(reply.Header.Get(headerAge), 10, 64)
 	if err != nil {
@@ -64,33 +63,34 @@
 	return p, err
 }
 
-// mostPage bounds a page once it is unpacked, in bytes: the store's values are
-// a megabyte at most, and there are a few of them beside leafs' entries.
-const mostPage = 16 << 20
+// maxPageBytes bounds an uncompressed page. The store's values have at most 1 MB
+// each, and there are only a few besides the entries of leaves.
+const maxPageBytes = 16 << 20
 
 func decode(packed []byte) (Page, error) {
-	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), mostPage))
+	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxPageBytes))
 	if err != nil {
-		return Page{}, errors.Wrap(err, "unpack page")
+		return Page{}, errors.Wrap(err, "decompress page")
 	}
 	var w wire.FactsPage
 	if err := proto.Unmarshal(body, &w); err != nil {
 		return Page{}, errors.Wrap(err, "decode page")
 	}
 	p := Page{Revision: w.GetRevision(), Whole: w.GetWhole(), Items: make([]Item, len(w.GetItems()))}
-	for i, one := range w.GetItems() {
-		p.Items[i] = Item{Key: one.GetKey(), Value: one.GetValue(), Deleted: one.GetDeleted()}
+	for i, item := range w.GetItems() {
+		p.Items[i] = Item{Key: item.GetKey(), Value: item.GetValue(), Deleted: item.GetDeleted()}
 	}
 	return p, nil
 }
 
-// encode packs a page. A made-up configuration of 1,300 routes has 261 KB, and
-// 14 packed: unpacked, a dozen hosts that follow one take more than a second of
-// its link at 20 Mbit/s, and callers' requests wait behind it.
+// encode encodes and compresses a page. A generated configuration of 1,300 routes
+// takes 261 KB, and 14 KB compressed. Uncompressed, a dozen hosts that read it from
+// one host occupy its link for more than a second at 20 Mbit/s and delay callers'
+// requests.
 func encode(p Page) ([]byte, error) {
 	w := &wire.FactsPage{Revision: p.Revision, Whole: p.Whole, Items: make([]*wire.FactsItem, len(p.Items))}
-	for i, one := range p.Items {
-		w.Items[i] = &wire.FactsItem{Key: one.Key, Value: one.Value, Deleted: one.Deleted}
+	for i, item := range p.Items {
+		w.Items[i] = &wire.FactsItem{Key: item.Key, Value: item.Value, Deleted: item.Deleted}
 	}
 	body, err := proto.Marshal(w)
 	if err != nil {
@@ -99,11 +99,11 @@
 	var packed bytes.Buffer
 	z, err := flate.NewWriter(&packed, flate.BestSpeed)
 	if err != nil {
-		return nil, errors.Wrap(err, "pack page")
+		return nil, errors.Wrap(err, "compress page")
 	}
 	if _, err := z.Write(body); err != nil {
-		return nil, errors.Wrap(err, "pack page")
+		return nil, errors.Wrap(err, "compress page")
 	}
 	err = z.Close()
-	return packed.Bytes(), errors.Wrap(err, "pack page")
+	return packed.Bytes(), errors.Wrap(err, "compress page")
 }
--- a/share/mirror/serve.go
+++ b/share/mirror/serve.go
@@ -8,25 +8,25 @@
 	"dandelionstile/share/clock"
 )
 
-// IsRead tells whether a request is a read of the mirror.
+// IsRead reports whether a request is a read of the mirror.
 func IsRead(r *http.Request) bool { return r.Header.Get(headerAfter) != "" }
 
-// Serve answers another host: at once if there is something new, else when
-// there is or its wait is over.
+// Serve replies to another host's read: immediately if there are changes,
+// otherwise at the next change or when the requested wait is over.
 func (m *Mirror) Serve(c clock.Clock, stop <-chan struct{}, w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.Header.Get(headerAfter), 10, 64)
 	if err != nil {
-		http.Error(w, "no proper "+headerAfter, http.StatusBadRequest)
+		http.Error(w, "invalid or missing header "+headerAfter, http.StatusBadRequest)
 		return
 	}
 	wait, err := strconv.ParseInt(r.Header.Get(headerWait), 10, 64)
 	if err != nil || wait < 0 {
-		http.Error(w, "no proper "+headerWait, http.StatusBadRequest)
+		http.Error(w, "invalid or missing header "+headerWait, http.StatusBadRequest)
 		return
 	}
 	page, changed, ok := m.Since(c.Now(), after)
 	if !ok || (!page.Whole && len(page.Items) == 0) {
-		timer := time.NewTimer(min(clock.Milli(wait), peerWait).Duration())
+		timer := time.NewTimer(min(clock.Milli(wait), maxPeerWait).Duration())
 		defer timer.Stop()
 		select {
 		case <-changed:
@@ -36,10 +36,10 @@
 		page, _, ok = m.Since(c.Now(), after)
 	}
 	if !ok {
-		http.Error(w, "nothing is known here", http.StatusServiceUnavailable)
+		http.Error(w, "mirror has no data yet", http.StatusServiceUnavailable)
 		return
 	}
-	body, err := m.packed(after, page)
+	body, err := m.encoded(after, page)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -47,29 +47,29 @@
 	w.Header()[headerAge] = []string{strconv.FormatInt(int64(max(0, page.Age)), 10)}
 	w.Header().Set("Content-Type", "application/x-protobuf")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	_, _ = w.Write(body) // a host that is gone is no fault of ours
+	_, _ = w.Write(body) // fails only if the peer is gone
 }
 
-// packed is a page as it is sent. The last one is kept: hosts that follow ask
-// for the same at the same time.
-func (m *Mirror) packed(after int64, p Page) ([]byte, error) {
-	m.packing.Lock()
-	defer m.packing.Unlock()
-	if m.kept.body != nil && m.kept.after == after && m.kept.revision == p.Revision && m.kept.whole == p.Whole {
-		return m.kept.body, nil
+// encoded returns a page as it is sent. It caches the last one, since other hosts
+// request the same page at the same time.
+func (m *Mirror) encoded(after int64, p Page) ([]byte, error) {
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
+	if m.cached.body != nil && m.cached.after == after && m.cached.revision == p.Revision && m.cached.whole == p.Whole {
+		return m.cached.body, nil
 	}
 	body, err := encode(p)
 	if err != nil {
 		return nil, err
 	}
 	if len(p.Items) > 0 {
-		m.kept = keptPage{after: after, revision: p.Revision, whole: p.Whole, body: body}
+		m.cached = cachedPage{after: after, revision: p.Revision, whole: p.Whole, body: body}
 	}
 	return body, nil
 }
 
-// keptPage is a page that was sent, by what it answered.
-type keptPage struct {
+// cachedPage is an encoded page with the request it answers.
+type cachedPage struct {
 	after, revision int64
 	whole           bool
 	body            []byte
