--- a/share/httpc/fuzz_test.go
+++ b/share/httpc/fuzz_test.go
@@ -16,18 +16,18 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nRequest-Id: other\r\nLeaf-Stamp: s\r\n\r\nHTTP/1.1 200 OK\r\n"))
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nNot-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, sent []byte) {
-		ours, theirs := net.Pipe()
-		c := newConn(ours, &DefaultDialect)
+		local, remote := net.Pipe()
+		c := newConn(local, &DefaultDialect)
 		j := &job{done: make(chan result, 1), request: &http.Request{Method: http.MethodGet, Header: http.Header{"Request-Id": {"own"}}}}
 		if !c.begin(j) {
 			t.Fatal("a new connection rejects a call")
 		}
 		go func() {
-			_, _ = theirs.Write(sent) // the reader may close early
-			_ = theirs.Close()
+			_, _ = remote.Write(sent) // the reader may close early
+			_ = remote.Close()
 		}()
 		r := <-j.done
-		_, _ = io.Copy(io.Discard, theirs) // ends with the connection
+		_, _ = io.Copy(io.Discard, remote) // ends with the connection
 		<-c.ended
 		if r.err != nil {
 			return
--- a/share/httpc/httpc_test.go
+++ b/share/httpc/httpc_test.go
@@ -303,9 +303,9 @@
 	assert.Equal(t, parseIdleTimeout(http.Header{"Keep-Alive": {"timeout=soon"}}), clock.Milli(0))
 	var now clock.Virtual
 	p := &Pool{Clock: &now}
-	ours, theirs := net.Pipe()
-	defer func() { _ = theirs.Close() }()
-	c := newConn(ours, &p.Dialect)
+	local, remote := net.Pipe()
+	defer func() { _ = remote.Close() }()
+	c := newConn(local, &p.Dialect)
 	p.putIdle("l", c, 3*clock.Second)
 	now.Run(1900)
 	assert.Assert(t, c.alive(now.Now()))
@@ -353,20 +353,20 @@
 // After a broken call, a connection check finds out whether the leaf went down.
 // Only an address that nothing listens at must be reported.
 func TestConnCheckTellsOnlyOfAbsentLeafs(t *testing.T) {
-	absent := make(chan router.ConnRefused, 2)
-	p := &Pool{Dialect: DefaultDialect, Clock: clock.Wall{}, OnConnRefused: func(a router.ConnRefused) { absent <- a }}
-	here := serve(t, func(net.Conn, *bufio.Reader) {})
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+	refused := make(chan router.ConnRefused, 2)
+	p := &Pool{Dialect: DefaultDialect, Clock: clock.Wall{}, OnConnRefused: func(a router.ConnRefused) { refused <- a }}
+	open := serve(t, func(net.Conn, *bufio.Reader) {})
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	p.CheckConn(router.CheckConn{Leaf: "here", Address: here.ln.Addr().String()})
-	assert.NilError(t, gone.Close())
-	p.CheckConn(router.CheckConn{Leaf: "gone", Address: gone.Addr().String()})
+	p.CheckConn(router.CheckConn{Leaf: "here", Address: open.ln.Addr().String()})
+	assert.NilError(t, closed.Close())
+	p.CheckConn(router.CheckConn{Leaf: "gone", Address: closed.Addr().String()})
 	select {
-	case a := <-absent:
+	case a := <-refused:
 		assert.Equal(t, a.Leaf, "gone")
 	case <-time.After(testTimeout):
 		t.Fatal("the refused connection was not reported")
 	}
 	assert.NilError(t, p.Close())
-	assert.Equal(t, len(absent), 0)
+	assert.Equal(t, len(refused), 0)
 }
--- a/share/member/diff_test.go
+++ b/share/member/diff_test.go
@@ -78,13 +78,13 @@
 	fresh := &List{Self: Host{GossipAddress: "10.9.0.2:1"}}
 	fresh.start(1000)
 	whole := fresh.fullDigest()
-	told := map[string]bool{}
+	received := map[string]bool{}
 	for range answers {
 		for _, p := range l.diffPackets(1000, fresh.Self.GossipAddress, foldDigest(whole[:], fresh.digestSize())) {
 			for _, u := range p.Updates {
-				told[u.Host.GossipAddress] = true
+				received[u.Host.GossipAddress] = true
 			}
 		}
 	}
-	assert.Assert(t, len(told) > answers*maxSyncUpdates/2, "%d hosts in %d answers", len(told), answers)
+	assert.Assert(t, len(received) > answers*maxSyncUpdates/2, "%d hosts in %d answers", len(received), answers)
 }
--- a/share/member/fleet_test.go
+++ b/share/member/fleet_test.go
@@ -142,11 +142,11 @@
 
 // minKnown returns the smallest number of other hosts in any list.
 func (w *fleet) minKnown() int {
-	least := len(w.hosts)
+	fewest := len(w.hosts)
 	for _, r := range w.running() {
-		least = min(least, len(r.list.ring))
+		fewest = min(fewest, len(r.list.ring))
 	}
-	return least
+	return fewest
 }
 
 // knownPairs returns the number of pairs of a host and another host in its list.
--- a/share/member/member_test.go
+++ b/share/member/member_test.go
@@ -108,17 +108,17 @@
 // maxDropped runs the fleet for a span and returns the highest number, at any moment,
 // of pairs of a host and a live host missing from its list. Stalled hosts are
 // excluded.
-func (w *fleet) maxDropped(span clock.Milli, without map[*simHost]bool) int {
+func (w *fleet) maxDropped(span clock.Milli, excluded map[*simHost]bool) int {
 	most := 0
 	for range span / 250 {
 		w.run(250)
 		dropped := 0
 		for _, r := range w.running() {
-			if without[r] {
+			if excluded[r] {
 				continue
 			}
 			for _, o := range w.running() {
-				if e := r.list.known[o.list.Self.GossipAddress]; o != r && !without[o] && (e == nil || !e.up()) {
+				if e := r.list.known[o.list.Self.GossipAddress]; o != r && !excluded[o] && (e == nil || !e.up()) {
 					dropped++
 				}
 			}
@@ -192,23 +192,23 @@
 func TestOldUpdatesDoNotReviveTheDead(t *testing.T) {
 	l := List{Self: Host{GossipAddress: "10.0.0.1:1", Domain: "d0", Started: 1}}
 	other := Host{GossipAddress: "10.0.0.2:1", Domain: "d1", Started: 5, Incarnation: 3}
-	hear := func(h Host, s State) { l.apply(1000, Update{Host: h, State: s}) }
+	receive := func(h Host, s State) { l.apply(1000, Update{Host: h, State: s}) }
 	l.start(1000)
-	hear(other, Alive)
-	hear(other, Dead)
+	receive(other, Alive)
+	receive(other, Dead)
 	assert.Equal(t, len(l.Alive()), 0)
-	hear(other, Alive)
+	receive(other, Alive)
 	older := other
 	older.Incarnation = 2
-	hear(older, Alive)
+	receive(older, Alive)
 	former := other
 	former.Started, former.Incarnation = 4, 9
-	hear(former, Alive)
+	receive(former, Alive)
 	assert.Equal(t, len(l.Alive()), 0)
 	next := other
 	next.Started, next.Incarnation = 6, 0
-	hear(next, Alive)
-	hear(other, Dead)
+	receive(next, Alive)
+	receive(other, Dead)
 	assert.DeepEqual(t, l.Alive(), []Host{next})
 }
 
@@ -249,15 +249,15 @@
 		l.apply(1000, Update{Host: Host{GossipAddress: fmt.Sprintf("10.0.1.%d:1", i), Domain: fmt.Sprintf("d%d", i%2)}})
 	}
 	assert.Equal(t, len(l.DomainPackets(1000, 100)), 20)
-	told := map[string]bool{}
+	notified := map[string]bool{}
 	for range 40 {
 		packets := l.DomainPackets(1000, 5)
 		assert.Equal(t, len(packets), 5)
 		for _, p := range packets {
-			told[p.To] = true
+			notified[p.To] = true
 		}
 	}
-	assert.Equal(t, len(told), 20)
+	assert.Equal(t, len(notified), 20)
 }
 
 // Guards against a log that grows with the number of hosts that change at once.
--- a/share/mirror/mirror_test.go
+++ b/share/mirror/mirror_test.go
@@ -78,8 +78,8 @@
 	assert.Equal(t, follower.next(1002), reader)
 }
 
-// scripted is a store whose replies are set by a test.
-type scripted struct {
+// scriptedStore is a store whose replies are set by a test.
+type scriptedStore struct {
 	mu       sync.Mutex
 	revision int64
 	down     bool
@@ -88,15 +88,15 @@
 }
 
 // lists returns the number of full reads.
-func (s *scripted) lists() int {
+func (s *scriptedStore) lists() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listed
 }
 
-func (s *scripted) Disconnect() {}
+func (s *scriptedStore) Disconnect() {}
 
-func (s *scripted) Read(after int64, wait clock.Milli) (Page, error) {
+func (s *scriptedStore) Read(after int64, wait clock.Milli) (Page, error) {
 	end := time.Now().Add(wait.Duration())
 	s.mu.Lock()
 	s.reads++
@@ -120,7 +120,7 @@
 	}
 }
 
-func (s *scripted) set(revision int64, down bool) {
+func (s *scriptedStore) set(revision int64, down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision, s.down = revision, down
@@ -199,14 +199,14 @@
 const testWait clock.Milli = 300
 
 // region starts hosts of one region over a store.
-func region(t *testing.T, store *scripted, n int) []*host {
+func region(t *testing.T, store *scriptedStore, n int) []*host {
 	t.Helper()
 	return startTogether(t, store, n, nil)
 }
 
 // startTogether starts hosts of one region. With tune, it configures each one before
 // its start and announces the others after it.
-func startTogether(t *testing.T, store *scripted, n int, tune func(*Follower)) []*host {
+func startTogether(t *testing.T, store *scriptedStore, n int, tune func(*Follower)) []*host {
 	t.Helper()
 	engine := &fetch.Engine{}
 	assert.NilError(t, engine.Start())
@@ -249,7 +249,7 @@
 // One host of a region reads the store for all. It is killed just before a change,
 // which the others must still get within about one wait.
 func TestChangesArriveWhenTheReaderIsKilled(t *testing.T) {
-	store := &scripted{revision: 1}
+	store := &scriptedStore{revision: 1}
 	hosts := region(t, store, 4)
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.has(1))
@@ -275,7 +275,7 @@
 // The store is down for a while. Each host must be notified of the loss, keep its
 // data, and be notified of the recovery.
 func TestOutageOfTheStoreIsTold(t *testing.T) {
-	store := &scripted{revision: 1}
+	store := &scriptedStore{revision: 1}
 	hosts := region(t, store, 2)
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.has(1))
@@ -297,7 +297,7 @@
 // some seconds old. The new host must serve by that data instead of reporting that it
 // has no routes, and must get fresh data once the store is back.
 func TestFreshHostTakesOldNews(t *testing.T) {
-	store := &scripted{revision: 7}
+	store := &scriptedStore{revision: 7}
 	old := region(t, store, 1)[0]
 	poll.WaitOn(t, old.sink.has(7))
 	store.set(7, true)
@@ -329,12 +329,12 @@
 	assert.ErrorContains(t, err, "page")
 }
 
-// hanging is a source that has stopped replying: its reads end with the test.
-type hanging struct{ end chan struct{} }
+// hangingSource is a source that has stopped replying: its reads end with the test.
+type hangingSource struct{ end chan struct{} }
 
-func (h hanging) Disconnect() {}
+func (h hangingSource) Disconnect() {}
 
-func (h hanging) Read(int64, clock.Milli) (Page, error) {
+func (h hangingSource) Read(int64, clock.Milli) (Page, error) {
 	<-h.end
 	return Page{}, errors.New("silent")
 }
@@ -344,7 +344,7 @@
 // on time: when it was removed only at the end of the read, a second later, requests
 // went to a leaf that had left.
 func TestSinkGetsItsTurnsWhileASourceIsSilent(t *testing.T) {
-	source := hanging{make(chan struct{})}
+	source := hangingSource{make(chan struct{})}
 	var sink recordingSink
 	sink.pending.Store(true)
 	f := Follower{Store: source, PollTimeout: testWait, Clock: clock.Wall{}, Log: zerolog.Nop(), Sink: &sink}
@@ -361,7 +361,7 @@
 
 // Guards against hosts that start together and all read the store.
 func TestHostsThatStartTogetherReadOnce(t *testing.T) {
-	store := &scripted{revision: 1}
+	store := &scriptedStore{revision: 1}
 	hosts := startTogether(t, store, 8, func(f *Follower) { f.DiscoveryTimeout, f.DiscoverySettle = 2*clock.Second, 300 })
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.has(1), poll.WithTimeout(5*time.Second))
@@ -371,42 +371,42 @@
 
 // Guards against a host that knows no others and never reads.
 func TestLoneHostReads(t *testing.T) {
-	store := &scripted{revision: 1}
+	store := &scriptedStore{revision: 1}
 	h := startTogether(t, store, 1, func(f *Follower) { f.DiscoveryTimeout, f.DiscoverySettle = 100, 50 })[0]
 	poll.WaitOn(t, h.sink.has(1), poll.WithTimeout(5*time.Second))
 }
 
-// refusing is one host's access to the store, which may reject reads.
-type refusing struct {
-	*scripted
-	refuses atomic.Bool
+// rejectingStore is one host's access to the store, which may reject reads.
+type rejectingStore struct {
+	*scriptedStore
+	rejects atomic.Bool
 	read    atomic.Int64
 }
 
-func (r *refusing) Read(after int64, wait clock.Milli) (Page, error) {
+func (r *rejectingStore) Read(after int64, wait clock.Milli) (Page, error) {
 	r.read.Add(1)
-	if r.refuses.Load() {
+	if r.rejects.Load() {
 		return Page{}, errors.New("read rejected")
 	}
-	return r.scripted.Read(after, wait)
+	return r.scriptedStore.Read(after, wait)
 }
 
 // Guards against a large region whose hosts all read the store when it rejects the
 // one that reads for them.
 func TestFewReadTheStoreInTheReadersPlace(t *testing.T) {
-	store := &scripted{revision: 1}
-	var ways []*refusing
+	store := &scriptedStore{revision: 1}
+	var stores []*rejectingStore
 	hosts := startTogether(t, store, 12, func(f *Follower) {
-		way := &refusing{scripted: store}
-		ways = append(ways, way)
-		f.Store, f.DiscoveryTimeout, f.DiscoverySettle = way, 2*clock.Second, 300
+		rejecting := &rejectingStore{scriptedStore: store}
+		stores = append(stores, rejecting)
+		f.Store, f.DiscoveryTimeout, f.DiscoverySettle = rejecting, 2*clock.Second, 300
 	})
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.has(1), poll.WithTimeout(5*time.Second))
 	}
 	for i, h := range hosts {
-		ways[i].read.Store(0)
-		ways[i].refuses.Store(h.reads())
+		stores[i].read.Store(0)
+		stores[i].rejects.Store(h.reads())
 	}
 	time.Sleep(2 * time.Second) // longer than a follower waits for its source several times over
 	store.set(2, false)
@@ -414,8 +414,8 @@
 		poll.WaitOn(t, h.sink.has(2), poll.WithTimeout(3*time.Second))
 	}
 	reading := 0
-	for _, w := range ways {
-		if w.read.Load() > 0 {
+	for _, s := range stores {
+		if s.read.Load() > 0 {
 			reading++
 		}
 	}
