--- a/Makefile
+++ b/Makefile
@@ -4,9 +4,10 @@
 MODULES  := share $(PROGRAMS)
 GO       ?= go
 LINT     := $(GO) run github.com/golangci/golangci-lint/v2/cmd/golangci-lint@v2.15.0
+GOPLS    := $(GO) run golang.org/x/tools/gopls@v0.23.0
 FUZZTIME ?= 20s
 
-.PHONY: all build demo tests lint bench soak capacity fuzz plots
+.PHONY: all build demo tests lint rename bench soak capacity fuzz plots
 
 all: build
 
@@ -33,6 +34,10 @@
 	@bin/soak hunt --first 1 --count 2 --for 8s
 	@bin/soak replay --for 12s
 
+# Renames a Go identifier with all its uses: make rename AT=FILE:LINE:COLUMN TO=NAME
+rename:
+	@$(GOPLS) rename -w $(AT) $(TO)
+
 # Deterministic figures in virtual time against bench/bounds.yaml.
 bench: build
 	@bin/bench check --bounds bench/bounds.yaml
@@ -45,11 +50,11 @@
 	@bin/bench plot --out docs/plots
 
 fuzz:
-	@cd share && for t in FuzzParse FuzzParseHosts; do $(GO) test ./invent -run '^$$' -fuzz "^$$t$$" -fuzztime $(FUZZTIME) || exit 1; done
-	@cd share && $(GO) test ./ticket -run '^$$' -fuzz FuzzParse -fuzztime $(FUZZTIME)
+	@cd share && for t in FuzzParse FuzzParseHosts; do $(GO) test ./topo -run '^$$' -fuzz "^$$t$$" -fuzztime $(FUZZTIME) || exit 1; done
+	@cd share && $(GO) test ./dedup -run '^$$' -fuzz FuzzParse -fuzztime $(FUZZTIME)
 	@cd share && $(GO) test ./mesh -run '^$$' -fuzz FuzzFrame -fuzztime $(FUZZTIME)
-	@cd aggregator && $(GO) test ./leafs -run '^$$' -fuzz FuzzReply -fuzztime $(FUZZTIME)
-	@cd share && $(GO) test ./hop -run '^$$' -fuzz FuzzReply -fuzztime $(FUZZTIME)
+	@cd aggregator && $(GO) test ./leaves -run '^$$' -fuzz FuzzReply -fuzztime $(FUZZTIME)
+	@cd share && $(GO) test ./httpc -run '^$$' -fuzz FuzzReply -fuzztime $(FUZZTIME)
 	@cd share && $(GO) test ./member -run '^$$' -fuzz FuzzDecode -fuzztime $(FUZZTIME)
 	@cd platform && for t in FuzzConfig FuzzLeaf; do $(GO) test . -run '^$$' -fuzz "^$$t$$" -fuzztime $(FUZZTIME) || exit 1; done
 	@cd entry && $(GO) test ./front -run '^$$' -fuzz FuzzBodies -fuzztime $(FUZZTIME)
