--- a/soak/play/check.go
+++ b/soak/play/check.go
@@ -41,8 +41,8 @@
 type seen struct {
 	runs     int
 	arrivals map[string]int // by service
-	reached  []fake.Run
-	worked   []fake.Run
+	reached  []fake.RequestRecord
+	worked   []fake.RequestRecord
 }
 
 // evaluate checks what can be told only at the end.
@@ -58,14 +58,14 @@
 	}
 	extra := map[string][]time.Time{}
 	for _, l := range w.leafs {
-		arrivals, runs := l.Seen()
+		arrivals, runs := l.Requests()
 		for _, a := range arrivals {
-			s := at(a.Request)
+			s := at(a.RequestID)
 			s.arrivals[l.Service]++
 			s.reached = append(s.reached, a)
 		}
 		for _, r := range runs {
-			s := at(r.Request)
+			s := at(r.RequestID)
 			s.runs++
 			s.worked = append(s.worked, r)
 		}
@@ -118,7 +118,7 @@
 }
 
 // checkDrain: a leaf that drains gets nothing from hosts that must know.
-func (w *world) checkDrain(l *leaf, arrivals []fake.Run) {
+func (w *world) checkDrain(l *leaf, arrivals []fake.RequestRecord) {
 	if l.drained.IsZero() {
 		return
 	}
@@ -127,8 +127,8 @@
 		return
 	}
 	for _, a := range arrivals {
-		if a.At.After(due) && !w.excused(a.From, l.drained.Add(-touch), a.At) {
-			w.checks.fault("DRAIN: %s reached %s from %s %s after it had begun to leave", a.Request, l.ID, a.From, a.At.Sub(l.drained))
+		if a.At.After(due) && !w.excused(a.SourceIP, l.drained.Add(-touch), a.At) {
+			w.checks.fault("DRAIN: %s reached %s from %s %s after it had begun to leave", a.RequestID, l.ID, a.SourceIP, a.At.Sub(l.drained))
 			return
 		}
 	}
@@ -146,9 +146,9 @@
 
 // secondCalls finds the arrivals at a service beyond the first of a request.
 func (w *world) secondCalls(l *leaf, all map[string]*seen, extra map[string][]time.Time) {
-	arrivals, _ := l.Seen()
+	arrivals, _ := l.Requests()
 	for _, a := range arrivals {
-		s := all[a.Request]
+		s := all[a.RequestID]
 		if s.arrivals[l.Service] > 1 {
 			s.arrivals[l.Service]--
 			extra[l.Service] = append(extra[l.Service], a.At)
@@ -263,7 +263,7 @@
 
 // status is the status of one request; 0 if it got no answer.
 func (c *caller) status(path string) int {
-	conn, err := net.DialTimeout("tcp", c.host.ip+fake.CallersPort, time.Second)
+	conn, err := net.DialTimeout("tcp", c.host.ip+fake.CallerPort, time.Second)
 	if err != nil {
 		return 0
 	}
--- a/soak/play/client.go
+++ b/soak/play/client.go
@@ -178,7 +178,7 @@
 		hosts = c.world.hosts
 	}
 	h := hosts[c.rand.IntN(len(hosts))]
-	conn, err := net.DialTimeout("tcp", h.ip+fake.CallersPort, time.Second)
+	conn, err := net.DialTimeout("tcp", h.ip+fake.CallerPort, time.Second)
 	if err != nil {
 		time.Sleep(20 * time.Millisecond)
 		return false
@@ -230,10 +230,10 @@
 func (c *checks) answer(r *request, got reply) {
 	stamped := fake.ReadStamps(got.header)
 	if !strings.HasPrefix(r.path, "/all/") {
-		if service, ok := fake.Signed(stamped.Stamp, r.id); !ok || service != "one" {
+		if service, ok := fake.VerifyStamp(stamped.Stamp, r.id); !ok || service != "one" {
 			c.fault("MIXED: %s got stamp %q", r.id, stamped.Stamp)
 		}
-		if !bytes.Equal(got.body, fake.AnswerTo("one", r.path, r.id)) {
+		if !bytes.Equal(got.body, fake.AnswerBody("one", r.path, r.id)) {
 			c.fault("MIXED: %s got another body", r.id)
 		}
 		return
@@ -241,12 +241,12 @@
 	seen := map[string]bool{}
 	var lists [][]byte
 	for _, stamp := range stamped.Parts {
-		service, ok := fake.Signed(stamp, r.id)
+		service, ok := fake.VerifyStamp(stamp, r.id)
 		if !ok || seen[service] {
 			c.fault("MIXED: %s got part %q", r.id, stamp)
 		}
 		seen[service] = true
-		lists = append(lists, fake.Body(service, r.id))
+		lists = append(lists, fake.SmallBody(service, r.id))
 	}
 	if len(seen)+stamped.Missing != shards || float64(len(seen)) < leastShare*shards {
 		c.fault("MIXED: %s got %d parts, %d missing", r.id, len(seen), stamped.Missing)
--- a/soak/play/fault.go
+++ b/soak/play/fault.go
@@ -215,14 +215,14 @@
 
 func (w *world) storeMode(pick uint64, span time.Duration) {
 	w.hitStore(span)
-	w.store.SetMode([]fake.StoreMode{fake.StoreBusy, fake.StoreSilent, fake.StoreSlow}[pick%3])
+	w.store.SetMode([]fake.StoreMode{fake.StoreUnavailable, fake.StoreSilent, fake.StoreSlow}[pick%3])
 	time.Sleep(span)
-	w.store.SetMode(fake.StoreWell)
+	w.store.SetMode(fake.StoreHealthy)
 }
 
 func (w *world) forget(uint64, time.Duration) {
 	w.hitStore(0)
-	w.store.Forget()
+	w.store.Compact()
 }
 
 // states are the ways in which a relay treats a host.
@@ -258,7 +258,7 @@
 // leafModes are how leafs misbehave; lost answers are the hardest to tell from
 // work that was not done, and come more often.
 var leafModes = []fake.LeafMode{
-	{Frozen: true}, {Work: 250 * time.Millisecond}, {Shed: 0.5}, {Lose: 0.3}, {Lose: 0.5}, {Lose: 0.2, Work: 60 * time.Millisecond},
+	{Frozen: true}, {ServiceTime: 250 * time.Millisecond}, {ShedShare: 0.5}, {LossShare: 0.3}, {LossShare: 0.5}, {LossShare: 0.2, ServiceTime: 60 * time.Millisecond},
 }
 
 // leafMode has a leaf misbehave, or all leafs of its service or of the single
@@ -285,7 +285,7 @@
 		}
 	}
 	w.mu.Unlock()
-	w.mode(slices.Collect(maps.Values(met)), fake.LeafMode{Work: 250 * time.Millisecond}, span)
+	w.mode(slices.Collect(maps.Values(met)), fake.LeafMode{ServiceTime: 250 * time.Millisecond}, span)
 }
 
 // stall makes every second request at every leaf of the shards slow, until the
@@ -295,7 +295,7 @@
 	w.mu.Lock()
 	leafs := append([]*leaf(nil), w.leafs...)
 	w.mu.Unlock()
-	w.mode(leafs, fake.LeafMode{Stall: 0.5}, min(2*longest, time.Until(w.begin.Add(warmUp+w.For))))
+	w.mode(leafs, fake.LeafMode{StallShare: 0.5}, min(2*longest, time.Until(w.begin.Add(warmUp+w.For))))
 }
 
 // mode has leafs misbehave for a while.
--- a/soak/play/gone.go
+++ b/soak/play/gone.go
@@ -30,20 +30,20 @@
 		}
 		due := r.ended.Add(stopWithin)
 		for _, a := range s.reached {
-			if a.At.After(due) && !w.troubled(a.From, r.sent, a.At) {
+			if a.At.After(due) && !w.troubled(a.SourceIP, r.sent, a.At) {
 				sent++
-				lastSent = fmt.Sprintf("%s, from %s %s later", r.id, a.From, a.At.Sub(r.ended))
+				lastSent = fmt.Sprintf("%s, from %s %s later", r.id, a.SourceIP, a.At.Sub(r.ended))
 			}
 		}
 		for _, run := range s.worked {
 			// A stalled or frozen leaf would have worked on beyond the bound.
-			if strings.HasPrefix(r.path, "/set/") || w.troubled(run.From, r.sent, due) || !w.lasting(run.At, due) {
+			if strings.HasPrefix(r.path, "/set/") || w.troubled(run.SourceIP, r.sent, due) || !w.lasting(run.At, due) {
 				continue
 			}
 			long++
 			if run.Ended.IsZero() || run.Ended.After(due) {
 				worked++
-				lastWork = fmt.Sprintf("%s, from %s", r.id, run.From)
+				lastWork = fmt.Sprintf("%s, from %s", r.id, run.SourceIP)
 			}
 		}
 	}
--- a/soak/play/harm.go
+++ b/soak/play/harm.go
@@ -74,7 +74,7 @@
 			continue
 		}
 		for _, a := range s.reached {
-			if a.At.After(due) && !w.excused(a.From, a.At.Add(-touch), a.At) {
+			if a.At.After(due) && !w.excused(a.SourceIP, a.At.Add(-touch), a.At) {
 				n++
 			}
 		}
--- a/soak/play/world.go
+++ b/soak/play/world.go
@@ -151,7 +151,7 @@
 	w.lastLeaf++
 	l := &leaf{Leaf: &fake.Leaf{ID: fmt.Sprintf("i-%03d", w.lastLeaf), Service: service, Domain: domain}}
 	w.mu.Unlock()
-	l.Harmed = func() { w.harmed(l) }
+	l.OnHarmful = func() { w.harmed(l) }
 	if err := l.Start("127.0.0.1"); err != nil {
 		return err
 	}
@@ -183,7 +183,7 @@
 		names[i] = shard(i)
 	}
 	body, err := fake.Config(version, []fake.Route{
-		{Name: "all", Host: hostName, Prefix: "/all/", Idempotent: true, Shards: names, Top: topK, LeastShare: leastShare},
+		{Name: "all", Host: hostName, Prefix: "/all/", Idempotent: true, Shards: names, TopK: topK, MinShare: leastShare},
 		{Name: "one", Host: hostName, Prefix: "/one/", Idempotent: true, Service: "one"},
 		{Name: "set", Host: hostName, Prefix: "/set/", Service: "one"},
 		{Name: "extra", Host: hostName, Prefix: extra, Idempotent: true, Service: "one"},
@@ -203,10 +203,10 @@
 	for _, s := range w.hosts[:min(3, len(w.hosts))] {
 		seeds = append(seeds, s.ip)
 	}
-	body, err := fake.Host{
-		Name: h.name, IP: h.ip, Domain: h.domain, Regions: regions, Seeds: seeds, Store: store,
-		Bound: bound, Ratio: ratio, Reserve: slack,
-	}.Settings()
+	body, err := fake.HostSettings{
+		Name: h.name, IP: h.ip, Domain: h.domain, Regions: regions, Seeds: seeds, StoreAddress: store,
+		ApplyBound: bound, RetryRatio: ratio, RetryReserve: slack,
+	}.JSON()
 	if err != nil {
 		return errors.Wrap(err, "encode settings")
 	}
