--- a/aggregator/core/admin.go
+++ b/aggregator/core/admin.go
@@ -6,18 +6,19 @@
 	"dandelionstile/share/httpd"
 )
 
-// Admin serves health, metrics and what `stile` reads.
+// Admin returns the handler for health checks, metrics and the status that `stile`
+// reads.
 func (c *Core) Admin() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		httpd.WriteJSON(w, http.StatusOK, httpd.Status{Status: "ok"})
 	})
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
-		s, ok := c.Show()
+		s, ok := c.Status()
 		httpd.WriteReady(w, ok && s.Node.Ready && !s.Node.Leaving)
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
-		s, ok := c.Show()
+		s, ok := c.Status()
 		if !ok {
 			httpd.WriteReady(w, false)
 			return
--- a/aggregator/core/core.go
+++ b/aggregator/core/core.go
@@ -1,5 +1,5 @@
-// Package core is the aggregator's control loop: it joins the gate's decisions
-// with the links to entries and the connections to leafs.
+// Package core is the aggregator's control loop: it connects the scheduler with
+// the links to entries and other aggregators, and the connections to leaves.
 package core
 
 import (
@@ -26,14 +26,14 @@
 	"dandelionstile/share/wire"
 )
 
-// Timing of the loop and of leaving.
+// Timing of the loop and of the shutdown.
 const (
-	tickEvery = 5 * time.Millisecond
-	// leaveNotice is how long the peers get to hear that this process leaves,
-	// while it still takes calls.
+	tickInterval = 5 * time.Millisecond
+	// leaveNotice is the time for peers to learn that this process leaves. It
+	// still accepts calls during that time.
 	leaveNotice = 500 * time.Millisecond
-	// leaveMost bounds the wait for calls under way.
-	leaveMost = 10 * time.Second
+	// leaveTimeout bounds the wait for running calls.
+	leaveTimeout = 10 * time.Second
 )
 
 // Core is a running aggregator. Fields are set before Start.
@@ -43,39 +43,39 @@
 	Meter    *meter.Meter
 	Tracer   *spans.Tracer
 
-	loop  node.Loop[any]
-	node  node.Node
-	gate  sched.Engine
-	pool  leaves.Pool
-	http  fetch.Engine
-	links map[uint64]*mesh.Link
-	peers map[string]*mesh.Link // aggregators by host
-	addrs map[string]string     // leaf -> address
-	jobs  map[sched.Key]*open
+	loop    node.Loop[any]
+	node    node.Node
+	sched   sched.Engine
+	pool    leaves.Pool
+	http    fetch.Engine
+	links   map[uint64]*mesh.Link
+	peers   map[string]*mesh.Link // aggregators by host
+	addrs   map[string]string     // by leaf
+	pending map[sched.Key]*pendingCall
 }
 
-// open is a call that an entry waits for.
-type open struct {
+// pendingCall is a call whose outcome an entry waits for.
+type pendingCall struct {
 	update  bool
 	service string
 	span    spans.Span
 }
 
-// Messages of the control loop besides the node's and the pool's.
+// Messages of the control loop, besides those of the node and the pool.
 type (
-	begin  struct{ done chan error }
-	tick   struct{}
-	leave  struct{ done chan struct{} }
-	refuse struct{}
-	status struct{ reply chan admin.Status }
+	startNode     struct{ done chan error }
+	tick          struct{}
+	leave         struct{ done chan struct{} }
+	stopAdmission struct{}
+	status        struct{ reply chan admin.Status }
 )
 
-// Start links up and begins to serve.
+// Start starts the control loop and the links to peers.
 func (c *Core) Start() error {
 	c.links = map[uint64]*mesh.Link{}
 	c.peers = map[string]*mesh.Link{}
 	c.addrs = map[string]string{}
-	c.jobs = map[sched.Key]*open{}
+	c.pending = map[sched.Key]*pendingCall{}
 	c.loop.Clock = clock.Wall{}
 	c.http.Source = c.Settings.Listen.IP()
 	if err := c.http.Start(); err != nil {
@@ -85,19 +85,19 @@
 		HTTP: &c.http, Clock: clock.Wall{}, Tracer: c.Tracer,
 		Report: func(m any) { c.loop.Post(m) },
 	}
-	c.gate = sched.Engine{Self: c.Settings.Host.Name, Domain: c.Settings.Host.Domain}
+	c.sched = sched.Engine{Self: c.Settings.Host.Name, Domain: c.Settings.Host.Domain}
 	c.node = node.Node{
 		Settings: c.Settings, Program: node.Aggregator, Incarnation: node.NewIncarnation(), Log: c.Log, Meter: c.Meter,
-		Delegate: owner{c}, HTTP: &c.http, Post: func(m node.Message) bool { return c.loop.Post(m) },
+		Delegate: delegate{c}, HTTP: &c.http, Post: func(m node.Message) bool { return c.loop.Post(m) },
 	}
 	c.loop.Start(c.handle)
-	// In the loop, since links may come up while the node still starts.
-	first := begin{done: make(chan error, 1)}
-	c.loop.Post(first)
-	if err := <-first.done; err != nil {
+	// Runs in the loop, because links may come up while the node is starting.
+	start := startNode{done: make(chan error, 1)}
+	c.loop.Post(start)
+	if err := <-start.done; err != nil {
 		return err
 	}
-	c.loop.Every(tickEvery, tick{})
+	c.loop.Every(tickInterval, tick{})
 	return nil
 }
 
@@ -105,42 +105,42 @@
 	switch m := m.(type) {
 	case node.Message:
 		c.node.Handle(now, m)
-	case leaves.Finished:
+	case leaves.CallDone:
 		if m.Result.ConnLost || m.Result.DialFailed {
-			c.pool.Shut(m.Result.Conn)
+			c.pool.CloseConn(m.Result.Conn)
 		}
-		c.act(now, c.gate.CallDone(now, m.Result))
-	case leaves.Probed:
-		c.act(now, c.gate.ProbeDone(now, m.Leaf, m.Conn, m.Status, m.Err))
-	case leaves.Closed:
-		c.pool.Shut(m.Conn)
-		c.act(now, c.gate.ConnClosed(now, m.Leaf, m.Conn))
-	case begin:
+		c.execute(now, c.sched.CallDone(now, m.Result))
+	case leaves.ProbeDone:
+		c.execute(now, c.sched.ProbeDone(now, m.Leaf, m.Conn, m.Status, m.Err))
+	case leaves.ConnClosed:
+		c.pool.CloseConn(m.Conn)
+		c.execute(now, c.sched.ConnClosed(now, m.Leaf, m.Conn))
+	case startNode:
 		m.done <- c.node.Start()
 	case tick:
 		c.tick(now)
 	case leave:
 		c.node.AnnounceLeaving(now)
 		close(m.done)
-	case refuse:
-		c.act(now, c.gate.Leave(now))
+	case stopAdmission:
+		c.execute(now, c.sched.Leave(now))
 	case status:
-		m.reply <- c.shown(now)
+		m.reply <- c.status(now)
 	}
 }
 
 func (c *Core) tick(now clock.Milli) {
 	c.node.Handle(now, node.Tick{})
-	out, paused := c.gate.Tick(now)
+	out, paused := c.sched.Tick(now)
 	if paused {
 		c.Log.Warn().Msg("process was paused; new work waits until the configuration is confirmed")
 		c.node.ConfirmVersions(now)
 	}
-	c.act(now, out)
+	c.execute(now, out)
 }
 
-// act carries out the gate's decisions.
-func (c *Core) act(now clock.Milli, actions []sched.Action) {
+// execute executes the scheduler's actions.
+func (c *Core) execute(now clock.Milli, actions []sched.Action) {
 	replies := map[uint64]*wire.Outcomes{}
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -151,7 +151,7 @@
 		case sched.Abort:
 			c.pool.Abort(c.addrs[a.Leaf], a)
 		case sched.CloseConn:
-			c.pool.Shut(a.Conn)
+			c.pool.CloseConn(a.Conn)
 		case sched.Reply:
 			c.reply(a, replies)
 		case sched.Publish:
@@ -178,20 +178,21 @@
 	}
 }
 
-// reply gathers outcomes by link; updates are answered one by one.
+// reply collects the outcomes of queries by link, and sends those of updates one by
+// one.
 func (c *Core) reply(a sched.Reply, replies map[uint64]*wire.Outcomes) {
-	j := c.jobs[a.Key]
-	delete(c.jobs, a.Key)
-	if j == nil {
-		j = &open{}
+	call := c.pending[a.Key]
+	delete(c.pending, a.Key)
+	if call == nil {
+		call = &pendingCall{}
 	}
 	c.Meter.Count("leaf_calls", 1,
-		meter.Label{Name: "service", Value: j.service},
+		meter.Label{Name: "service", Value: call.service},
 		meter.Label{Name: "outcome", Value: a.Outcome.Kind.String()},
 		meter.Label{Name: "reason", Value: string(a.Outcome.Reason)})
-	j.span.Set(attribute.String("outcome", a.Outcome.Kind.String()), attribute.String("reason", string(a.Outcome.Reason)))
-	j.span.End()
-	if j.update {
+	call.span.Set(attribute.String("outcome", a.Outcome.Kind.String()), attribute.String("reason", string(a.Outcome.Reason)))
+	call.span.End()
+	if call.update {
 		if l := c.links[a.Key.Link]; l != nil {
 			c.send(l, updateReplyTo(a.Key.ID, a.Outcome))
 		}
@@ -216,8 +217,8 @@
 	}
 }
 
-// send queues a message. A peer that takes messages too slowly loses its link:
-// it would otherwise wait for outcomes that it never gets.
+// send queues a message. It closes the link of a peer that reads too slowly, because
+// the peer would otherwise wait for outcomes that it never receives.
 func (c *Core) send(l *mesh.Link, m *wire.Envelope) {
 	if !c.node.Send(l, m) {
 		l.Fail(mesh.ErrBusy)
@@ -230,9 +231,9 @@
 	}
 }
 
-func (c *Core) shown(now clock.Milli) admin.Status {
-	s := admin.Status{Node: c.node.Status(now), Strikes: admin.StrikesFrom(c.gate.Strikes(now))}
-	for _, l := range c.gate.State(now) {
+func (c *Core) status(now clock.Milli) admin.Status {
+	s := admin.Status{Node: c.node.Status(now), Strikes: admin.StrikesFrom(c.sched.Strikes(now))}
+	for _, l := range c.sched.State(now) {
 		s.Leaves = append(s.Leaves, admin.Leaf{
 			Leaf: l.Leaf, Server: l.Server, Service: l.Service, Primary: l.Primary, Exclusive: l.Exclusive,
 			Busy: l.Busy, Queued: l.Queued, Limit: l.Limit, Slots: l.Slots, Conns: l.Conns,
@@ -242,8 +243,9 @@
 	return s
 }
 
-// Show returns the state, or false when the loop has ended.
-func (c *Core) Show() (admin.Status, bool) {
+// Status returns the state. It reports false if the loop has ended or doesn't reply
+// within a second.
+func (c *Core) Status() (admin.Status, bool) {
 	ask := status{reply: make(chan admin.Status, 1)}
 	if !c.loop.Post(ask) {
 		return admin.Status{}, false
@@ -256,18 +258,19 @@
 	}
 }
 
-// Leave hands the leafs over: it tells the peers, keeps serving until they have
-// heard, then takes nothing new and waits for what is under way.
+// Leave hands the leaves over to other aggregators: it announces the shutdown, keeps
+// serving until the peers have received the notice, then rejects new calls and waits
+// for the running ones.
 func (c *Core) Leave() {
 	m := leave{done: make(chan struct{})}
 	if c.loop.Post(m) {
 		<-m.done
 	}
 	time.Sleep(leaveNotice)
-	c.loop.Post(refuse{})
-	end := time.Now().Add(leaveMost)
-	for time.Now().Before(end) {
-		s, ok := c.Show()
+	c.loop.Post(stopAdmission{})
+	deadline := time.Now().Add(leaveTimeout)
+	for time.Now().Before(deadline) {
+		s, ok := c.Status()
 		if !ok || idle(s) {
 			return
 		}
@@ -284,91 +287,91 @@
 	return true
 }
 
-// Close ends everything that Start began, and waits.
+// Close releases what Start started, and waits for it to end.
 func (c *Core) Close() error {
 	err := errors.CombineErrors(c.pool.Close(), c.http.Close())
 	err = errors.CombineErrors(err, c.node.Close())
 	return errors.CombineErrors(err, c.loop.Close())
 }
 
-// owner is what the node tells its program; see node.Program.
-type owner struct{ c *Core }
+// delegate implements node.Delegate.
+type delegate struct{ c *Core }
 
-func (o owner) Configure(now clock.Milli, cfg *topo.Config, hosts []topo.Host) {
-	c := o.c
+func (d delegate) Configure(now clock.Milli, cfg *topo.Config, hosts []topo.Host) {
+	c := d.c
 	clear(c.addrs)
 	for _, s := range cfg.Inventory.Servers {
 		for _, l := range s.Leaves {
 			c.addrs[l.Name] = s.Address
 		}
 	}
-	c.act(now, c.gate.Configure(now, cfg, hosts))
+	c.execute(now, c.sched.Configure(now, cfg, hosts))
 }
 
-func (o owner) LinkUp(now clock.Milli, l *mesh.Link) {
-	c := o.c
+func (d delegate) LinkUp(now clock.Milli, l *mesh.Link) {
+	c := d.c
 	c.links[l.ID] = l
 	switch l.Peer.GetProgram() {
 	case node.Aggregator:
 		c.peers[l.Peer.GetHost()] = l
-		c.gate.PeerUp()
+		c.sched.PeerUp()
 	case node.Entry:
 		out := &wire.Outcomes{}
-		for _, fb := range c.gate.Feedback(now) {
+		for _, fb := range c.sched.Feedback(now) {
 			out.Feedback = append(out.Feedback, wire.FeedbackTo(fb))
 		}
 		c.send(l, &wire.Envelope{Body: &wire.Envelope_Outcomes{Outcomes: out}})
 	}
 }
 
-func (o owner) LinkDown(now clock.Milli, l *mesh.Link, _ error) {
-	c := o.c
+func (d delegate) LinkDown(now clock.Milli, l *mesh.Link, _ error) {
+	c := d.c
 	delete(c.links, l.ID)
 	if c.peers[l.Peer.GetHost()] == l {
 		delete(c.peers, l.Peer.GetHost())
-		c.gate.HostDown(now, l.Peer.GetHost())
+		c.sched.HostDown(now, l.Peer.GetHost())
 		for _, other := range c.links {
 			if other.Peer.GetProgram() == node.Aggregator && other.Peer.GetHost() == l.Peer.GetHost() {
 				c.peers[l.Peer.GetHost()] = other
 			}
 		}
 	}
-	c.act(now, c.gate.LinkClosed(now, l.ID))
+	c.execute(now, c.sched.LinkClosed(now, l.ID))
 }
 
-func (o owner) RTT(clock.Milli, *mesh.Link, time.Duration) {}
+func (d delegate) RTT(clock.Milli, *mesh.Link, time.Duration) {}
 
-func (o owner) PeerLeaving(clock.Milli, *mesh.Link, bool) {}
+func (d delegate) PeerLeaving(clock.Milli, *mesh.Link, bool) {}
 
-func (o owner) MergeStrike(now clock.Milli, s deny.Strike) bool {
-	news, out := o.c.gate.MergeStrike(now, s)
-	o.c.act(now, out)
-	return news
+func (d delegate) MergeStrike(now clock.Milli, s deny.Strike) bool {
+	added, out := d.c.sched.MergeStrike(now, s)
+	d.c.execute(now, out)
+	return added
 }
 
-func (o owner) VersionsConfirmed(clock.Milli) { o.c.gate.ResumeAdmission() }
+func (d delegate) VersionsConfirmed(clock.Milli) { d.c.sched.ResumeAdmission() }
 
-// Bounds of Dials.
+// Limits of LinkAddrs.
 const (
-	// smallFleet is how many hosts all link to all others.
-	smallFleet = 16
-	// neighbours is how many aggregators of the own failure domain are linked
-	// in a larger fleet, and farNeighbours how many of others.
-	neighbours    = 3
-	farNeighbours = 2
+	// fullMeshMax is the number of hosts up to which every host links to all others.
+	fullMeshMax = 16
+	// localLinks is the number of linked aggregators in this host's failure domain
+	// in a larger fleet, remoteLinks the number in other failure domains.
+	localLinks  = 3
+	remoteLinks = 2
 )
 
 // LinkAddrs lists the aggregators to link to: all in a small fleet; in a large one
-// a few, and the other candidates of this host's servers.
-func (o owner) LinkAddrs(cfg *topo.Config, hosts []topo.Host) []string {
-	self := o.c.Settings.Host
+// a few, and the other candidates for this host's servers.
+func (d delegate) LinkAddrs(cfg *topo.Config, hosts []topo.Host) []string {
+	self := d.c.Settings.Host
 	return assign.Neighbours(assign.Network{
-		Self: self.Name, Domain: self.Domain, FullMeshMax: smallFleet, LocalLinks: neighbours, RemoteLinks: farNeighbours,
+		Self: self.Name, Domain: self.Domain, FullMeshMax: fullMeshMax, LocalLinks: localLinks, RemoteLinks: remoteLinks,
 	}, cfg, hosts)
 }
 
-func (o owner) Frame(now clock.Milli, l *mesh.Link, m *wire.Envelope) {
-	c := o.c
+func (d delegate) Frame(now clock.Milli, l *mesh.Link, m *wire.Envelope) {
+	c := d.c
 	switch b := m.Body.(type) {
 	case *wire.Envelope_Batch:
 		c.batch(now, l, b.Batch)
@@ -376,18 +379,18 @@
 		c.update(now, l, b.Update)
 	case *wire.Envelope_Cancel:
 		for _, id := range b.Cancel.GetCalls() {
-			c.act(now, c.gate.Cancel(now, sched.Key{Link: l.ID, ID: id}))
+			c.execute(now, c.sched.Cancel(now, sched.Key{Link: l.ID, ID: id}))
 		}
 	case *wire.Envelope_Claim:
 		if b.Claim.GetRelease() {
-			c.gate.ReleaseReceived(now, l.Peer.GetHost(), agesFrom(b.Claim.GetServers()))
+			c.sched.ReleaseReceived(now, l.Peer.GetHost(), agesFrom(b.Claim.GetServers()))
 			return
 		}
 		id, servers := claimFrom(b.Claim)
-		c.act(now, c.gate.ClaimReceived(now, l.Peer.GetHost(), id, servers))
+		c.execute(now, c.sched.ClaimReceived(now, l.Peer.GetHost(), id, servers))
 	case *wire.Envelope_Grant:
 		id, servers, span := grantFrom(b.Grant)
-		c.act(now, c.gate.GrantReceived(now, l.Peer.GetHost(), id, servers, span))
+		c.execute(now, c.sched.GrantReceived(now, l.Peer.GetHost(), id, servers, span))
 	default:
 		c.Meter.Count("bad_frames", 1)
 		c.Log.Warn().Str("peer", l.Peer.GetHost()).Msg("unexpected message from peer")
@@ -398,33 +401,33 @@
 	for _, w := range b.GetCalls() {
 		key := sched.Key{Link: l.ID, ID: w.GetId()}
 		span := c.Tracer.Start(b.GetTrace(), "aggregate", attribute.String("leaf", w.GetLeaf()))
-		c.jobs[key] = &open{service: b.GetService(), span: span}
+		c.pending[key] = &pendingCall{service: b.GetService(), span: span}
 		job := &leaves.Job{
 			Attempt: c.attempt(key), Service: b.GetService(),
-			Pin:   topo.SnapshotID{Layout: b.GetLayout(), Version: b.GetSnapshot()},
-			Shard: int(w.GetShard()), Text: b.GetText(), Limit: int(b.GetLimit()), Parent: span.Parent(),
+			Snapshot: topo.SnapshotID{Layout: b.GetLayout(), Version: b.GetSnapshot()},
+			Shard:    int(w.GetShard()), Text: b.GetText(), Limit: int(b.GetLimit()), TraceParent: span.Parent(),
 		}
-		c.act(now, c.gate.Submit(now, sched.Call{
+		c.execute(now, c.sched.Submit(now, sched.Call{
 			Key: key, Leaf: w.GetLeaf(), Caller: b.GetCaller(), Deadline: now + clock.Milli(b.GetBudgetMs()),
-			Fingerprint: b.GetFingerprint(), Canary: w.GetCanary(), SecondCanary: w.GetAgain(), Pin: job.Pin, Request: job,
+			Fingerprint: b.GetFingerprint(), Canary: w.GetCanary(), SecondCanary: w.GetAgain(), Pin: job.Snapshot, Request: job,
 		}))
 	}
 }
 
 func (c *Core) update(now clock.Milli, l *mesh.Link, u *wire.Update) {
 	key := sched.Key{Link: l.ID, ID: u.GetId()}
-	c.jobs[key] = &open{update: true, service: u.GetService()}
+	c.pending[key] = &pendingCall{update: true, service: u.GetService()}
 	job := &leaves.Job{
-		Attempt: c.attempt(key), Service: u.GetService(), Parent: u.GetTrace(),
+		Attempt: c.attempt(key), Service: u.GetService(), TraceParent: u.GetTrace(),
 		Update: &leaves.UpdateJob{ID: u.GetTicket(), Operation: u.GetOperation(), Key: u.GetKey(), Body: u.GetBody()},
 	}
-	c.act(now, c.gate.Submit(now, sched.Call{
+	c.execute(now, c.sched.Submit(now, sched.Call{
 		Key: key, Leaf: u.GetLeaf(), Deadline: now + clock.Milli(u.GetBudgetMs()),
 		Fingerprint: u.GetFingerprint(), Canary: true, Update: true, Request: job,
 	}))
 }
 
-// attempt names a call so that no other call of any host has the same name.
+// attempt returns an id for a call that is unique over all hosts.
 func (c *Core) attempt(k sched.Key) string {
 	return fmt.Sprintf("%s.%x.%x.%x", c.Settings.Host.Name, c.node.Incarnation, k.Link, k.ID)
 }
--- a/aggregator/leaves/codec.go
+++ b/aggregator/leaves/codec.go
@@ -1,5 +1,5 @@
-// Package leafs speaks HTTP to the leafs of backend servers, each call over the
-// connection that the gate chose for it.
+// Package leaves calls the leaves of backend servers over HTTP, each call on the
+// connection that the scheduler chose for it.
 package leaves
 
 import (
@@ -17,7 +17,7 @@
 	"dandelionstile/share/topo"
 )
 
-// Header names of the leaf's protocol, see docs/PROTOCOLS.md.
+// Headers of the leaf protocol, see docs/PROTOCOLS.md.
 const (
 	headerIncarnation = "Leaf-Incarnation"
 	headerState       = "Leaf-State"
@@ -25,24 +25,24 @@
 	stateDraining     = "draining"
 )
 
-// ErrForeign means that a reply is not the one to the request.
-var ErrForeign = errors.New("reply does not belong to the request")
+// ErrReplyMismatch means that a reply belongs to another request.
+var ErrReplyMismatch = errors.New("reply does not belong to the request")
 
-// Job is what a call asks of a leaf.
+// Job is the request of a call to a leaf.
 type Job struct {
-	// Attempt differs between all calls of all hosts.
-	Attempt string
-	Service string
-	Pin     topo.SnapshotID
-	Shard   int
-	Text    string
-	Limit   int
-	// Update is set for a change instead of a query.
-	Update *UpdateJob
-	Parent string
+	// Attempt is unique over all calls of all hosts.
+	Attempt  string
+	Service  string
+	Snapshot topo.SnapshotID
+	Shard    int
+	Text     string
+	Limit    int
+	// Update is set for an update; a query has none.
+	Update      *UpdateJob
+	TraceParent string
 }
 
-// UpdateJob is a change.
+// UpdateJob is the update in a Job.
 type UpdateJob struct {
 	ID        string
 	Operation string
@@ -84,8 +84,8 @@
 	Body     string    `json:"body"`
 }
 
-// request builds the HTTP request of a job. The budget is what is left until
-// the deadline.
+// request returns the HTTP request for a job. The budget is the time left until the
+// deadline.
 func (j *Job) request(address, leaf string, budget clock.Milli) (*http.Request, error) {
 	path := "/v1/leafs/" + leaf
 	var body []byte
@@ -99,7 +99,7 @@
 	} else {
 		path += "/query"
 		body, err = json.Marshal(wireQuery{
-			Attempt: j.Attempt, Service: j.Service, Snapshot: j.Pin.String(), Shard: j.Shard,
+			Attempt: j.Attempt, Service: j.Service, Snapshot: j.Snapshot.String(), Shard: j.Shard,
 			Text: j.Text, Limit: j.Limit, Deadline: int64(budget),
 		})
 	}
@@ -109,7 +109,7 @@
 	return fetch.Request(http.MethodPost, address, path, body)
 }
 
-// outcome reads the reply to a job.
+// outcome converts the leaf's reply to an outcome.
 func (j *Job) outcome(r fetch.Reply) (query.Outcome, error) {
 	switch r.Status {
 	case http.StatusOK:
@@ -127,25 +127,25 @@
 	return query.Outcome{Kind: query.Unknown, Reason: query.ReasonLeafError}, nil
 }
 
-// result checks that a reply belongs to the job, attempt, snapshot and shard,
-// before anything of it is used: a mixed-up connection must not put another
-// caller's rows, another snapshot or fewer shards into an answer.
+// result checks that a reply belongs to the job's attempt, snapshot and shard before
+// using any of it. Otherwise a mixed-up connection could put the rows of another
+// caller or snapshot, or of fewer shards, into an answer.
 func (j *Job) result(body []byte) (query.Outcome, error) {
 	var w wireReply
 	if err := json.Unmarshal(body, &w); err != nil {
-		return query.Outcome{}, errors.Mark(errors.Wrap(err, "decode reply"), ErrForeign)
+		return query.Outcome{}, errors.Mark(errors.Wrap(err, "decode reply"), ErrReplyMismatch)
 	}
 	if w.Attempt != j.Attempt {
-		return query.Outcome{}, errors.Mark(errors.Newf("attempt %q", w.Attempt), ErrForeign)
+		return query.Outcome{}, errors.Mark(errors.Newf("attempt %q", w.Attempt), ErrReplyMismatch)
 	}
 	if j.Update != nil {
 		return query.Outcome{Kind: query.OK, Body: w.Body}, nil
 	}
-	if w.Snapshot != j.Pin.String() {
-		return query.Outcome{}, errors.Mark(errors.Newf("snapshot %q", w.Snapshot), ErrForeign)
+	if w.Snapshot != j.Snapshot.String() {
+		return query.Outcome{}, errors.Mark(errors.Newf("snapshot %q", w.Snapshot), ErrReplyMismatch)
 	}
 	if len(w.Shards) != 1 || w.Shards[0] != j.Shard {
-		return query.Outcome{}, errors.Mark(errors.Newf("shards %v", w.Shards), ErrForeign)
+		return query.Outcome{}, errors.Mark(errors.Newf("shards %v", w.Shards), ErrReplyMismatch)
 	}
 	o := query.Outcome{Kind: query.OK, Rows: make([]query.Row, len(w.Rows))}
 	for i, row := range w.Rows {
@@ -154,10 +154,10 @@
 	return o, nil
 }
 
-// sign reads what the headers tell of the leaf.
-func sign(h http.Header) sched.LeafStatus {
+// leafStatus parses the headers that describe the leaf.
+func leafStatus(h http.Header) sched.LeafStatus {
 	s := sched.LeafStatus{Draining: h.Get(headerState) == stateDraining}
-	s.Incarnation, _ = strconv.ParseUint(h.Get(headerIncarnation), 10, 64) // 0 is "not told"
+	s.Incarnation, _ = strconv.ParseUint(h.Get(headerIncarnation), 10, 64) // 0 means unknown
 	if text := h.Get(headerSnapshots); text != "" {
 		for _, one := range strings.Split(text, ",") {
 			if p, ok := topo.ParseSnapshotID(strings.TrimSpace(one)); ok {
--- a/aggregator/leaves/codec_test.go
+++ b/aggregator/leaves/codec_test.go
@@ -13,7 +13,7 @@
 )
 
 func job() *Job {
-	return &Job{Attempt: "a1", Service: "s", Pin: topo.SnapshotID{Layout: 1, Version: 2}, Shard: 3}
+	return &Job{Attempt: "a1", Service: "s", Snapshot: topo.SnapshotID{Layout: 1, Version: 2}, Shard: 3}
 }
 
 const goodReply = `{"attempt":"a1","snapshot":"1-2","shards":[3],"rows":[{"key":"k","score":1,"text":"t"}]}`
@@ -25,8 +25,8 @@
 	assert.Equal(t, len(o.Rows), 1)
 }
 
-// Rows of another caller, another snapshot or fewer shards enter an answer. The
-// leaf or a mixed-up connection sends them with status 200.
+// A leaf or a mixed-up connection sends status 200 with the rows of another caller,
+// another snapshot or fewer shards. Guards against using them in an answer.
 func TestRepliesThatAreNotOurs(t *testing.T) {
 	for _, body := range []string{
 		"", "{", goodReply[:len(goodReply)/2],
@@ -36,11 +36,11 @@
 		`{"attempt":"a1","snapshot":"1-2","shards":[3,4],"rows":[]}`,
 	} {
 		_, err := job().outcome(fetch.Reply{Status: http.StatusOK, Body: []byte(body)})
-		assert.Assert(t, errors.Is(err, ErrForeign), "body %q", body)
+		assert.Assert(t, errors.Is(err, ErrReplyMismatch), "body %q", body)
 	}
 }
 
-// A refusal that the leaf itself gives has not run; an error it gives may have.
+// A request that the leaf rejects has not run; one that ends in an error may have.
 func TestStatusesOfALeaf(t *testing.T) {
 	for _, c := range []struct {
 		status int
@@ -69,10 +69,10 @@
 		h := http.Header{}
 		h.Set(headerIncarnation, incarnation)
 		h.Set(headerSnapshots, snapshots)
-		sign(h)
+		leafStatus(h)
 		o, err := job().outcome(fetch.Reply{Status: http.StatusOK, Header: h, Body: body})
 		if err == nil && o.Kind != query.OK {
-			t.Fatal("neither a result nor an error")
+			t.Fatal("no error, but the outcome is not OK")
 		}
 	})
 }
--- a/aggregator/leaves/pool.go
+++ b/aggregator/leaves/pool.go
@@ -15,30 +15,30 @@
 	"dandelionstile/share/spans"
 )
 
-// Finished reports a call's result to the control loop.
-type Finished struct{ Result sched.Result }
+// CallDone reports a call's result to the control loop.
+type CallDone struct{ Result sched.Result }
 
-// Probed reports a probe's result to the control loop.
-type Probed struct {
+// ProbeDone reports a probe's result to the control loop.
+type ProbeDone struct {
 	Leaf   string
 	Conn   sched.ConnID
 	Status sched.LeafStatus
 	Err    error
 }
 
-// Closed reports to the control loop that a connection was closed.
-type Closed struct {
+// ConnClosed reports to the control loop that a connection was closed.
+type ConnClosed struct {
 	Leaf string
 	Conn sched.ConnID
 }
 
-// Pool holds the connections to leafs. Its methods are called from the control
-// loop; results come back through Report. Fields are set before use.
+// Pool holds the connections to leaves. The control loop calls its methods; results
+// are delivered through Report. The exported fields are set before use.
 type Pool struct {
 	HTTP   *fetch.Engine
 	Clock  clock.Clock
 	Tracer *spans.Tracer
-	// Report takes a Finished, Probed or Closed; it may block.
+	// Report receives CallDone, ProbeDone and ConnClosed messages. It may block.
 	Report func(any)
 
 	mu     sync.Mutex
@@ -56,14 +56,14 @@
 			p.conns = map[sched.ConnID]*fetch.Conn{}
 		}
 		c = &fetch.Conn{Engine: p.HTTP, Address: address, OnClose: func() {
-			go p.Report(Closed{Leaf: leaf, Conn: id})
+			go p.Report(ConnClosed{Leaf: leaf, Conn: id})
 		}}
 		p.conns[id] = c
 	}
 	return c
 }
 
-// Send makes a call.
+// Send sends a call to a leaf.
 func (p *Pool) Send(address string, s sched.Send) {
 	job, ok := s.Call.Request.(*Job)
 	if !ok {
@@ -71,7 +71,7 @@
 	}
 	c := p.conn(s.Conn, address, s.Leaf)
 	budget := s.Call.Deadline - p.Clock.Now()
-	span := p.Tracer.Start(job.Parent, "leaf-call",
+	span := p.Tracer.Start(job.TraceParent, "leaf-call",
 		attribute.String("leaf", s.Leaf), attribute.Bool("canary", s.Call.Canary))
 	result := sched.Result{Leaf: s.Leaf, Conn: s.Conn, Key: s.Call.Key}
 	r, err := job.request(address, s.Leaf, budget)
@@ -92,24 +92,24 @@
 	})
 }
 
-// verifyTimeout is how long a server whose connection broke may take to show
-// that it is alive.
+// verifyTimeout is the time for a server whose connection broke to answer the check
+// whether it is still running.
 const verifyTimeout = 250 * time.Millisecond
 
-// verify looks whether the server behind a broken connection is down. One that
-// still answers has only lost the connection; the gate compares its incarnation
-// to find one that went down and is back already.
+// verify checks whether the server behind a broken connection is down. If it still
+// answers, only the connection was lost; the scheduler compares its incarnation to
+// detect a server that crashed and has already restarted.
 func (p *Pool) verify(r sched.Result, address string) sched.Result {
 	reply, err := fetch.Get(p.HTTP, address, "/v1/leafs/"+r.Leaf+"/state", verifyTimeout)
 	if err != nil {
 		return r
 	}
-	r.Status = sign(reply.Header)
+	r.Status = leafStatus(reply.Header)
 	r.Outcome.Kind = query.Unknown
 	return r
 }
 
-// do runs a call on a goroutine of its own, since opening a connection blocks.
+// do runs a call on its own goroutine, because opening a connection blocks.
 func (p *Pool) do(c *fetch.Conn, r *http.Request, done func(fetch.Reply, error)) {
 	p.mu.Lock()
 	closed := p.closed
@@ -118,10 +118,10 @@
 	}
 	p.mu.Unlock()
 	if closed {
-		return // nobody waits for the result any more
+		return // the result is no longer needed
 	}
 	go c.Do(r, func(reply fetch.Reply, err error) {
-		// The library holds the connection's lock here, and the control loop
+		// The HTTP library holds the connection's lock here, and the control loop
 		// may be about to take it.
 		go func() {
 			defer p.wait.Done()
@@ -133,10 +133,10 @@
 func (p *Pool) finish(span spans.Span, r sched.Result) {
 	span.Set(attribute.String("outcome", r.Outcome.Kind.String()), attribute.String("reason", string(r.Outcome.Reason)))
 	span.End()
-	p.Report(Finished{r})
+	p.Report(CallDone{r})
 }
 
-// complete turns a reply or error into a result.
+// complete fills in a result from a reply or an error.
 func (j *Job) complete(r sched.Result, reply fetch.Reply, err error) sched.Result {
 	switch {
 	case errors.Is(err, fetch.ErrNotOpened):
@@ -148,10 +148,10 @@
 		r.Outcome = query.Outcome{Kind: query.Died, Reason: query.ReasonReset}
 		return r
 	}
-	r.Status = sign(reply.Header)
+	r.Status = leafStatus(reply.Header)
 	o, err := j.outcome(reply)
 	if err != nil {
-		// The connection delivers what was not asked for: it goes.
+		// The connection delivers replies to other requests, so it is closed.
 		r.ConnLost = true
 		o = query.Outcome{Kind: query.Unknown, Reason: query.ReasonForeign}
 	}
@@ -159,7 +159,7 @@
 	return r
 }
 
-// Probe asks for a leaf's state.
+// Probe requests the state of a leaf.
 func (p *Pool) Probe(address string, a sched.Probe) {
 	p.probe(address, http.MethodGet, "/v1/leafs/"+a.Leaf+"/state", a.Leaf, a.Conn)
 }
@@ -171,26 +171,26 @@
 	}
 }
 
-// ErrStatus means that a probe was answered with an error.
-var ErrStatus = errors.New("probe was refused")
+// ErrProbeFailed means that a probe was answered with a server error.
+var ErrProbeFailed = errors.New("probe was refused")
 
 func (p *Pool) probe(address, method, path, leaf string, id sched.ConnID) {
 	c := p.conn(id, address, leaf)
 	r, err := fetch.Request(method, address, path, nil)
 	if err != nil {
-		p.Report(Probed{Leaf: leaf, Conn: id, Err: err})
+		p.Report(ProbeDone{Leaf: leaf, Conn: id, Err: err})
 		return
 	}
 	p.do(c, r, func(reply fetch.Reply, err error) {
 		if err == nil && reply.Status >= http.StatusInternalServerError {
-			err = ErrStatus
+			err = ErrProbeFailed
 		}
-		p.Report(Probed{Leaf: leaf, Conn: id, Status: sign(reply.Header), Err: err})
+		p.Report(ProbeDone{Leaf: leaf, Conn: id, Status: leafStatus(reply.Header), Err: err})
 	})
 }
 
-// Shut closes a connection.
-func (p *Pool) Shut(id sched.ConnID) {
+// CloseConn closes a connection.
+func (p *Pool) CloseConn(id sched.ConnID) {
 	p.mu.Lock()
 	c := p.conns[id]
 	delete(p.conns, id)
@@ -200,7 +200,7 @@
 	}
 }
 
-// Close closes all connections and waits for the calls.
+// Close closes all connections and waits for the running calls.
 func (p *Pool) Close() error {
 	p.mu.Lock()
 	p.closed = true
@@ -210,7 +210,7 @@
 	}
 	p.mu.Unlock()
 	for _, id := range ids {
-		p.Shut(id)
+		p.CloseConn(id)
 	}
 	p.wait.Wait()
 	return nil
--- a/aggregator/main.go
+++ b/aggregator/main.go
@@ -1,5 +1,5 @@
-// Command aggregator owns the connections to leafs of its failure domain and
-// admits work to them on behalf of entries.
+// Command aggregator owns the connections to the leaves of its failure domain and
+// schedules the calls of entries on them.
 package main
 
 import (
@@ -16,7 +16,7 @@
 
 // Description is shown by --help.
 func (arguments) Description() string {
-	return "aggregator owns the connections to leafs of its failure domain"
+	return "aggregator owns the connections to the leaves of its failure domain"
 }
 
 // Version is shown by --version.
