--- a/entry/core/admin.go
+++ b/entry/core/admin.go
@@ -8,38 +8,38 @@
 	"dandelionstile/share/httpd"
 )
 
-func (c *Core) shown(now clock.Milli) admin.Status {
-	s := admin.Status{Node: c.node.Status(now), Strikes: admin.StrikesFrom(c.fan.Strikes(now))}
-	if cfg := c.fan.Config(); cfg != nil {
+func (c *Core) status(now clock.Milli) admin.Status {
+	s := admin.Status{Node: c.node.Status(now), Strikes: admin.StrikesFrom(c.fanout.Strikes(now))}
+	if cfg := c.fanout.Config(); cfg != nil {
 		for _, v := range cfg.Inventory.Services {
-			s.Services = append(s.Services, c.shownService(v.Name))
+			s.Services = append(s.Services, c.serviceStatus(v.Name))
 		}
 	}
 	return s
 }
 
-func (c *Core) shownService(name string) admin.Service {
-	reach := c.fan.Coverage(name)
-	v := admin.Service{
-		Service: name, Shards: reach.Shards, Answered: reach.Answered, Missing: admin.MissingFrom(reach.Missing),
+func (c *Core) serviceStatus(name string) admin.Service {
+	coverage := c.fanout.Coverage(name)
+	service := admin.Service{
+		Service: name, Shards: coverage.Shards, Answered: coverage.Answered, Missing: admin.MissingFrom(coverage.Missing),
 	}
-	if pin, ok := c.fan.Pin(name); ok {
-		v.Snapshot = pin.String()
+	if id, ok := c.fanout.Pin(name); ok {
+		service.Snapshot = id.String()
 	}
-	return v
+	return service
 }
 
-// Show returns the state, or false when the loop has ended.
-func (c *Core) Show() (admin.Status, bool) { return inLoop(c, c.shown) }
+// Status returns the state, or false after the control loop has ended.
+func (c *Core) Status() (admin.Status, bool) { return inLoop(c, c.status) }
 
-// Explain returns what is kept of an answered query.
+// Explain returns the recorded decisions about an answered query.
 func (c *Core) Explain(id string) (admin.Query, bool) {
 	type found struct {
-		query Explained
+		query HistoryEntry
 		ok    bool
 	}
 	got, ok := inLoop(c, func(clock.Milli) found {
-		e, ok := c.recent.find(id)
+		e, ok := c.history.find(id)
 		return found{e, ok}
 	})
 	if !ok || !got.ok {
@@ -52,7 +52,7 @@
 		Extra: e.Answer.Extra, Refused: string(e.Answer.Refused), Steps: []admin.Step{},
 		Missing: admin.MissingFrom(e.Answer.Coverage.Missing),
 	}
-	for _, t := range e.Trail {
+	for _, t := range e.Steps {
 		s.Steps = append(s.Steps, admin.Step{
 			At: int64(t.At - e.Arrived), Event: string(t.Event), Shard: t.Shard,
 			Leaf: t.Leaf, Host: t.Host, Cause: string(t.Cause),
@@ -61,7 +61,7 @@
 	return s, true
 }
 
-// Admin serves health, metrics and what `stile` reads.
+// Admin serves health, metrics and the endpoints that `stile` reads.
 func (c *Core) Admin() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
@@ -71,7 +71,7 @@
 		httpd.WriteReady(w, c.Ready())
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
-		s, ok := c.Show()
+		s, ok := c.Status()
 		if !ok {
 			httpd.WriteReady(w, false)
 			return
@@ -90,9 +90,9 @@
 	return mux
 }
 
-// Ready tells whether queries can be answered and the process stays.
+// Ready reports whether queries can be answered and the process is not shutting down.
 func (c *Core) Ready() bool {
-	s, ok := c.Show()
+	s, ok := c.Status()
 	if !ok || !s.Node.Ready || s.Node.Leaving {
 		return false
 	}
--- a/entry/core/links.go
+++ b/entry/core/links.go
@@ -13,113 +13,115 @@
 	"dandelionstile/share/wire"
 )
 
-// owner is what the node tells its program; see node.Program.
-type owner struct{ c *Core }
+// delegate implements node.Delegate.
+type delegate struct{ c *Core }
 
-func (o owner) Configure(_ clock.Milli, cfg *topo.Config, hosts []topo.Host) {
-	o.c.fan.Configure(cfg, hosts)
-	if o.c.Configured != nil && cfg != nil {
-		o.c.Configured(cfg)
+func (d delegate) Configure(_ clock.Milli, cfg *topo.Config, hosts []topo.Host) {
+	d.c.fanout.Configure(cfg, hosts)
+	if d.c.OnConfigure != nil && cfg != nil {
+		d.c.OnConfigure(cfg)
 	}
-	for name, l := range o.c.aggs {
+	for name, l := range d.c.aggregators {
 		if l != nil {
-			o.c.fan.HostUp(name)
+			d.c.fanout.HostUp(name)
 		}
 	}
 	for _, h := range hosts {
-		o.c.fan.HostLeaving(h.Name, h.Leaving)
+		d.c.fanout.HostLeaving(h.Name, h.Leaving)
 	}
 }
 
-func (o owner) LinkUp(now clock.Milli, l *mesh.Link) {
-	c := o.c
+func (d delegate) LinkUp(now clock.Milli, l *mesh.Link) {
+	c := d.c
 	host := l.Peer.GetHost()
 	switch l.Peer.GetProgram() {
 	case node.Aggregator:
 		if l.DialedAddr == "" {
 			return
 		}
-		c.aggs[host] = l
-		c.fan.HostUp(host)
+		c.aggregators[host] = l
+		c.fanout.HostUp(host)
 	case node.Entry:
 		c.entries[host] = l
-		waiting := c.away[host]
-		delete(c.away, host)
-		for _, u := range waiting {
+		updates := c.pendingForwards[host]
+		delete(c.pendingForwards, host)
+		for _, u := range updates {
 			c.forward(now, fanout.Forward{Host: host, Update: u})
 		}
 	}
 }
 
-func (o owner) LinkDown(now clock.Milli, l *mesh.Link, _ error) {
-	c := o.c
+func (d delegate) LinkDown(now clock.Milli, l *mesh.Link, _ error) {
+	c := d.c
 	host := l.Peer.GetHost()
-	if c.aggs[host] == l {
-		delete(c.aggs, host)
-		c.act(now, c.fan.HostDown(now, host))
+	if c.aggregators[host] == l {
+		delete(c.aggregators, host)
+		c.execute(now, c.fanout.HostDown(now, host))
 	}
 	if c.entries[host] == l {
 		delete(c.entries, host)
-		c.act(now, c.fan.OwnerDown(host))
+		c.execute(now, c.fanout.OwnerDown(host))
 	}
-	for n, r := range c.remote {
+	for id, r := range c.forwarded {
 		if r.link == l {
-			delete(c.remote, n)
+			delete(c.forwarded, id)
 		}
 	}
 }
 
-func (o owner) RTT(_ clock.Milli, l *mesh.Link, trip time.Duration) {
+func (d delegate) RTT(_ clock.Milli, l *mesh.Link, rtt time.Duration) {
 	if l.Peer.GetProgram() == node.Aggregator {
-		o.c.fan.RecordRTT(l.Peer.GetHost(), float64(trip.Microseconds())/1000)
+		d.c.fanout.RecordRTT(l.Peer.GetHost(), float64(rtt.Microseconds())/1000)
 	}
 }
 
-func (o owner) PeerLeaving(_ clock.Milli, l *mesh.Link, leaving bool) {
+func (d delegate) PeerLeaving(_ clock.Milli, l *mesh.Link, leaving bool) {
 	if l.Peer.GetProgram() == node.Aggregator {
-		o.c.fan.HostLeaving(l.Peer.GetHost(), leaving)
+		d.c.fanout.HostLeaving(l.Peer.GetHost(), leaving)
 	}
 }
 
-func (o owner) MergeStrike(now clock.Milli, s deny.Strike) bool { return o.c.fan.MergeStrike(now, s) }
+func (d delegate) MergeStrike(now clock.Milli, s deny.Strike) bool {
+	return d.c.fanout.MergeStrike(now, s)
+}
 
-func (o owner) VersionsConfirmed(clock.Milli) {}
+func (d delegate) VersionsConfirmed(clock.Milli) {}
 
-// smallFleet is how many hosts an entry links to whole.
-const smallFleet = 64
+// fullMeshMaxHosts is the largest fleet in which an entry links to all hosts.
+const fullMeshMaxHosts = 64
 
-// Bounds of Dials in a larger fleet.
+// Numbers of links in a larger fleet.
 const (
-	nearLinks = 8
-	farLinks  = 8
+	localLinks  = 8
+	remoteLinks = 8
 )
 
-func (o owner) LinkAddrs(cfg *topo.Config, hosts []topo.Host) []string {
-	self := o.c.Settings.Host
+func (d delegate) LinkAddrs(cfg *topo.Config, hosts []topo.Host) []string {
+	self := d.c.Settings.Host
 	return assign.Neighbours(assign.Network{
-		Self: self.Name, Domain: self.Domain, FullMeshMax: smallFleet, LocalLinks: nearLinks, RemoteLinks: farLinks,
+		Self: self.Name, Domain: self.Domain, FullMeshMax: fullMeshMaxHosts, LocalLinks: localLinks, RemoteLinks: remoteLinks,
 	}, cfg, hosts)
 }
 
-func (o owner) Frame(now clock.Milli, l *mesh.Link, m *wire.Envelope) {
-	c := o.c
+func (d delegate) Frame(now clock.Milli, l *mesh.Link, m *wire.Envelope) {
+	c := d.c
 	switch b := m.Body.(type) {
 	case *wire.Envelope_Outcomes:
 		for _, fb := range b.Outcomes.GetFeedback() {
-			c.fan.SetFeedback(wire.FeedbackFrom(fb))
+			c.fanout.SetFeedback(wire.FeedbackFrom(fb))
 		}
 		for _, w := range b.Outcomes.GetOutcomes() {
-			c.act(now, c.fan.CallDone(now, wire.OutcomeFrom(w)))
+			c.execute(now, c.fanout.CallDone(now, wire.OutcomeFrom(w)))
 		}
 	case *wire.Envelope_UpdateReply:
-		res := updateResultFrom(b.UpdateReply)
+		res := decodeUpdateReply(b.UpdateReply)
 		if l.Peer.GetProgram() == node.Entry {
-			c.act(now, c.fan.ForwardDone(b.UpdateReply.GetId(), res))
+			c.execute(now, c.fanout.ForwardDone(b.UpdateReply.GetId(), res))
 			return
 		}
-		c.act(now, c.fan.UpdateDone(now, b.UpdateReply.GetId(), res))
+		c.execute(now, c.fanout.UpdateDone(now, b.UpdateReply.GetId(), res))
 	case *wire.Envelope_Update:
-		c.forwarded(now, l, b.Update)
+		c.handleForwarded(now, l, b.Update)
 	default:
 		c.Meter.Count("bad_frames", 1)
 		c.Log.Warn().Str("peer", l.Peer.GetHost()).Msg("unexpected message from peer")
--- a/entry/front/caller.go
+++ b/entry/front/caller.go
@@ -2,8 +2,8 @@
 
 import "net"
 
-// hostOf is the address without its port: a caller's connections come from
-// many ports.
+// hostOf returns the address without its port: the connections of one caller come
+// from many ports.
 func hostOf(addr string) string {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -1,5 +1,5 @@
-// Package front is what callers meet: HTTP in, typed JSON out. It checks
-// requests, hands them to the core and puts the answers into words.
+// Package front serves the JSON API for callers over HTTP. It validates requests,
+// runs them in the core and encodes the answers.
 package front
 
 import (
@@ -21,34 +21,34 @@
 
 // Limits of a request.
 const (
-	maxBody    = 64 << 10
-	maxText    = 8 << 10
-	maxLimit   = 1000
-	maxBudget  = 10 * clock.Minute
-	maxCaller  = 128
-	rowsUnsaid = 10
+	maxBodyBytes   = 64 << 10
+	maxTextBytes   = 8 << 10
+	maxRows        = 1000
+	maxBudget      = 10 * clock.Minute
+	maxCallerBytes = 128
+	defaultRows    = 10
 )
 
-// Timing of leaving.
+// Timing of a shutdown.
 const (
-	// balancerLag is how long the balancer may take to see that readiness
-	// fails; requests are served until then.
-	balancerLag = 2 * time.Second
-	// leaveMost bounds the wait for requests under way.
-	leaveMost = 15 * time.Second
+	// balancerDelay is the time that the load balancer may take to notice that
+	// readiness fails; requests are served until then.
+	balancerDelay = 2 * time.Second
+	// drainTimeout bounds the wait for requests in flight.
+	drainTimeout = 15 * time.Second
 )
 
 // Front serves callers. Fields are set before Start.
 type Front struct {
 	Core    *core.Core
 	Address string
-	// AlsoReady tells whether what is served beside the queries is ready too;
-	// nil for nothing.
-	AlsoReady func() bool
+	// ExtraReady reports whether the other services of the process are ready too; it
+	// may be nil.
+	ExtraReady func() bool
 
-	server  httpd.Server
-	leaving atomic.Bool
-	inside  atomic.Int64
+	server   httpd.Server
+	leaving  atomic.Bool
+	inFlight atomic.Int64
 }
 
 // Start listens for callers.
@@ -57,7 +57,7 @@
 	return f.server.Start()
 }
 
-// Addr is the address in use.
+// Addr returns the address that the server listens on.
 func (f *Front) Addr() string { return f.server.Addr() }
 
 func (f *Front) handler() http.Handler {
@@ -66,34 +66,34 @@
 	mux.HandleFunc("POST /v1/ids", f.ids)
 	mux.HandleFunc("POST /v1/updates", f.update)
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
-		httpd.WriteReady(w, !f.leaving.Load() && f.Core.Ready() && (f.AlsoReady == nil || f.AlsoReady()))
+		httpd.WriteReady(w, !f.leaving.Load() && f.Core.Ready() && (f.ExtraReady == nil || f.ExtraReady()))
 	})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f.inside.Add(1)
-		defer f.inside.Add(-1)
+		f.inFlight.Add(1)
+		defer f.inFlight.Add(-1)
 		if f.leaving.Load() {
-			// The caller opens its next connection to a host that stays.
+			// The caller then opens its next connection to another host.
 			w.Header().Set("Connection", "close")
 		}
-		counted := &statusWriter{ResponseWriter: w, status: http.StatusOK}
-		mux.ServeHTTP(counted, r)
-		f.Core.Meter.Count("http_answers", 1, meter.Label{Name: "status", Value: strconv.Itoa(counted.status)})
+		recorder := &statusWriter{ResponseWriter: w, status: http.StatusOK}
+		mux.ServeHTTP(recorder, r)
+		f.Core.Meter.Count("http_answers", 1, meter.Label{Name: "status", Value: strconv.Itoa(recorder.status)})
 	})
 }
 
-// statusWriter remembers the status of an answer.
+// statusWriter records the status code of a response.
 type statusWriter struct {
 	http.ResponseWriter
 	status int
 }
 
-// WriteHeader is as http.ResponseWriter has it.
+// WriteHeader implements http.ResponseWriter.
 func (w *statusWriter) WriteHeader(status int) {
 	w.status = status
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// wireError is the body of every refusal.
+// wireError is the body of all error replies.
 type wireError struct {
 	Error      string `json:"error"`
 	Reason     string `json:"reason"`
@@ -110,23 +110,24 @@
 	errUnknown    = "unknown"
 )
 
-func badRequest(w http.ResponseWriter, field, reason string) {
+func writeBadRequest(w http.ResponseWriter, field, reason string) {
 	httpd.WriteJSON(w, http.StatusBadRequest, wireError{Error: errBadRequest, Reason: reason, Field: field})
 }
 
-func badBody(w http.ResponseWriter, err error) {
+func writeBodyError(w http.ResponseWriter, err error) {
 	if errors.Is(err, httpd.ErrTooLarge) {
 		httpd.WriteJSON(w, http.StatusRequestEntityTooLarge, wireError{Error: errBadRequest, Reason: err.Error(), Field: "body"})
 		return
 	}
-	badRequest(w, "body", err.Error())
+	writeBadRequest(w, "body", err.Error())
 }
 
-// unavailable answers a request that was not run, and says when to come back.
-func unavailable(w http.ResponseWriter, status int, e wireError, wait clock.Milli) {
-	e.RetryAfter = int64(wait)
-	if wait > 0 {
-		httpd.SetRetryAfter(w, wait)
+// writeError replies with an error and, unless retryAfter is 0, with the time after
+// which the request may be sent again.
+func writeError(w http.ResponseWriter, status int, e wireError, retryAfter clock.Milli) {
+	e.RetryAfter = int64(retryAfter)
+	if retryAfter > 0 {
+		httpd.SetRetryAfter(w, retryAfter)
 	}
 	httpd.WriteJSON(w, status, e)
 }
@@ -166,35 +167,35 @@
 
 func (f *Front) query(w http.ResponseWriter, r *http.Request) {
 	var q wireQuery
-	if err := httpd.ReadJSON(r, maxBody, &q); err != nil {
-		badBody(w, err)
+	if err := httpd.ReadJSON(r, maxBodyBytes, &q); err != nil {
+		writeBodyError(w, err)
 		return
 	}
-	if field, why := f.checkQuery(q); field != "" {
-		badRequest(w, field, why)
+	if field, reason := f.checkQuery(q); field != "" {
+		writeBadRequest(w, field, reason)
 		return
 	}
 	if q.Limit == 0 {
-		q.Limit = rowsUnsaid
+		q.Limit = defaultRows
 	}
-	got, ok := f.Core.Query(r.Context(), fanout.Request{
+	result, ok := f.Core.Query(r.Context(), fanout.Request{
 		Service: q.Service, Text: q.Text, Limit: q.Limit, Caller: callerOf(r),
 	}, clock.Milli(q.Budget), r.Header.Get("traceparent"))
 	switch {
 	case r.Context().Err() != nil:
-		return // nobody reads an answer
+		return // the caller has disconnected
 	case !ok:
-		unavailable(w, http.StatusServiceUnavailable, wireError{Error: errRefused, Reason: string(query.ReasonNotReady)}, clock.Second)
-	case got.Answer.Refused != query.ReasonNone:
-		unavailable(w, refusalStatus(got.Answer.Refused),
-			wireError{Error: errRefused, Reason: string(got.Answer.Refused), ID: got.ID}, got.Answer.RetryAfter)
+		writeError(w, http.StatusServiceUnavailable, wireError{Error: errRefused, Reason: string(query.ReasonNotReady)}, clock.Second)
+	case result.Answer.Refused != query.ReasonNone:
+		writeError(w, refusalStatus(result.Answer.Refused),
+			wireError{Error: errRefused, Reason: string(result.Answer.Refused), ID: result.ID}, result.Answer.RetryAfter)
 	default:
-		httpd.WriteJSON(w, http.StatusOK, answerTo(got))
+		httpd.WriteJSON(w, http.StatusOK, newAnswer(result))
 	}
 }
 
-func refusalStatus(why query.Reason) int {
-	switch why {
+func refusalStatus(reason query.Reason) int {
+	switch reason {
 	case query.ReasonOverload:
 		return http.StatusTooManyRequests
 	case query.ReasonQuarantined, query.ReasonCrashed:
@@ -204,22 +205,22 @@
 	}
 }
 
-// callerOf names who asks, for fairness between callers: the Caller header, or
-// else the address that the request came from.
+// callerOf returns the identity of the client for fairness between callers: the
+// Caller header, or else the client's host.
 func callerOf(r *http.Request) string {
 	if c := r.Header.Get("Caller"); c != "" {
-		return c[:min(len(c), maxCaller)]
+		return c[:min(len(c), maxCallerBytes)]
 	}
 	return hostOf(r.RemoteAddr)
 }
 
-func (f *Front) checkQuery(q wireQuery) (field, why string) {
+func (f *Front) checkQuery(q wireQuery) (field, reason string) {
 	switch {
 	case q.Service == "":
 		return "service", "missing"
-	case len(q.Text) > maxText:
+	case len(q.Text) > maxTextBytes:
 		return "text", "too long"
-	case q.Limit < 0 || q.Limit > maxLimit:
+	case q.Limit < 0 || q.Limit > maxRows:
 		return "limit", "out of range"
 	case q.Budget < 0 || clock.Milli(q.Budget) > maxBudget:
 		return "budget-ms", "out of range"
@@ -227,10 +228,10 @@
 	return f.checkService(q.Service)
 }
 
-func (f *Front) checkService(name string) (field, why string) {
+func (f *Front) checkService(name string) (field, reason string) {
 	cfg := f.Core.Config()
 	if cfg == nil {
-		return "", "" // not ready: the core says so
+		return "", "" // the core rejects the request as not ready
 	}
 	if _, ok := cfg.Service(name); !ok {
 		return "service", "not in the inventory"
@@ -238,7 +239,7 @@
 	return "", ""
 }
 
-func answerTo(a core.Answered) wireAnswer {
+func newAnswer(a core.QueryResult) wireAnswer {
 	out := wireAnswer{
 		ID: a.ID, Snapshot: a.Answer.Pin.String(), Complete: a.Answer.Coverage.Complete(), Extra: a.Answer.Extra,
 		Coverage: wireCoverage{
@@ -265,23 +266,23 @@
 
 func (f *Front) ids(w http.ResponseWriter, r *http.Request) {
 	var m wireMint
-	if err := httpd.ReadJSON(r, maxBody, &m); err != nil {
-		badBody(w, err)
+	if err := httpd.ReadJSON(r, maxBodyBytes, &m); err != nil {
+		writeBodyError(w, err)
 		return
 	}
 	if f.leaving.Load() {
-		unavailable(w, http.StatusServiceUnavailable, wireError{Error: errNotRun, Reason: string(query.ReasonLeaving)}, clock.Second)
+		writeError(w, http.StatusServiceUnavailable, wireError{Error: errNotRun, Reason: string(query.ReasonLeaving)}, clock.Second)
 		return
 	}
-	got, ok := f.Core.Mint(m.Count)
+	result, ok := f.Core.Mint(m.Count)
 	switch {
 	case !ok:
-		unavailable(w, http.StatusServiceUnavailable, wireError{Error: errNotRun, Reason: string(query.ReasonNotReady)}, clock.Second)
-	case got.Err != nil:
-		badRequest(w, "count", "out of range")
+		writeError(w, http.StatusServiceUnavailable, wireError{Error: errNotRun, Reason: string(query.ReasonNotReady)}, clock.Second)
+	case result.Err != nil:
+		writeBadRequest(w, "count", "out of range")
 	default:
-		out := wireIDs{IDs: make([]string, len(got.IDs))}
-		for i, id := range got.IDs {
+		out := wireIDs{IDs: make([]string, len(result.IDs))}
+		for i, id := range result.IDs {
 			out.IDs[i] = id.String()
 		}
 		httpd.WriteJSON(w, http.StatusOK, out)
@@ -297,32 +298,32 @@
 	Budget    int64  `json:"budget-ms"`
 }
 
-type wireUpdated struct {
+type wireUpdateResult struct {
 	ID     string `json:"id"`
 	Result string `json:"result"`
 }
 
 func (f *Front) update(w http.ResponseWriter, r *http.Request) {
 	var u wireUpdate
-	if err := httpd.ReadJSON(r, maxBody, &u); err != nil {
-		badBody(w, err)
+	if err := httpd.ReadJSON(r, maxBodyBytes, &u); err != nil {
+		writeBodyError(w, err)
 		return
 	}
-	id, field, why := f.checkUpdate(u)
+	id, field, reason := f.checkUpdate(u)
 	if field != "" {
-		badRequest(w, field, why)
+		writeBadRequest(w, field, reason)
 		return
 	}
-	got, ok := f.Core.Update(fanout.Update{
+	result, ok := f.Core.Update(fanout.Update{
 		ID: id, Service: u.Service, Operation: u.Operation, Key: u.Key, Body: u.Body,
 	}, clock.Milli(u.Budget), r.Header.Get("traceparent"))
 	if !ok {
-		got = fanout.UpdateResult{Kind: query.Unknown, Reason: query.ReasonDeadline, RetryAfter: clock.Second}
+		result = fanout.UpdateResult{Kind: query.Unknown, Reason: query.ReasonDeadline, RetryAfter: clock.Second}
 	}
-	writeUpdated(w, u.ID, got)
+	writeUpdateResult(w, u.ID, result)
 }
 
-func (f *Front) checkUpdate(u wireUpdate) (id dedup.ID, field, why string) {
+func (f *Front) checkUpdate(u wireUpdate) (id dedup.ID, field, reason string) {
 	switch {
 	case u.Service == "":
 		return id, "service", "missing"
@@ -339,41 +340,41 @@
 	if err != nil {
 		return id, "id", "not an id from /v1/ids"
 	}
-	field, why = f.checkService(u.Service)
-	return id, field, why
+	field, reason = f.checkService(u.Service)
+	return id, field, reason
 }
 
-// writeUpdated says what became of an update: it ran, it did not run, or that
-// is not known. Only "not-run" and "unknown" with a time to come back may be
-// sent again, with the same id.
-func writeUpdated(w http.ResponseWriter, id string, r fanout.UpdateResult) {
+// writeUpdateResult replies with the outcome of an update: it ran, it did not run, or
+// its outcome is unknown. Callers may resend only after "not-run", or "unknown" with a
+// retry time, and with the same ID.
+func writeUpdateResult(w http.ResponseWriter, id string, r fanout.UpdateResult) {
 	e := wireError{Reason: string(r.Reason), ID: id}
 	switch {
 	case r.Kind == query.OK:
-		httpd.WriteJSON(w, http.StatusOK, wireUpdated{ID: id, Result: r.Body})
+		httpd.WriteJSON(w, http.StatusOK, wireUpdateResult{ID: id, Result: r.Body})
 	case r.Reason == query.ReasonReused:
 		e.Error, e.Field = errBadRequest, "id"
 		httpd.WriteJSON(w, http.StatusConflict, e)
 	case !r.Kind.MayHaveRun():
 		e.Error = errNotRun
-		unavailable(w, http.StatusServiceUnavailable, e, max(r.RetryAfter, 100))
+		writeError(w, http.StatusServiceUnavailable, e, max(r.RetryAfter, 100))
 	default:
 		e.Error = errUnknown
-		unavailable(w, http.StatusBadGateway, e, r.RetryAfter)
+		writeError(w, http.StatusBadGateway, e, r.RetryAfter)
 	}
 }
 
-// Leave ends service in order: readiness fails first, requests are served until
-// the balancer has seen it, and those under way are finished.
+// Leave shuts down in order: it fails readiness, serves requests until the load
+// balancer has noticed, and waits for the requests in flight.
 func (f *Front) Leave() {
 	f.leaving.Store(true)
 	f.Core.Leave()
-	time.Sleep(balancerLag)
-	end := time.Now().Add(leaveMost)
-	for time.Now().Before(end) && (f.inside.Load() > 0 || !f.Core.Idle()) {
+	time.Sleep(balancerDelay)
+	end := time.Now().Add(drainTimeout)
+	for time.Now().Before(end) && (f.inFlight.Load() > 0 || !f.Core.Idle()) {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// Close stops listening and waits for the requests under way.
+// Close stops listening and waits for the requests in flight.
 func (f *Front) Close() error { return f.server.Close() }
--- a/entry/front/front_test.go
+++ b/entry/front/front_test.go
@@ -17,8 +17,8 @@
 	"dandelionstile/share/node"
 )
 
-// lonely is a front whose entry reaches neither platform nor peers.
-func lonely(t testing.TB) *Front {
+// newIsolatedFront returns a front whose entry reaches neither the platform nor peers.
+func newIsolatedFront(t testing.TB) *Front {
 	t.Helper()
 	c := &core.Core{Log: zerolog.Nop(), Settings: node.Settings{
 		Host:     node.HostSettings{Name: "host-0", Domain: "a"},
@@ -34,12 +34,12 @@
 	w := httptest.NewRecorder()
 	f.handler().ServeHTTP(w, httptest.NewRequest(http.MethodPost, path, strings.NewReader(body)))
 	var e wireError
-	_ = json.Unmarshal(w.Body.Bytes(), &e) // an answer that is no error leaves e empty
+	_ = json.Unmarshal(w.Body.Bytes(), &e) // a successful reply leaves e empty
 	return w.Code, e, w.Header()
 }
 
 func TestBadRequestsNameTheField(t *testing.T) {
-	f := lonely(t)
+	f := newIsolatedFront(t)
 	for _, c := range []struct{ path, body, field string }{
 		{"/v1/query", `{`, "body"},
 		{"/v1/query", `[]`, "body"},
@@ -59,15 +59,15 @@
 		assert.Equal(t, e.Error, errBadRequest, c.body)
 		assert.Equal(t, e.Field, c.field, c.body)
 	}
-	status, e, _ := post(f, "/v1/query", `{"service":"`+strings.Repeat("x", maxBody)+`"}`)
+	status, e, _ := post(f, "/v1/query", `{"service":"`+strings.Repeat("x", maxBodyBytes)+`"}`)
 	assert.Equal(t, status, http.StatusRequestEntityTooLarge)
 	assert.Equal(t, e.Error, errBadRequest)
 }
 
-// A fresh host without a platform or peers must refuse at once and say when to
-// come back, not keep its caller waiting.
-func TestLonelyHostRefusesAtOnce(t *testing.T) {
-	f := lonely(t)
+// A host that has just started, without a platform or peers, must reject at once with
+// a retry time instead of making the caller wait.
+func TestIsolatedHostRefusesAtOnce(t *testing.T) {
+	f := newIsolatedFront(t)
 	status, e, h := post(f, "/v1/query", `{"service":"s","text":"x","budget-ms":60000}`)
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 	assert.Equal(t, e.Error, errRefused)
@@ -80,7 +80,7 @@
 func TestCloseWaits(t *testing.T) {
 	ignore := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, ignore) })
-	f := lonely(t)
+	f := newIsolatedFront(t)
 	f.Address = "127.0.0.1:0"
 	assert.NilError(t, f.Start())
 	res, err := http.Post("http://"+f.Addr()+"/v1/ids", "application/json", strings.NewReader(`{"count":1}`))
@@ -98,15 +98,15 @@
 	f.Fuzz(func(_ *testing.T, body []byte) {
 		for _, v := range []any{&wireQuery{}, &wireMint{}, &wireUpdate{}} {
 			r := httptest.NewRequest(http.MethodPost, "/", bytes.NewReader(body))
-			_ = httpd.ReadJSON(r, maxBody, v)
+			_ = httpd.ReadJSON(r, maxBodyBytes, v)
 		}
 	})
 }
 
-// A caller sends three megabytes and is told that it is too much; it used to
-// find its connection closed without a word.
+// A body of 3 MB, far above the limit, gets a reply. The server used to close the
+// connection without one.
 func TestThreeMegabytesAreRefusedWithAnAnswer(t *testing.T) {
-	f := lonely(t)
+	f := newIsolatedFront(t)
 	f.Address = "127.0.0.1:0"
 	assert.NilError(t, f.Start())
 	defer func() { assert.NilError(t, f.server.Close()) }()
--- a/entry/main.go
+++ b/entry/main.go
@@ -1,5 +1,5 @@
-// Command entry faces callers: it takes queries and updates, fans them out to
-// aggregators, and answers completely or honestly in part.
+// Command entry serves callers: it accepts queries and updates, fans them out to
+// aggregators and returns complete answers, or partial ones that name what is missing.
 package main
 
 import (
@@ -17,7 +17,7 @@
 // arguments is the command line.
 type arguments struct {
 	daemon.Arguments
-	Callers string `arg:"--callers" placeholder:"IP:PORT" help:"address for callers"`
+	Callers string `arg:"--callers" placeholder:"IP:PORT" help:"address that callers connect to"`
 }
 
 // Description is shown by --help.
@@ -26,41 +26,42 @@
 // Version is shown by --version.
 func (arguments) Version() string { return daemon.VersionText("entry") }
 
-// errNoCallers: an entry without an address for callers serves nobody.
-var errNoCallers = errors.New("no address for callers: set listen.callers or give --callers")
+// errNoCallerAddress reports that neither the settings nor the flags name a caller
+// address.
+var errNoCallerAddress = errors.New("no address for callers: set listen.callers or give --callers")
 
 func main() {
 	var a arguments
 	os.Exit(daemon.Main("entry", &a, &a.Arguments, a.start))
 }
 
-func (a *arguments) start(b daemon.Env) (daemon.Service, error) {
+func (a *arguments) start(env daemon.Env) (daemon.Service, error) {
 	if a.Callers != "" {
-		b.Settings.Listen.Callers = a.Callers
+		env.Settings.Listen.Callers = a.Callers
 	}
-	if b.Settings.Listen.Callers == "" {
-		return daemon.Service{}, daemon.MarkInvalid(errNoCallers)
+	if env.Settings.Listen.Callers == "" {
+		return daemon.Service{}, daemon.MarkInvalid(errNoCallerAddress)
 	}
-	e := &entry{routed: routed.Routed{Settings: b.Settings, Log: b.Log, Meter: b.Meter, Tracer: b.Tracer}}
+	e := &entry{routed: routed.Server{Settings: env.Settings, Log: env.Log, Meter: env.Meter, Tracer: env.Tracer}}
 	e.core = core.Core{
-		Settings: b.Settings, Log: b.Log, Meter: b.Meter, Tracer: b.Tracer, Configured: e.routed.Configure,
+		Settings: env.Settings, Log: env.Log, Meter: env.Meter, Tracer: env.Tracer, OnConfigure: e.routed.Configure,
 	}
-	e.front = front.Front{Core: &e.core, Address: b.Settings.Listen.Callers, AlsoReady: e.routed.Ready}
+	e.front = front.Front{Core: &e.core, Address: env.Settings.Listen.Callers, ExtraReady: e.routed.Ready}
 	if err := e.start(); err != nil {
 		return daemon.Service{}, err
 	}
-	b.Log.Info().Str("callers", e.front.Addr()).Str("routes", e.routed.Addr()).Msg("serving callers")
+	env.Log.Info().Str("callers", e.front.Addr()).Str("routes", e.routed.Addr()).Msg("serving callers")
 	return daemon.Service{Admin: e.core.Admin(), Leave: e.leave, Close: e.close}, nil
 }
 
-// entry is the running parts.
+// entry holds the parts of the running process.
 type entry struct {
 	core   core.Core
 	front  front.Front
-	routed routed.Routed
+	routed routed.Server
 }
 
-// start begins with the routes: the core tells them of configurations.
+// start starts the routes first: the core passes each configuration to them.
 func (e *entry) start() error {
 	if err := e.routed.Start(); err != nil {
 		return err
@@ -74,12 +75,12 @@
 	return nil
 }
 
-// leave ends the work of both kinds at the same time.
+// leave drains queries and routed requests in parallel.
 func (e *entry) leave() {
-	var both sync.WaitGroup
-	both.Go(e.front.Leave)
-	both.Go(e.routed.Leave)
-	both.Wait()
+	var wait sync.WaitGroup
+	wait.Go(e.front.Leave)
+	wait.Go(e.routed.Leave)
+	wait.Wait()
 }
 
 func (e *entry) close() error {
--- a/entry/routed/routed.go
+++ b/entry/routed/routed.go
@@ -1,7 +1,6 @@
-// Package routed serves the routes of the operators' inventory: requests that
-// are passed on as they are, to one backend server of a service or to one of
-// each shard. It translates a configuration into what the tier goes by; all
-// decisions are the tier's.
+// Package routed serves the routes of the inventory: it forwards requests unchanged to
+// one backend server of a service, or to one of each shard. It translates a
+// configuration into the facts that the router decides on.
 package routed
 
 import (
@@ -21,90 +20,90 @@
 	"dandelionstile/share/topo"
 )
 
-// Routed serves routes where the settings name an address for them, and does
-// nothing where they do not. The exported fields are set before Start.
-type Routed struct {
+// Server serves routes if the settings name a listen address for them, and does
+// nothing otherwise. The exported fields are set before Start.
+type Server struct {
 	Settings node.Settings
 	Log      zerolog.Logger
 	Meter    *meter.Meter
 	Tracer   *spans.Tracer
 
-	tier proxy.Server
+	proxy proxy.Server
 }
 
-func (r *Routed) on() bool { return r.Settings.Routes.Listen != "" }
+func (s *Server) enabled() bool { return s.Settings.Routes.Listen != "" }
 
-// Start listens. Requests are refused until a configuration is known.
-func (r *Routed) Start() error {
-	if !r.on() {
+// Start starts listening. Requests are rejected until a configuration is known.
+func (s *Server) Start() error {
+	if !s.enabled() {
 		return nil
 	}
-	s := r.Settings.Routes
-	r.tier = proxy.Server{
+	routes := s.Settings.Routes
+	s.proxy = proxy.Server{
 		Settings: proxy.Settings{
-			CallerAddress: s.Listen, GossipAddress: s.Gossip, ForwardAddress: s.Relay, Seeds: s.Seeds,
-			SourceIP: r.Settings.Listen.IP(), Dialect: httpc.DefaultDialect,
-			Self:   router.HostInfo{Host: r.Settings.Host.Name, Domain: r.Settings.Host.Domain, Address: s.Relay},
-			Policy: router.Policy{BudgetRatio: s.SecondCalls.Ratio, BudgetReserve: s.SecondCalls.Reserve},
+			CallerAddress: routes.Listen, GossipAddress: routes.Gossip, ForwardAddress: routes.Relay, Seeds: routes.Seeds,
+			SourceIP: s.Settings.Listen.IP(), Dialect: httpc.DefaultDialect,
+			Self:   router.HostInfo{Host: s.Settings.Host.Name, Domain: s.Settings.Host.Domain, Address: routes.Relay},
+			Policy: router.Policy{BudgetRatio: routes.SecondCalls.Ratio, BudgetReserve: routes.SecondCalls.Reserve},
 		},
-		Log: r.Log, Meter: r.Meter, Clock: clock.Wall{}, Middleware: r.traced,
+		Log: s.Log, Meter: s.Meter, Clock: clock.Wall{}, Middleware: s.withSpan,
 	}
-	return r.tier.Start()
+	return s.proxy.Start()
 }
 
-// headerTrace names a request's place in its trace (W3C trace context).
-const headerTrace = "traceparent"
+// headerTraceParent carries the parent span of a request (W3C trace context).
+const headerTraceParent = "traceparent"
 
-// traced gives each request a span below its sender's, which other hosts and
-// leafs are told in turn.
-func (r *Routed) traced(next http.Handler) http.Handler {
+// withSpan gives each request a span below the span of its sender, and makes it the
+// parent span that is sent on to other hosts and leaves.
+func (s *Server) withSpan(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		span := r.Tracer.Start(q.Header.Get(headerTrace), "routed",
+		span := s.Tracer.Start(q.Header.Get(headerTraceParent), "routed",
 			attribute.String("request", q.Header.Get(httpc.DefaultDialect.RequestID)), attribute.String("path", q.URL.Path))
 		defer span.End()
 		if parent := span.Parent(); parent != "" {
-			q.Header.Set(headerTrace, parent)
+			q.Header.Set(headerTraceParent, parent)
 		}
 		next.ServeHTTP(w, q)
 	})
 }
 
-// Configure puts a configuration in force.
-func (r *Routed) Configure(cfg *topo.Config) {
-	if r.on() {
-		r.tier.SetFacts(facts(cfg))
+// Configure applies a configuration.
+func (s *Server) Configure(cfg *topo.Config) {
+	if s.enabled() {
+		s.proxy.SetFacts(newFacts(cfg))
 	}
 }
 
-// Addr is the address that callers connect to; empty where none is served.
-func (r *Routed) Addr() string {
-	if !r.on() {
+// Addr returns the address that callers connect to; empty if routes are disabled.
+func (s *Server) Addr() string {
+	if !s.enabled() {
 		return ""
 	}
-	return r.tier.Addr()
+	return s.proxy.Addr()
 }
 
-// Ready tells whether callers should come here.
-func (r *Routed) Ready() bool { return !r.on() || r.tier.Ready() }
+// Ready reports whether requests can be served; it is true if routes are disabled.
+func (s *Server) Ready() bool { return !s.enabled() || s.proxy.Ready() }
 
-// Leave ends the work in order.
-func (r *Routed) Leave() {
-	if r.on() {
-		r.tier.Leave()
+// Leave drains the requests in flight.
+func (s *Server) Leave() {
+	if s.enabled() {
+		s.proxy.Leave()
 	}
 }
 
-// Close ends everything and waits.
-func (r *Routed) Close() error {
-	if !r.on() {
+// Close stops the server and waits.
+func (s *Server) Close() error {
+	if !s.enabled() {
 		return nil
 	}
-	return r.tier.Close()
+	return s.proxy.Close()
 }
 
-// facts is a configuration as the tier goes by it. A backend server is one leaf
-// there: an opaque request names none of the server's own.
-func facts(cfg *topo.Config) router.Facts {
+// newFacts translates a configuration into the router's facts. Each backend server
+// becomes one leaf: an opaque request does not name the leaves on the server.
+func newFacts(cfg *topo.Config) router.Facts {
 	f := router.Facts{
 		Table:      cfg.RouteTable(),
 		DomainsOut: make(map[string]bool, len(cfg.Rules.DomainsOut)),
@@ -116,26 +115,26 @@
 	for _, d := range cfg.Rules.DomainsOut {
 		f.DomainsOut[d] = true
 	}
-	carry := cfg.ServerLimits()
+	limits := cfg.ServerLimits()
 	for _, s := range cfg.Inventory.Servers {
-		rule := carry[s.Name]
+		limit := limits[s.Name]
 		f.Leaves = append(f.Leaves, roster.Leaf{
 			ID: s.Name, Service: s.Service, Address: s.Address, Domain: s.Domain,
-			Slots: slots(s, rule.Slots), Draining: rule.Out,
+			Slots: slotsOf(s, limit.Slots), Draining: limit.Out,
 		})
 	}
 	return f
 }
 
-// slots is how many requests a server works on at once, with each of its leafs
-// held to the operators' cap; 0 caps nothing.
-func slots(s topo.Server, most int) int {
-	if most == 0 {
+// slotsOf returns how many requests a server handles concurrently, with each of its
+// leaves capped at limit; a limit of 0 sets no cap.
+func slotsOf(s topo.Server, limit int) int {
+	if limit == 0 {
 		return s.Slots()
 	}
 	n := 0
 	for _, l := range s.Leaves {
-		n += min(l.Slots, most)
+		n += min(l.Slots, limit)
 	}
 	return n
 }
--- a/entry/routed/routed_test.go
+++ b/entry/routed/routed_test.go
@@ -41,24 +41,24 @@
 	t.Parallel()
 	cfg, err := topo.Parse(4, []topo.Part{{Name: "a.yaml", Body: []byte(inventory)}})
 	assert.NilError(t, err)
-	f := facts(cfg)
+	f := newFacts(cfg)
 	assert.Equal(t, f.Table.Version, uint64(4))
 	assert.Equal(t, f.Regions["b"], "south")
 	assert.Assert(t, f.DomainsOut["b"] && !f.DomainsOut["a"])
 	assert.Equal(t, f.Leaves[0].ID, "s-0")
-	assert.Equal(t, f.Leaves[0].Slots, 3+2, "each leaf is held to the cap")
+	assert.Equal(t, f.Leaves[0].Slots, 3+2, "the cap applies to each leaf")
 	assert.Assert(t, !f.Leaves[0].Draining && f.Leaves[1].Draining)
-	// Connections are those of the service's smallest server.
+	// The service has the connections of its smallest server.
 	assert.Equal(t, f.Table.Services["search"].Connections, 8)
 }
 
-// A caller's trace goes on through the entry to the backend server: with the
-// caller's trace id and the entry's own span as the parent.
+// The backend server gets the caller's trace ID with the entry's own span as the
+// parent.
 func TestTraceGoesOnToTheServer(t *testing.T) {
 	t.Parallel()
 	got := make(chan string, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		got <- q.Header.Get(headerTrace)
+		got <- q.Header.Get(headerTraceParent)
 		w.Header().Set(httpc.DefaultDialect.RequestID, q.Header.Get(httpc.DefaultDialect.RequestID))
 		w.Header().Set(httpc.DefaultDialect.Stamp, "s")
 	}))
@@ -66,7 +66,7 @@
 	file := filepath.Join(t.TempDir(), "spans.json")
 	tracer, err := spans.New(file, "entry", "h", 1)
 	assert.NilError(t, err)
-	r := Routed{Tracer: tracer, Log: zerolog.Nop(), Settings: node.Settings{
+	r := Server{Tracer: tracer, Log: zerolog.Nop(), Settings: node.Settings{
 		Host:   node.HostSettings{Name: "h", Domain: "a"},
 		Listen: node.ListenSettings{Links: "127.0.0.1:1"},
 		Routes: node.RoutesSettings{Listen: "127.0.0.1:0"},
@@ -87,14 +87,14 @@
 	assert.NilError(t, err)
 	q.Host = "h"
 	q.Header.Set(httpc.DefaultDialect.RequestID, "q1")
-	q.Header.Set(headerTrace, caller)
+	q.Header.Set(headerTraceParent, caller)
 	res, err := http.DefaultClient.Do(q)
 	assert.NilError(t, err)
 	assert.NilError(t, res.Body.Close())
 	assert.Equal(t, res.StatusCode, http.StatusOK)
 	parent := <-got
-	assert.Equal(t, parent[:35], caller[:35], "another trace")
-	assert.Assert(t, parent != caller, "the entry's own span is left out")
+	assert.Equal(t, parent[:35], caller[:35], "the trace ID differs")
+	assert.Assert(t, parent != caller, "the parent is not the entry's span")
 	assert.NilError(t, r.Close())
 	assert.NilError(t, tracer.Close())
 	written, err := os.ReadFile(file)
@@ -104,7 +104,7 @@
 
 func TestNothingIsServedWithoutAnAddress(t *testing.T) {
 	t.Parallel()
-	var r Routed
+	var r Server
 	assert.NilError(t, r.Start())
 	r.Configure(&topo.Config{})
 	assert.Assert(t, r.Ready())
