--- a/stile/cmds/effect.go
+++ b/stile/cmds/capacity.go
@@ -8,20 +8,20 @@
 	"dandelionstile/share/topo"
 )
 
-// reach is what a configuration leaves in service.
-type reach struct {
-	leafs    map[string]leafReach
-	services map[string]*serviceReach
+// capacity is the capacity that a configuration leaves in service.
+type capacity struct {
+	leaves   map[string]leafCapacity
+	services map[string]*serviceCapacity
 }
 
-type leafReach struct {
-	server string
-	domain string
-	out    string // why it gets no work, or ""
-	slots  int
+type leafCapacity struct {
+	server    string
+	domain    string
+	outReason string // why the leaf is out of service, or ""
+	slots     int
 }
 
-type serviceReach struct {
+type serviceCapacity struct {
 	slots  int
 	shards map[shardID]int // leafs in service by shard
 }
@@ -31,63 +31,62 @@
 	shard  int
 }
 
-// reachOf works out which leafs are in service, and what that leaves of each
-// shard.
-func reachOf(c *topo.Config) reach {
-	r := reach{leafs: map[string]leafReach{}, services: map[string]*serviceReach{}}
+// capacityOf computes which leaves are in service and how many serve each shard.
+func capacityOf(c *topo.Config) capacity {
+	result := capacity{leaves: map[string]leafCapacity{}, services: map[string]*serviceCapacity{}}
 	for _, v := range c.Inventory.Services {
-		s := &serviceReach{shards: map[shardID]int{}}
+		s := &serviceCapacity{shards: map[shardID]int{}}
 		for _, l := range v.Layouts {
 			for i := range l.Shards {
 				s.shards[shardID{l.ID, i}] = 0
 			}
 		}
-		r.services[v.Name] = s
+		result.services[v.Name] = s
 	}
-	carry := c.ServerLimits()
+	limits := c.ServerLimits()
 	for _, s := range c.Inventory.Servers {
 		for _, l := range s.Leaves {
-			f := leafReach{server: s.Name, domain: s.Domain, slots: l.Slots}
-			rule := carry[s.Name]
+			f := leafCapacity{server: s.Name, domain: s.Domain, slots: l.Slots}
+			limit := limits[s.Name]
 			switch {
 			case c.DomainOut(s.Domain):
-				f.out = "failure domain " + s.Domain + " is out"
-			case rule.Out:
-				f.out = "server " + s.Name + " is out"
-			case rule.Slots > 0:
-				f.slots = min(f.slots, rule.Slots)
+				f.outReason = "failure domain " + s.Domain + " is out"
+			case limit.Out:
+				f.outReason = "server " + s.Name + " is out"
+			case limit.Slots > 0:
+				f.slots = min(f.slots, limit.Slots)
 			}
-			r.leafs[l.Name] = f
-			if f.out != "" {
+			result.leaves[l.Name] = f
+			if f.outReason != "" {
 				continue
 			}
-			v := r.services[s.Service]
+			v := result.services[s.Service]
 			v.slots += f.slots
 			for _, h := range l.Holds {
 				v.shards[shardID{h.Layout, h.Shard}]++
 			}
 		}
 	}
-	return r
+	return result
 }
 
-// dangers lists what in a configuration is valid but risky.
+// dangers lists the valid but risky parts of a configuration.
 func dangers(c *topo.Config) []string {
 	var list []string
-	r := reachOf(c)
-	for _, name := range sortedNames(r.services) {
-		v := r.services[name]
-		gone, single := 0, 0
+	inService := capacityOf(c)
+	for _, name := range sortedNames(inService.services) {
+		v := inService.services[name]
+		missing, single := 0, 0
 		for _, n := range v.shards {
 			switch n {
 			case 0:
-				gone++
+				missing++
 			case 1:
 				single++
 			}
 		}
-		if gone > 0 {
-			list = append(list, fmt.Sprintf("service %s: %d of %d shards have no leaf in service: answers will lack them", name, gone, len(v.shards)))
+		if missing > 0 {
+			list = append(list, fmt.Sprintf("service %s: %d of %d shards have no leaf in service: answers will lack them", name, missing, len(v.shards)))
 		}
 		if single > 0 {
 			list = append(list, fmt.Sprintf("service %s: %d of %d shards have one leaf in service: its loss costs coverage", name, single, len(v.shards)))
@@ -103,27 +102,27 @@
 	return append(list, routeDangers(c)...)
 }
 
-// routeDangers lists what is valid about the routes and serves no caller, or
-// not as the operators may think.
+// routeDangers lists valid settings of routes that make requests fail or behave in
+// ways that operators may not expect.
 func routeDangers(c *topo.Config) []string {
 	var list []string
-	in := serversIn(c)
+	servers := countServers(c)
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		gone := 0
+		missing := 0
 		for _, s := range r.Shards {
-			if in.count(r, s) == 0 {
-				gone++
+			if servers.count(r, s) == 0 {
+				missing++
 			}
 		}
-		if gone > 0 {
-			list = append(list, fmt.Sprintf("route %s: %d of %d shards have no backend server in service where the route may be served", r.Name, gone, len(r.Shards)))
+		if missing > 0 {
+			list = append(list, fmt.Sprintf("route %s: %d of %d shards have no backend server in service where the route may be served", r.Name, missing, len(r.Shards)))
 		}
-		if len(r.Shards)-gone < r.MinShards() && r.Sharded() {
+		if len(r.Shards)-missing < r.MinShards() && r.Sharded() {
 			list = append(list, fmt.Sprintf("route %s: fewer than %d shards can answer: each request will be refused", r.Name, r.MinShards()))
 		}
 		for _, w := range r.Services {
-			if w.Weight > 0 && in.count(r, w.Service) == 0 {
+			if w.Weight > 0 && servers.count(r, w.Service) == 0 {
 				list = append(list, fmt.Sprintf("route %s: service %s has no backend server in service where the route may be served", r.Name, w.Service))
 			}
 		}
@@ -134,36 +133,36 @@
 	return list
 }
 
-// serviceIn is a service in a region.
-type serviceIn struct{ service, region string }
+// serviceRegion is a service in one region.
+type serviceRegion struct{ service, region string }
 
-// serverCounts counts the backend servers in service.
-type serverCounts map[serviceIn]int
+// serverCounts counts the backend servers in service by service and region.
+type serverCounts map[serviceRegion]int
 
-func serversIn(c *topo.Config) serverCounts {
+func countServers(c *topo.Config) serverCounts {
 	regions := make(map[string]string, len(c.Inventory.Domains))
 	for _, d := range c.Inventory.Domains {
 		regions[d.Name] = d.Region
 	}
-	carry := c.ServerLimits()
-	n := serverCounts{}
+	limits := c.ServerLimits()
+	counts := serverCounts{}
 	for _, s := range c.Inventory.Servers {
-		if !c.DomainOut(s.Domain) && !carry[s.Name].Out {
-			n[serviceIn{s.Service, regions[s.Domain]}]++
+		if !c.DomainOut(s.Domain) && !limits[s.Name].Out {
+			counts[serviceRegion{s.Service, regions[s.Domain]}]++
 		}
 	}
-	return n
+	return counts
 }
 
-// count is how many servers of a service a route's requests may go to.
+// count returns how many servers of a service may receive a route's requests.
 func (n serverCounts) count(r *route.Route, service string) int {
-	sum := 0
-	for in, servers := range n {
-		if in.service == service && r.Allows(in.region) {
-			sum += servers
+	total := 0
+	for key, servers := range n {
+		if key.service == service && r.Allows(key.region) {
+			total += servers
 		}
 	}
-	return sum
+	return total
 }
 
 func sortedNames[T any](m map[string]T) []string {
--- a/stile/cmds/check.go
+++ b/stile/cmds/check.go
@@ -9,14 +9,14 @@
 
 func init() { register(func() command { return &check{} }, "check", "validate") }
 
-// check reads an inventory and rules and lists every fault and danger.
+// check validates an inventory with its rules and lists all faults and dangers.
 type check struct {
-	output
+	outputFlags
 	Manifest uint64   `arg:"--manifest" placeholder:"VERSION" help:"print the manifest to publish as this version"`
 	Files    []string `arg:"positional,required" placeholder:"FILE" help:"files, or directories of YAML files"`
 }
 
-type shownFault struct {
+type faultResult struct {
 	File    string `json:"file"`
 	Line    int    `json:"line"`
 	Key     string `json:"key"`
@@ -24,20 +24,20 @@
 	Hint    string `json:"hint"`
 }
 
-type shownCheck struct {
-	Valid    bool         `json:"valid"`
-	Faults   []shownFault `json:"faults"`
-	Dangers  []string     `json:"dangers"`
-	Services int          `json:"services"`
-	Servers  int          `json:"servers"`
-	Leafs    int          `json:"leafs"`
-	Routes   int          `json:"routes"`
+type checkResult struct {
+	Valid    bool          `json:"valid"`
+	Faults   []faultResult `json:"faults"`
+	Dangers  []string      `json:"dangers"`
+	Services int           `json:"services"`
+	Servers  int           `json:"servers"`
+	Leaves   int           `json:"leafs"`
+	Routes   int           `json:"routes"`
 }
 
 // Help describes the command.
 func (*check) Help() string { return "check an inventory and rules; list every fault and danger" }
 
-// Run prints what was found.
+// Run prints the faults, the dangers or the manifest.
 func (c *check) Run(out *printer) error {
 	parts, err := readParts(c.Files)
 	if err != nil {
@@ -49,33 +49,33 @@
 		return err
 	}
 	if err != nil {
-		return c.faulty(out, faults)
+		return c.printFaults(out, faults)
 	}
 	if c.Manifest > 0 {
 		for i := range parts {
-			parts[i] = base(parts[i])
+			parts[i] = withBaseName(parts[i])
 		}
 		out.line("%s", topo.NewManifest(c.Manifest, parts).Encode())
 		return nil
 	}
-	s := shownCheck{Valid: true, Faults: []shownFault{}, Dangers: dangers(cfg)}
+	s := checkResult{Valid: true, Faults: []faultResult{}, Dangers: dangers(cfg)}
 	s.Services, s.Servers, s.Routes = len(cfg.Inventory.Services), len(cfg.Inventory.Servers), len(cfg.Routes)
 	for _, v := range cfg.Inventory.Servers {
-		s.Leafs += len(v.Leaves)
+		s.Leaves += len(v.Leaves)
 	}
 	for _, d := range s.Dangers {
-		out.line("%s %s", out.paint(yellow, "danger:"), d)
+		out.line("%s %s", out.colorize(yellow, "danger:"), d)
 	}
 	out.line("%s %d services, %d backend servers, %d leafs, %d routes",
-		out.paint(green, "valid:"), s.Services, s.Servers, s.Leafs, s.Routes)
+		out.colorize(green, "valid:"), s.Services, s.Servers, s.Leaves, s.Routes)
 	return out.value(s)
 }
 
-func (*check) faulty(out *printer, faults conf.Faults) error {
-	s := shownCheck{Faults: []shownFault{}, Dangers: []string{}}
+func (*check) printFaults(out *printer, faults conf.Faults) error {
+	s := checkResult{Faults: []faultResult{}, Dangers: []string{}}
 	for _, f := range faults {
-		out.line("%s %s", out.paint(red, "fault:"), f)
-		s.Faults = append(s.Faults, shownFault(f))
+		out.line("%s %s", out.colorize(red, "fault:"), f)
+		s.Faults = append(s.Faults, faultResult(f))
 	}
 	if err := out.value(s); err != nil {
 		return err
--- a/stile/cmds/cmds.go
+++ b/stile/cmds/cmds.go
@@ -1,5 +1,5 @@
-// Package cmds holds stile's commands, one file each. A command is a struct with
-// argument tags that registers itself with its names.
+// Package cmds implements stile's commands, one file each. A command is a struct with
+// argument tags that registers itself under its names.
 package cmds
 
 import (
@@ -19,53 +19,53 @@
 
 // Exit codes, the same for all commands.
 const (
-	// ExitOK: all is well.
+	// ExitOK means that no fault was found.
 	ExitOK = 0
-	// ExitFault: what was looked at is faulty, or incomplete.
+	// ExitFault means that the input is faulty or an answer is incomplete.
 	ExitFault = 1
-	// ExitUsage: the command line is wrong.
+	// ExitUsage means that the command line is wrong.
 	ExitUsage = 2
-	// ExitUnreachable: nobody answered.
+	// ExitUnreachable means that no program answered.
 	ExitUnreachable = 3
 )
 
 // Errors that commands return.
 var (
-	// ErrFaulty: what was looked at is faulty or incomplete; it has been
+	// ErrFaulty reports faulty or incomplete input after the faults have been
 	// printed.
 	ErrFaulty = errors.New("faults were found")
-	// ErrUnreachable: no program answered.
+	// ErrUnreachable reports that no program answered.
 	ErrUnreachable = errors.New("no answer")
 )
 
-// command is one command.
+// command is implemented by all commands.
 type command interface {
-	// Help is one line for the list of commands.
+	// Help returns one line for the list of commands.
 	Help() string
-	// Run does the work and prints to out.
+	// Run executes the command and prints the result to out.
 	Run(out *printer) error
 }
 
-// entry is a registered command.
-type entry struct {
-	names []string
-	make  func() command
+// registration is a registered command.
+type registration struct {
+	names  []string
+	create func() command
 }
 
-var entries []entry
+var registry []registration
 
 // register adds a command under its name and aliases.
 func register(c func() command, names ...string) {
-	entries = append(entries, entry{names: names, make: c})
+	registry = append(registry, registration{names: names, create: c})
 }
 
-// output holds the flags that all commands have.
-type output struct {
+// outputFlags holds the flags that all commands share.
+type outputFlags struct {
 	Output string `arg:"--output,-o" default:"text" placeholder:"FORM" help:"text or json"`
 	Color  string `arg:"--color" default:"auto" placeholder:"WHEN" help:"auto, always or never"`
 }
 
-func (o *output) options() *output { return o }
+func (o *outputFlags) options() *outputFlags { return o }
 
 // printer writes a command's result as text or JSON.
 type printer struct {
@@ -77,11 +77,11 @@
 // line prints a line of text; with JSON output it prints nothing.
 func (p *printer) line(format string, args ...any) {
 	if !p.json {
-		_, _ = fmt.Fprintf(p.out, format+"\n", args...) // a reader that is gone ends nothing
+		_, _ = fmt.Fprintf(p.out, format+"\n", args...) // a closed output is no error
 	}
 }
 
-// value prints the whole result as JSON when that is asked for.
+// value prints the whole result with JSON output; with text output it prints nothing.
 func (p *printer) value(v any) error {
 	if !p.json {
 		return nil
@@ -91,15 +91,15 @@
 	return errors.Wrap(e.Encode(v), "encode result")
 }
 
-// Colours of a terminal.
+// Colors of the terminal (ANSI codes).
 const (
 	red    = "31"
 	yellow = "33"
 	green  = "32"
 )
 
-// paint colours a word when the output is a terminal.
-func (p *printer) paint(color, text string) string {
+// colorize wraps a text in escape codes if color is enabled.
+func (p *printer) colorize(color, text string) string {
 	if !p.color {
 		return text
 	}
@@ -115,42 +115,42 @@
 		}
 		return ExitUsage
 	}
-	c := find(args[0])
+	c := newCommand(args[0])
 	if c == nil {
-		say(errOut, "stile: no command %q; see stile help\n", args[0])
+		writef(errOut, "stile: no command %q; see stile help\n", args[0])
 		return ExitUsage
 	}
 	p, err := arg.NewParser(arg.Config{Program: "stile " + args[0]}, c)
 	if err != nil {
-		say(errOut, "stile: %v\n", err)
+		writef(errOut, "stile: %v\n", err)
 		return ExitUsage
 	}
 	if err := p.Parse(args[1:]); err != nil {
-		return parseEnd(p, err, out, errOut)
+		return reportParseError(p, err, out, errOut)
 	}
 	pr, err := newPrinter(c, out)
 	if err != nil {
-		say(errOut, "stile %s: %v\n", args[0], err)
+		writef(errOut, "stile %s: %v\n", args[0], err)
 		return ExitUsage
 	}
-	return code(args[0], c.Run(pr), errOut)
+	return exitCode(args[0], c.Run(pr), errOut)
 }
 
-func say(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
+func writef(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 
-func parseEnd(p *arg.Parser, err error, out, errOut io.Writer) int {
+func reportParseError(p *arg.Parser, err error, out, errOut io.Writer) int {
 	if errors.Is(err, arg.ErrHelp) {
 		p.WriteHelp(out)
 		return ExitOK
 	}
-	say(errOut, "stile: %v\n", err)
+	writef(errOut, "stile: %v\n", err)
 	p.WriteUsage(errOut)
 	return ExitUsage
 }
 
 func newPrinter(c command, out io.Writer) (*printer, error) {
 	p := &printer{out: out}
-	o, ok := c.(interface{ options() *output })
+	o, ok := c.(interface{ options() *outputFlags })
 	if !ok {
 		return p, nil
 	}
@@ -180,29 +180,29 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// code turns an error into an exit code and a message.
-func code(name string, err error, errOut io.Writer) int {
+// exitCode prints an error and maps it to an exit code.
+func exitCode(name string, err error, errOut io.Writer) int {
 	switch {
 	case err == nil:
 		return ExitOK
 	case errors.Is(err, ErrFaulty):
 		return ExitFault
 	case errors.Is(err, conf.ErrInvalid):
-		say(errOut, "%v\n", err)
+		writef(errOut, "%v\n", err)
 		return ExitFault
 	case errors.Is(err, ErrUnreachable):
-		say(errOut, "stile %s: %v\n", name, err)
+		writef(errOut, "stile %s: %v\n", name, err)
 		return ExitUnreachable
 	}
-	say(errOut, "stile %s: %v\n", name, err)
+	writef(errOut, "stile %s: %v\n", name, err)
 	return ExitFault
 }
 
-func find(name string) command {
-	for _, e := range entries {
+func newCommand(name string) command {
+	for _, e := range registry {
 		for _, n := range e.names {
 			if n == name {
-				return e.make()
+				return e.create()
 			}
 		}
 	}
@@ -210,10 +210,10 @@
 }
 
 func usage(out io.Writer) {
-	sort.Slice(entries, func(i, j int) bool { return entries[i].names[0] < entries[j].names[0] })
-	say(out, "%s\nusage: stile COMMAND [ARGUMENTS]; stile COMMAND --help tells more\n", daemon.VersionText("stile"))
-	for _, e := range entries {
-		say(out, "  %-11s %s\n", e.names[0], e.make().Help())
+	sort.Slice(registry, func(i, j int) bool { return registry[i].names[0] < registry[j].names[0] })
+	writef(out, "%s\nusage: stile COMMAND [ARGUMENTS]; stile COMMAND --help tells more\n", daemon.VersionText("stile"))
+	for _, e := range registry {
+		writef(out, "  %-11s %s\n", e.names[0], e.create().Help())
 	}
-	say(out, "exit codes: 0 well, 1 faults found, 2 wrong usage, 3 nobody answered\n")
+	writef(out, "exit codes: 0 well, 1 faults found, 2 wrong usage, 3 nobody answered\n")
 }
--- a/stile/cmds/cmds_test.go
+++ b/stile/cmds/cmds_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// changed is a copy of the kumomaru sample with other contents in some files.
-func changed(t *testing.T, contents map[string]string) string {
+// modifiedSample copies the kumomaru sample with some files replaced.
+func modifiedSample(t *testing.T, contents map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
 	files, err := filepath.Glob(filepath.Join(sample("kumomaru"), "*.yaml"))
@@ -45,10 +45,10 @@
 	return dir
 }
 
-// An operator's change takes the last replica of a shard out; it is published
-// because nothing warned of it.
+// A change that takes the last replica of a shard out of service must not be reported
+// as safe; otherwise operators publish it unaware.
 func TestDiffWarnsOfLostCoverage(t *testing.T) {
-	dir := changed(t, map[string]string{"rules.yaml": "out-of-service: [sapporo, sendai]\n"})
+	dir := modifiedSample(t, map[string]string{"rules.yaml": "out-of-service: [sapporo, sendai]\n"})
 	code, out, _ := stile("diff", sample("kumomaru"), dir)
 	assert.Equal(t, code, ExitFault)
 	assert.Assert(t, strings.Contains(out, "coverage is lost"), out)
@@ -58,10 +58,10 @@
 	assert.Assert(t, strings.Contains(out, "safe:"), out)
 }
 
-// An operator publishes a route whose service has no server left where it may be
-// served, or drops one that is in use; both are valid, and must be said first.
+// A route may be valid although its service has no server left where it may be served,
+// and a route in use may be dropped. Both must be reported before they are published.
 func TestDangersAndChangesOfRoutesAreSaid(t *testing.T) {
-	dir := changed(t, map[string]string{
+	dir := modifiedSample(t, map[string]string{
 		"rules.yaml": "out-of-service: [osaka]\n",
 		"routes.yaml": `routes:
   - {name: find, host: closet.example, prefix: /find/, idempotent: true, target-ms: 3000, shards: [returns-desk, warehouse-picking]}
--- a/stile/cmds/coverage.go
+++ b/stile/cmds/coverage.go
@@ -8,10 +8,10 @@
 
 func init() { register(func() command { return &coverage{} }, "coverage", "cov") }
 
-// coverage shows what each entry could answer now.
-type coverage struct{ asking }
+// coverage shows which shards each entry can reach.
+type coverage struct{ adminFlags }
 
-type shownCoverage struct {
+type coverageResult struct {
 	Host     string          `json:"host"`
 	Services []admin.Service `json:"services"`
 }
@@ -21,19 +21,19 @@
 	return "show, for each entry and service, which shards it could answer now"
 }
 
-// Run prints it; a missing shard is a fault.
+// Run prints the coverage; a missing shard is a fault.
 func (c *coverage) Run(out *printer) error {
-	all, err := c.status()
+	programs, err := c.fetchStatuses()
 	if err != nil {
 		return err
 	}
 	missing := false
-	shown := []shownCoverage{}
-	for _, p := range all {
+	shown := []coverageResult{}
+	for _, p := range programs {
 		if p.Node.Program != "entry" {
 			continue
 		}
-		shown = append(shown, shownCoverage{Host: p.Node.Host, Services: p.Services})
+		shown = append(shown, coverageResult{Host: p.Node.Host, Services: p.Services})
 		for _, v := range p.Services {
 			missing = missing || len(v.Missing) > 0
 			color := green
@@ -41,7 +41,7 @@
 				color = red
 			}
 			out.line("%-10s %-24s snapshot %-8s %s%s", p.Node.Host, v.Service, v.Snapshot,
-				out.paint(color, strconv.Itoa(v.Answered)+"/"+strconv.Itoa(v.Shards)), reasons(v.Missing))
+				out.colorize(color, strconv.Itoa(v.Answered)+"/"+strconv.Itoa(v.Shards)), reasons(v.Missing))
 		}
 	}
 	if err := out.value(shown); err != nil {
--- a/stile/cmds/diff.go
+++ b/stile/cmds/diff.go
@@ -12,14 +12,14 @@
 
 func init() { register(func() command { return &diff{} }, "diff") }
 
-// diff tells what a change of configuration would do before it is published.
+// diff shows the effects of a configuration change before it is published.
 type diff struct {
-	output
+	outputFlags
 	Before string `arg:"positional,required" help:"file or directory that is in force"`
 	After  string `arg:"positional,required" help:"file or directory to publish"`
 }
 
-type shownService struct {
+type serviceChange struct {
 	Service      string `json:"service"`
 	SlotsBefore  int    `json:"slots-before"`
 	SlotsAfter   int    `json:"slots-after"`
@@ -27,22 +27,22 @@
 	ShardsSingle int    `json:"shards-left-with-one-leaf"`
 }
 
-type shownMove struct {
+type leafChange struct {
 	Leaf   string `json:"leaf"`
 	Server string `json:"server"`
 	Change string `json:"change"`
 }
 
-type shownRoute struct {
+type routeChange struct {
 	Route  string `json:"route"`
 	Change string `json:"change"`
 }
 
-type shownDiff struct {
-	Leafs    []shownMove    `json:"leafs"`
-	Services []shownService `json:"services"`
-	Routes   []shownRoute   `json:"routes"`
-	Safe     bool           `json:"safe"`
+type diffResult struct {
+	Leaves   []leafChange    `json:"leafs"`
+	Services []serviceChange `json:"services"`
+	Routes   []routeChange   `json:"routes"`
+	Safe     bool            `json:"safe"`
 }
 
 // Help describes the command.
@@ -50,17 +50,17 @@
 
 // Run prints the difference; losing coverage is a fault.
 func (c *diff) Run(out *printer) error {
-	before, err := load([]string{c.Before})
+	before, err := loadConfig([]string{c.Before})
 	if err != nil {
 		return errors.Wrap(err, c.Before)
 	}
-	after, err := load([]string{c.After})
+	after, err := loadConfig([]string{c.After})
 	if err != nil {
 		return errors.Wrap(err, c.After)
 	}
-	s := compare(reachOf(before), reachOf(after))
+	s := compare(capacityOf(before), capacityOf(after))
 	s.Routes = compareRoutes(before.Routes, after.Routes)
-	for _, m := range s.Leafs {
+	for _, m := range s.Leaves {
 		out.line("leaf %-28s %s", m.Leaf, m.Change)
 	}
 	for _, v := range s.Services {
@@ -71,9 +71,9 @@
 		out.line("route %-27s %s", r.Route, r.Change)
 	}
 	if s.Safe {
-		out.line("%s no shard loses its last leaf", out.paint(green, "safe:"))
+		out.line("%s no shard loses its last leaf", out.colorize(green, "safe:"))
 	} else {
-		out.line("%s answers will lack shards", out.paint(red, "coverage is lost:"))
+		out.line("%s answers will lack shards", out.colorize(red, "coverage is lost:"))
 	}
 	if err := out.value(s); err != nil {
 		return err
@@ -84,25 +84,25 @@
 	return nil
 }
 
-func compare(before, after reach) shownDiff {
-	d := shownDiff{Leafs: []shownMove{}, Services: []shownService{}, Safe: true}
-	for _, name := range sortedNames(before.leafs) {
-		old := before.leafs[name]
-		now, kept := after.leafs[name]
+func compare(before, after capacity) diffResult {
+	d := diffResult{Leaves: []leafChange{}, Services: []serviceChange{}, Safe: true}
+	for _, name := range sortedNames(before.leaves) {
+		previous := before.leaves[name]
+		current, kept := after.leaves[name]
 		switch {
 		case !kept:
-			d.Leafs = append(d.Leafs, shownMove{name, old.server, "is no longer in the inventory"})
-		case old.out == "" && now.out != "":
-			d.Leafs = append(d.Leafs, shownMove{name, old.server, "loses its work: " + now.out})
-		case old.out != "" && now.out == "":
-			d.Leafs = append(d.Leafs, shownMove{name, old.server, "gets work again, warmed up"})
-		case old.slots != now.slots:
-			d.Leafs = append(d.Leafs, shownMove{name, old.server, "changes its slots"})
+			d.Leaves = append(d.Leaves, leafChange{name, previous.server, "is no longer in the inventory"})
+		case previous.outReason == "" && current.outReason != "":
+			d.Leaves = append(d.Leaves, leafChange{name, previous.server, "loses its work: " + current.outReason})
+		case previous.outReason != "" && current.outReason == "":
+			d.Leaves = append(d.Leaves, leafChange{name, previous.server, "gets work again, warmed up"})
+		case previous.slots != current.slots:
+			d.Leaves = append(d.Leaves, leafChange{name, previous.server, "changes its slots"})
 		}
 	}
-	for _, name := range sortedNames(after.leafs) {
-		if _, known := before.leafs[name]; !known {
-			d.Leafs = append(d.Leafs, shownMove{name, after.leafs[name].server, "is new"})
+	for _, name := range sortedNames(after.leaves) {
+		if _, known := before.leaves[name]; !known {
+			d.Leaves = append(d.Leaves, leafChange{name, after.leaves[name].server, "is new"})
 		}
 	}
 	for _, name := range sortedNames(after.services) {
@@ -112,40 +112,40 @@
 			d.Services = append(d.Services, v)
 		}
 	}
-	sort.Slice(d.Leafs, func(i, j int) bool { return d.Leafs[i].Leaf < d.Leafs[j].Leaf })
+	sort.Slice(d.Leaves, func(i, j int) bool { return d.Leaves[i].Leaf < d.Leaves[j].Leaf })
 	return d
 }
 
-// compareRoutes tells what becomes of each route, by name.
-func compareRoutes(before, after []route.Route) []shownRoute {
-	list := []shownRoute{}
-	former := make(map[string]*route.Route, len(before))
+// compareRoutes lists the changes of routes, sorted by name.
+func compareRoutes(before, after []route.Route) []routeChange {
+	list := []routeChange{}
+	previous := make(map[string]*route.Route, len(before))
 	for i := range before {
-		former[before[i].Name] = &before[i]
+		previous[before[i].Name] = &before[i]
 	}
 	kept := make(map[string]bool, len(after))
 	for i := range after {
 		r := &after[i]
 		kept[r.Name] = true
-		old := former[r.Name]
+		old := previous[r.Name]
 		if old == nil {
-			list = append(list, shownRoute{r.Name, "is new"})
+			list = append(list, routeChange{r.Name, "is new"})
 			continue
 		}
 		if fields := changedFields(old, r); len(fields) > 0 {
-			list = append(list, shownRoute{r.Name, "changes " + strings.Join(fields, ", ")})
+			list = append(list, routeChange{r.Name, "changes " + strings.Join(fields, ", ")})
 		}
 	}
-	for name := range former {
+	for name := range previous {
 		if !kept[name] {
-			list = append(list, shownRoute{name, "is dropped: its requests will get 404"})
+			list = append(list, routeChange{name, "is dropped: its requests will get 404"})
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Route < list[j].Route })
 	return list
 }
 
-// changedFields names what differs between two versions of a route.
+// changedFields names the properties that differ between two versions of a route.
 func changedFields(a, b *route.Route) []string {
 	var list []string
 	add := func(same bool, name string) {
@@ -165,10 +165,10 @@
 	return list
 }
 
-func compareService(name string, before, after *serviceReach) shownService {
-	v := shownService{Service: name, SlotsAfter: after.slots}
+func compareService(name string, before, after *serviceCapacity) serviceChange {
+	v := serviceChange{Service: name, SlotsAfter: after.slots}
 	if before == nil {
-		before = &serviceReach{}
+		before = &serviceCapacity{}
 	}
 	v.SlotsBefore = before.slots
 	for id, n := range after.shards {
--- a/stile/cmds/explain.go
+++ b/stile/cmds/explain.go
@@ -12,9 +12,9 @@
 
 func init() { register(func() command { return &explain{} }, "explain") }
 
-// explain tells why a query went where.
+// explain shows the decisions about one query.
 type explain struct {
-	output
+	outputFlags
 	Admin   []string      `arg:"--admin,-a,separate" placeholder:"IP:PORT" help:"admin address of an entry; may be given again"`
 	Timeout time.Duration `arg:"--timeout" default:"2s" help:"how long one program may take"`
 	Logs    []string      `arg:"--logs,-l,separate" placeholder:"FILE" help:"log of a host, - for standard input; may be given again"`
@@ -26,30 +26,30 @@
 	return "tell why a query went where, and what was retried, hedged or refused"
 }
 
-// ErrNowhere means that neither logs nor programs were named.
-var ErrNowhere = errors.New("give --logs or --admin")
+// ErrNoSource reports that neither logs nor programs were given.
+var ErrNoSource = errors.New("give --logs or --admin")
 
-// Run reads the logs, or asks the entries until one knows the query.
+// Run reads the logs, or queries the entries until one knows the query.
 func (c *explain) Run(out *printer) error {
 	if len(c.Logs) > 0 {
 		lines, err := readLogs(c.Logs)
 		if err != nil {
 			return err
 		}
-		return printStory(out, story(lines, c.ID), c.ID)
+		return printTimeline(out, relatedLines(lines, c.ID), c.ID)
 	}
 	if len(c.Admin) == 0 {
-		return ErrNowhere
+		return ErrNoSource
 	}
-	asking := asking{Timeout: c.Timeout}
+	flags := adminFlags{Timeout: c.Timeout}
 	engine := &fetch.Engine{}
 	if err := engine.Start(); err != nil {
 		return err
 	}
-	defer func() { _ = engine.Close() }() // only reads were made
+	defer func() { _ = engine.Close() }() // the engine only made reads
 	for _, addr := range c.Admin {
 		var q admin.Query
-		if err := asking.get(engine, addr, "/v1/explain/"+url.PathEscape(c.ID), &q); err == nil {
+		if err := flags.getJSON(engine, addr, "/v1/explain/"+url.PathEscape(c.ID), &q); err == nil {
 			return printQuery(out, q)
 		}
 	}
@@ -59,7 +59,7 @@
 func printQuery(out *printer, q admin.Query) error {
 	out.line("query %s, service %s, snapshot %s", q.ID, q.Service, q.Snapshot)
 	if q.Refused != "" {
-		out.line("%s %s", out.paint(red, "refused:"), q.Refused)
+		out.line("%s %s", out.colorize(red, "refused:"), q.Refused)
 	}
 	out.line("answered %d of %d shards in %d ms with %d leaf calls, %d of them extra%s",
 		q.Answered, q.Shards, q.Took, q.Calls, q.Extra, reasons(q.Missing))
--- a/stile/cmds/files.go
+++ b/stile/cmds/files.go
@@ -11,13 +11,13 @@
 	"dandelionstile/share/topo"
 )
 
-// readParts reads files, and the YAML files of directories, in order of name.
+// readParts reads files, and the YAML files of directories sorted by name.
 func readParts(paths []string) ([]topo.Part, error) {
 	var files []string
 	for _, p := range paths {
 		info, err := os.Stat(p)
 		if err != nil {
-			return nil, errors.Wrap(err, "look at file")
+			return nil, errors.Wrap(err, "stat file")
 		}
 		if !info.IsDir() {
 			files = append(files, p)
@@ -41,8 +41,8 @@
 	return parts, nil
 }
 
-// load reads and checks a configuration.
-func load(paths []string) (*topo.Config, error) {
+// loadConfig reads and validates a configuration.
+func loadConfig(paths []string) (*topo.Config, error) {
 	parts, err := readParts(paths)
 	if err != nil {
 		return nil, err
@@ -50,8 +50,8 @@
 	return topo.Parse(1, parts)
 }
 
-// base is the name that a part has in a manifest.
-func base(p topo.Part) topo.Part {
+// withBaseName returns the part under the name that it has in a manifest.
+func withBaseName(p topo.Part) topo.Part {
 	p.Name = strings.TrimPrefix(filepath.Base(p.Name), "/")
 	return p
 }
--- a/stile/cmds/keys_test.go
+++ b/stile/cmds/keys_test.go
@@ -25,19 +25,19 @@
 	}{
 		{
 			command: "check",
-			value:   shownCheck{},
+			value:   checkResult{},
 			keys: `dangers faults faults.file faults.hint faults.key faults.line faults.problem
 				leafs routes servers services valid`,
 		},
 		{
 			command: "coverage",
-			value:   shownCoverage{},
+			value:   coverageResult{},
 			keys: `host services services.missing services.missing.reason services.missing.shard
 				services.reachable services.service services.shards services.snapshot`,
 		},
 		{
 			command: "diff",
-			value:   shownDiff{},
+			value:   diffResult{},
 			keys: `leafs leafs.change leafs.leaf leafs.server routes routes.change routes.route safe
 				services services.service services.shards-left-with-one-leaf services.shards-lost
 				services.slots-after services.slots-before`,
@@ -58,7 +58,7 @@
 		},
 		{
 			command: "status",
-			value:   program{},
+			value:   programStatus{},
 			keys: `admin
 				leafs leafs.busy leafs.closed leafs.connections leafs.exclusive leafs.leaf
 				leafs.limit leafs.primary leafs.queued leafs.ramp-left-ms leafs.server
@@ -75,7 +75,7 @@
 		},
 		{
 			command: "version",
-			value:   shownVersion{},
+			value:   versionResult{},
 			keys:    "version",
 		},
 	} {
--- a/stile/cmds/losses.go
+++ b/stile/cmds/losses.go
@@ -12,10 +12,10 @@
 
 func init() { register(func() command { return &losses{} }, "losses") }
 
-// losses sums up what callers did not get, by cause and by time.
+// losses summarizes lost requests by route, cause and time.
 type losses struct {
-	output
-	Every time.Duration `arg:"--every" default:"2s" help:"length of the spans of time that are told apart"`
+	outputFlags
+	Every time.Duration `arg:"--every" default:"2s" help:"length of one time span in the table"`
 	Logs  []string      `arg:"--logs,-l,separate,required" placeholder:"FILE" help:"log of a host, - for standard input; may be given again"`
 }
 
@@ -24,7 +24,7 @@
 	return "sum up which requests were not served whole and in time, by route, cause and second"
 }
 
-// ErrNoRequests means that no request was admitted or refused in the logs.
+// ErrNoRequests reports that the logs hold no admitted or refused request.
 var ErrNoRequests = errors.New("the logs tell of no request")
 
 // Run reads the logs and prints the tables.
@@ -52,25 +52,24 @@
 	return out.value(l)
 }
 
-// lossTable says what was lost of the requests in the logs. A request that is
-// served whole and in time loses nothing, one that lacks shards their share,
-// one that is late or has no answer the whole of it. Each attempt of a caller
-// counts as a request.
+// lossTable sums the losses of the requests in the logs. A request that is answered
+// completely and in time loses 0, one that lacks shards loses their share, and one that
+// is late or unanswered loses 1. Each attempt of a caller counts as a request.
 type lossTable struct {
 	Routes []lossRow  `json:"Routes"`
 	Causes []lossRow  `json:"Causes"`
 	Spans  []lossSpan `json:"Spans"`
 }
 
-// lossRow is what was lost for one route or cause.
+// lossRow is the loss of one route or cause.
 type lossRow struct {
 	Name  string  `json:"Name"`
 	Asked int     `json:"Asked"`
 	Lost  float64 `json:"Lost"`
 }
 
-// lossSpan is what was lost of the requests that came in a span of time, and
-// the cause of most of it. From is in seconds from the first request.
+// lossSpan is the loss of the requests that arrived in one time span, with the cause of
+// the largest part. From is in seconds since the first request.
 type lossSpan struct {
 	From  float64 `json:"From"`
 	Asked int     `json:"Asked"`
@@ -80,59 +79,59 @@
 	causes map[string]float64
 }
 
-// loss is a request at the host that its caller sent it to.
+// loss records what one request lost, as logged by the host that its caller sent it to.
 type loss struct {
-	route  string
-	at     int64
-	causes map[string]float64
+	route         string
+	arrivedMillis int64
+	causes        map[string]float64
 }
 
 func newLoss(l logLine) *loss {
-	return &loss{route: l.text("route"), at: l.Time, causes: map[string]float64{}}
+	return &loss{route: l.text("route"), arrivedMillis: l.Time, causes: map[string]float64{}}
 }
 
-// lossesOf finds what each request lost.
+// lossesOf computes the loss of each request.
 func lossesOf(lines []logLine, every int64) lossTable {
-	parts := forwardedMisses(lines)
-	open := map[string]*loss{}
-	var all []*loss
+	peerCauses := forwardedCauses(lines)
+	byRequest := map[string]*loss{}
+	var requests []*loss
 	for _, l := range lines {
-		if l.Request == "" || l.truth("forwarded") {
+		if l.Request == "" || l.boolean("forwarded") {
 			continue
 		}
 		switch l.Message {
 		case "admitted":
-			one := newLoss(l)
-			open[l.Request] = one
-			all = append(all, one)
+			request := newLoss(l)
+			byRequest[l.Request] = request
+			requests = append(requests, request)
 		case "refused":
-			one := open[l.Request]
-			if one == nil {
-				one = newLoss(l)
-				all = append(all, one)
+			request := byRequest[l.Request]
+			if request == nil {
+				request = newLoss(l)
+				requests = append(requests, request)
 			}
-			one.causes["refused, "+plain(l.text("cause"))] = 1
+			request.causes["refused, "+normalizeCause(l.text("cause"))] = 1
 		case "caller-gone":
-			if one := open[l.Request]; one != nil {
-				one.causes["the caller left"] = 1
+			if request := byRequest[l.Request]; request != nil {
+				request.causes["the caller left"] = 1
 			}
 		case "answered", "answered-in-part":
-			if one := open[l.Request]; one != nil {
-				one.answered(l, parts)
+			if request := byRequest[l.Request]; request != nil {
+				request.recordAnswer(l, peerCauses)
 			}
 		}
 	}
-	return tables(all, every)
+	return summarize(requests, every)
 }
 
-// answered finds what an answer lacks.
-func (o *loss) answered(l logLine, parts map[partKey]string) {
-	if l.truth("late") {
-		o.causes["answered late"] = 1
+// recordAnswer records what an answer lacks.
+func (r *loss) recordAnswer(l logLine, peerCauses map[shardKey]string) {
+	if l.boolean("late") {
+		r.causes["answered late"] = 1
 		return
 	}
-	of, missing := l.number("of"), l.list("missing")
-	if of == 0 {
+	total, missing := l.number("of"), l.list("missing")
+	if total == 0 {
 		return
 	}
 	named := 0.0
@@ -142,40 +141,40 @@
 			continue
 		}
 		named++
-		cause := plain(words[2])
-		if there, ok := parts[partKey{l.Request, words[0]}]; ok {
-			cause = "at the host it was handed to: " + there
+		cause := normalizeCause(words[2])
+		if peerCause, ok := peerCauses[shardKey{l.Request, words[0]}]; ok {
+			cause = "at the host it was handed to: " + peerCause
 		}
-		o.causes["missing, "+cause] += 1 / of
+		r.causes["missing, "+cause] += 1 / total
 	}
-	if rest := of - l.number("got") - named; rest > 0 {
-		o.causes["missing, not named"] += rest / of
+	if unnamed := total - l.number("got") - named; unnamed > 0 {
+		r.causes["missing, not named"] += unnamed / total
 	}
 }
 
-// partKey is a shard of a request that was handed to another host.
-type partKey struct{ request, shard string }
+// shardKey identifies a shard of a request that was forwarded to another host.
+type shardKey struct{ request, shard string }
 
-// forwardedMisses are the causes for which other hosts lacked the shards that
-// they were handed.
-func forwardedMisses(lines []logLine) map[partKey]string {
-	causes := map[partKey]string{}
+// forwardedCauses returns the causes that other hosts logged for the shards that were
+// forwarded to them and that they could not answer.
+func forwardedCauses(lines []logLine) map[shardKey]string {
+	causes := map[shardKey]string{}
 	for _, l := range lines {
-		if !l.truth("forwarded") {
+		if !l.boolean("forwarded") {
 			continue
 		}
 		for _, text := range l.list("missing") {
 			if words := strings.SplitN(text, " ", 3); len(words) == 3 {
-				causes[partKey{l.Request, words[0]}] = plain(words[2])
+				causes[shardKey{l.Request, words[0]}] = normalizeCause(words[2])
 			}
 		}
 	}
 	return causes
 }
 
-// plain leaves out what differs from one request to the next: figures and
-// addresses.
-func plain(cause string) string {
+// normalizeCause replaces figures and addresses, which differ between requests, so that
+// equal causes compare equal.
+func normalizeCause(cause string) string {
 	words := strings.Fields(cause)
 	kept := words[:0]
 	for _, w := range words {
@@ -187,32 +186,32 @@
 	return strings.Join(kept, " ")
 }
 
-func tables(all []*loss, every int64) lossTable {
-	if len(all) == 0 {
+func summarize(requests []*loss, every int64) lossTable {
+	if len(requests) == 0 {
 		return lossTable{}
 	}
-	start := slices.MinFunc(all, func(a, b *loss) int { return cmp.Compare(a.at, b.at) }).at
+	start := slices.MinFunc(requests, func(a, b *loss) int { return cmp.Compare(a.arrivedMillis, b.arrivedMillis) }).arrivedMillis
 	routes, causes := map[string]*lossRow{}, map[string]*lossRow{}
 	spans := map[int64]*lossSpan{}
-	for _, o := range all {
-		n := (o.at - start) / max(1, every)
-		span := spans[n]
+	for _, r := range requests {
+		index := (r.arrivedMillis - start) / max(1, every)
+		span := spans[index]
 		if span == nil {
-			span = &lossSpan{From: float64(n*every) / 1000, causes: map[string]float64{}}
-			spans[n] = span
+			span = &lossSpan{From: float64(index*every) / 1000, causes: map[string]float64{}}
+			spans[index] = span
 		}
 		span.Asked++
-		addLoss(routes, o.route, 0)
-		for cause, lost := range o.causes {
-			routes[o.route].Lost += lost
+		addLoss(routes, r.route, 0)
+		for cause, lost := range r.causes {
+			routes[r.route].Lost += lost
 			addLoss(causes, cause, lost)
 			span.Lost += lost
 			span.causes[cause] += lost
 		}
 	}
-	t := lossTable{Routes: byLoss(routes), Causes: byLoss(causes)}
-	for _, n := range slices.Sorted(maps.Keys(spans)) {
-		s := spans[n]
+	t := lossTable{Routes: sortByLoss(routes), Causes: sortByLoss(causes)}
+	for _, index := range slices.Sorted(maps.Keys(spans)) {
+		s := spans[index]
 		for _, cause := range slices.Sorted(maps.Keys(s.causes)) {
 			if s.Cause == "" || s.causes[cause] > s.causes[s.Cause] {
 				s.Cause = cause
@@ -231,7 +230,7 @@
 	rows[name].Lost += lost
 }
 
-func byLoss(rows map[string]*lossRow) []lossRow {
+func sortByLoss(rows map[string]*lossRow) []lossRow {
 	var list []lossRow
 	for _, r := range rows {
 		list = append(list, *r)
--- a/stile/cmds/losses_test.go
+++ b/stile/cmds/losses_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Six requests of one second: one whole, one that lacks two of four shards, one
-// of them at the host that it was handed to, one that was late, one refused
-// before it was taken, one refused with work done, and one whose caller left.
+// Six requests: one complete, one that lacks two of four shards (one of them at the host
+// that it was forwarded to), one late, one refused on arrival, one refused after work
+// was done, and one whose caller left.
 const lossLog = `
 {"host":"a","request":"q1","route":"all","time":1000,"message":"admitted"}
 {"host":"a","request":"q1","got":4,"of":4,"time":1100,"message":"answered"}
@@ -29,9 +29,8 @@
 {"host":"a","request":"q6","route":"one","time":4600,"message":"caller-gone"}
 `
 
-// On-call asks what callers lost in a bad hour and for which reasons. The sums
-// by cause, by route and by time are the same, and what another host lacked is
-// put down to its own reason.
+// The sums by cause, by route and by time must be equal, and a shard that another host
+// lacked must count under that host's own cause.
 func TestLossesAddUp(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "log")
 	assert.NilError(t, os.WriteFile(name, []byte(lossLog), 0o600))
--- a/stile/cmds/status.go
+++ b/stile/cmds/status.go
@@ -8,10 +8,10 @@
 
 func init() { register(func() command { return &status{} }, "status", "st") }
 
-// status shows hosts, versions in force, ramps and quarantines.
+// status shows hosts, versions in force, leaves in warm-up and quarantines.
 type status struct {
-	asking
-	Leafs bool `arg:"--leafs" help:"list every leaf, not only those that are not at full"`
+	adminFlags
+	Leaves bool `arg:"--leafs" help:"list every leaf, not only those that are closed or warm up"`
 }
 
 // Help describes the command.
@@ -19,25 +19,26 @@
 	return "show hosts, versions in force, leafs that warm up or are closed, and quarantines"
 }
 
-// Run prints it; programs that differ or do not answer are a fault.
+// Run prints the status; programs that are not ready, out of date or unreachable are a
+// fault.
 func (c *status) Run(out *printer) error {
-	all, err := c.status()
+	programs, err := c.fetchStatuses()
 	if err != nil {
 		return err
 	}
 	faulty := false
-	for _, p := range all {
-		faulty = c.program(out, p) || faulty
+	for _, p := range programs {
+		faulty = c.printProgram(out, p) || faulty
 	}
-	if newest, behind := versions(all); len(behind) > 0 {
+	if newest, behind := compareVersions(programs); len(behind) > 0 {
 		faulty = true
 		for _, b := range behind {
-			out.line("%s %s", out.paint(yellow, "behind:"), b)
+			out.line("%s %s", out.colorize(yellow, "behind:"), b)
 		}
 	} else {
 		out.line("configuration %d is in force on all that answered", newest)
 	}
-	if err := out.value(all); err != nil {
+	if err := out.value(programs); err != nil {
 		return err
 	}
 	if faulty {
@@ -46,18 +47,18 @@
 	return nil
 }
 
-func (c *status) program(out *printer, p program) (faulty bool) {
+func (c *status) printProgram(out *printer, p programStatus) (faulty bool) {
 	if p.Problem != "" {
-		out.line("%s %s: %s", out.paint(red, "no answer:"), p.Admin, p.Problem)
+		out.line("%s %s: %s", out.colorize(red, "no answer:"), p.Admin, p.Problem)
 		return true
 	}
 	n := p.Node
-	state := out.paint(green, "ready")
+	state := out.colorize(green, "ready")
 	switch {
 	case n.Leaving:
-		state = out.paint(yellow, "leaving")
+		state = out.colorize(yellow, "leaving")
 	case !n.Ready:
-		state = out.paint(red, "not ready")
+		state = out.colorize(red, "not ready")
 	}
 	platform := "platform never heard"
 	if n.PlatformAge >= 0 {
@@ -68,7 +69,7 @@
 		out.line("    refused %s %d: %s", r.Key, r.Version, r.Reason)
 	}
 	for _, f := range p.Leaves {
-		if f.Primary && (c.Leafs || f.Closed != "" || f.RampLeft > 0) {
+		if f.Primary && (c.Leaves || f.Closed != "" || f.RampLeft > 0) {
 			out.line("    leaf %-26s busy %d/%d of %d, queued %d, connections %d, ramp left %d ms %s",
 				f.Leaf, f.Busy, f.Limit, f.Slots, f.Queued, f.Conns, f.RampLeft, f.Closed)
 		}
@@ -86,20 +87,21 @@
 	return ""
 }
 
-// versions finds the newest configuration and who has an older one.
-func versions(all []program) (newest uint64, behind []string) {
-	have := map[string]uint64{}
-	for _, p := range all {
+// compareVersions returns the newest configuration and the programs that have an older
+// one.
+func compareVersions(programs []programStatus) (newest uint64, behind []string) {
+	installed := map[string]uint64{}
+	for _, p := range programs {
 		for _, v := range p.Node.Versions {
 			if v.Key == "config" {
-				have[p.Node.Host+"/"+p.Node.Program] = v.Version
+				installed[p.Node.Host+"/"+p.Node.Program] = v.Version
 				newest = max(newest, v.Version)
 			}
 		}
 	}
-	for _, name := range sortedNames(have) {
-		if have[name] != newest {
-			behind = append(behind, fmt.Sprintf("%s has configuration %d, the newest is %d", name, have[name], newest))
+	for _, name := range sortedNames(installed) {
+		if installed[name] != newest {
+			behind = append(behind, fmt.Sprintf("%s has configuration %d, the newest is %d", name, installed[name], newest))
 		}
 	}
 	return newest, behind
--- a/stile/cmds/story.go
+++ b/stile/cmds/timeline.go
@@ -11,11 +11,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrNoLines means that the logs say nothing about the request.
+// ErrNoLines reports that the logs hold no line about the request.
 var ErrNoLines = errors.New("no line names the request")
 
-// logLine is a line of the programs' logs, with the fields that a story needs.
-// All holds every field for printing.
+// logLine is one line of the programs' logs with the fields that are matched. The field
+// named fields holds all of them for printing.
 type logLine struct {
 	Time    int64  `json:"time"`
 	Host    string `json:"host"`
@@ -24,20 +24,18 @@
 	Leaf    string `json:"leaf"`
 	Service string `json:"service"`
 
-	all map[string]any
+	fields map[string]any
 }
 
-// beliefSpan is how long before a request's end changed beliefs are shown, in
-// ms: leafs are tried again within about this time, so older ones have no part
-// in the decision.
-const beliefSpan = 8000
+// stateLookbackMillis is how long before a request changes of state are shown. Leaves
+// are retried within about this time, so that older changes did not affect the request.
+const stateLookbackMillis = 8000
 
-// maxLogLine is the longest line read, in bytes.
-const maxLogLine = 1 << 20
+// maxLogLineBytes is the length of the longest line that can be read.
+const maxLogLineBytes = 1 << 20
 
-// readLogs reads the lines of all files that are log lines; "-" is standard
-// input. What stands before a line's first brace, such as a collector's own
-// stamp, is skipped.
+// readLogs reads the log lines of all files; "-" is standard input. Text before the
+// first brace of a line, such as a log collector's timestamp, is skipped.
 func readLogs(files []string) ([]logLine, error) {
 	var lines []logLine
 	for _, name := range files {
@@ -54,20 +52,20 @@
 	return lines, nil
 }
 
-func eachLine(name string, take func(string)) error {
+func eachLine(name string, handle func(string)) error {
 	in := io.Reader(os.Stdin)
 	if name != "-" {
 		f, err := os.Open(name)
 		if err != nil {
 			return errors.Wrap(err, "open log")
 		}
-		defer func() { _ = f.Close() }() // it was only read
+		defer func() { _ = f.Close() }() // the file was only read
 		in = f
 	}
 	s := bufio.NewScanner(in)
-	s.Buffer(nil, maxLogLine)
+	s.Buffer(nil, maxLogLineBytes)
 	for s.Scan() {
-		take(s.Text())
+		handle(s.Text())
 	}
 	return errors.Wrapf(s.Err(), "read %s", name)
 }
@@ -79,33 +77,33 @@
 	}
 	var l logLine
 	body := []byte(text[at:])
-	if json.Unmarshal(body, &l) != nil || json.Unmarshal(body, &l.all) != nil {
-		return logLine{}, false // another program's line
+	if json.Unmarshal(body, &l) != nil || json.Unmarshal(body, &l.fields) != nil {
+		return logLine{}, false // not a line of these programs
 	}
 	return l, l.Message != ""
 }
 
-// text is a field that holds text; empty if there is none.
+// text returns a string field; empty if there is none.
 func (l logLine) text(name string) string {
-	value, _ := l.all[name].(string)
+	value, _ := l.fields[name].(string)
 	return value
 }
 
-// number is a field that holds a number; 0 if there is none.
+// number returns a numeric field; 0 if there is none.
 func (l logLine) number(name string) float64 {
-	value, _ := l.all[name].(float64)
+	value, _ := l.fields[name].(float64)
 	return value
 }
 
-// truth tells whether a field is set to true.
-func (l logLine) truth(name string) bool {
-	value, _ := l.all[name].(bool)
+// boolean reports whether a field is set to true.
+func (l logLine) boolean(name string) bool {
+	value, _ := l.fields[name].(bool)
 	return value
 }
 
-// list is a field that holds a list of texts.
+// list returns the strings of a list field.
 func (l logLine) list(name string) []string {
-	values, _ := l.all[name].([]any)
+	values, _ := l.fields[name].([]any)
 	var texts []string
 	for _, v := range values {
 		if text, ok := v.(string); ok {
@@ -115,41 +113,41 @@
 	return texts
 }
 
-// story picks the lines that tell of a request: those that name it, and what
-// changed just before in the beliefs about leafs and hosts that it met.
-func story(lines []logLine, id string) []logLine {
-	var own []logLine
-	met := map[string]bool{}
+// relatedLines returns the lines that name a request and, from just before and during
+// it, the state changes of the hosts that handled it and of the leaves that it used.
+func relatedLines(lines []logLine, id string) []logLine {
+	var requestLines []logLine
+	leaves := map[string]bool{}
 	hosts := map[string]bool{}
 	for _, l := range lines {
 		if l.Request != id {
 			continue
 		}
-		own = append(own, l)
+		requestLines = append(requestLines, l)
 		hosts[l.Host] = true
-		for _, name := range mentioned(l) {
-			met[name] = true
+		for _, name := range mentionedNames(l) {
+			leaves[name] = true
 		}
 	}
-	if len(own) == 0 {
+	if len(requestLines) == 0 {
 		return nil
 	}
-	from, to := own[0].Time-beliefSpan, own[len(own)-1].Time
-	var told []logLine
+	from, to := requestLines[0].Time-stateLookbackMillis, requestLines[len(requestLines)-1].Time
+	var related []logLine
 	for _, l := range lines {
 		switch {
 		case l.Request == id:
-			told = append(told, l)
+			related = append(related, l)
 		case l.Request != "" || l.Time < from || l.Time > to || !hosts[l.Host]:
-		case l.Leaf == "" || met[l.Leaf]:
-			told = append(told, l)
+		case l.Leaf == "" || leaves[l.Leaf]:
+			related = append(related, l)
 		}
 	}
-	return told
+	return related
 }
 
-// mentioned are the leafs and hosts that a line names.
-func mentioned(l logLine) []string {
+// mentionedNames returns the leaves and hosts that a line names.
+func mentionedNames(l logLine) []string {
 	names := []string{l.Leaf}
 	for _, text := range l.list("missing") {
 		if words := strings.Fields(text); len(words) > 1 {
@@ -159,8 +157,8 @@
 	return names
 }
 
-// printStory prints lines with times counted from the request's first line.
-func printStory(out *printer, lines []logLine, id string) error {
+// printTimeline prints lines with their times relative to the request's first line.
+func printTimeline(out *printer, lines []logLine, id string) error {
 	if len(lines) == 0 {
 		return errors.Wrapf(ErrNoLines, "%s; was it sent here, and do the logs reach back to it?", id)
 	}
@@ -174,22 +172,22 @@
 	shown := make([]map[string]any, 0, len(lines))
 	for _, l := range lines {
 		color := green
-		if l.all["level"] == "warn" {
+		if l.fields["level"] == "warn" {
 			color = yellow
 		}
-		if l.Message == "refused" || l.all["level"] == "error" {
+		if l.Message == "refused" || l.fields["level"] == "error" {
 			color = red
 		}
-		out.line("%+7d ms  %-24s %s  %s", l.Time-start, l.Host, out.paint(color, l.Message), details(l))
-		shown = append(shown, l.all)
+		out.line("%+7d ms  %-24s %s  %s", l.Time-start, l.Host, out.colorize(color, l.Message), details(l))
+		shown = append(shown, l.fields)
 	}
 	return out.value(shown)
 }
 
-// details are a line's other fields, by name.
+// details formats the other fields of a line, sorted by name.
 func details(l logLine) string {
 	var names []string
-	for name := range l.all {
+	for name := range l.fields {
 		switch name {
 		case "time", "host", "message", "level", "program", "request":
 		default:
@@ -199,9 +197,9 @@
 	sort.Strings(names)
 	var b strings.Builder
 	for _, name := range names {
-		text, err := json.Marshal(l.all[name])
+		text, err := json.Marshal(l.fields[name])
 		if err != nil {
-			continue // it was read from JSON and cannot fail
+			continue // cannot fail: the value was decoded from JSON
 		}
 		b.WriteString(name + "=" + string(text) + " ")
 	}
--- a/stile/cmds/story_test.go
+++ b/stile/cmds/timeline_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Two hosts' logs, one of them as a collector stamped it, with lines of other
-// requests, of another program, and of beliefs long before and about others.
+// The logs of two hosts, one prefixed by a log collector, with lines of other requests,
+// of another program, and of state changes that are too old or concern other leaves.
 const (
 	firstLog = `
 {"level":"warn","host":"a","leaf":"i-1","cause":"refused","time":1000,"message":"leaf-unhealthy"}
@@ -26,9 +26,8 @@
 `
 )
 
-// On-call has the id of an answer that lacked a shard and the logs of two
-// hosts. The story holds the request's lines on both, and the beliefs that had
-// a part in it, in the order of time.
+// Explaining a partial answer from logs returns the request's lines on both hosts and
+// the state changes that affected it, sorted by time.
 func TestExplainFromLogs(t *testing.T) {
 	dir := t.TempDir()
 	one, two := filepath.Join(dir, "one"), filepath.Join(dir, "two")
--- a/stile/cmds/version.go
+++ b/stile/cmds/version.go
@@ -4,18 +4,18 @@
 
 func init() { register(func() command { return &version{} }, "version") }
 
-// version prints the release.
-type version struct{ output }
+// version prints the version of the release.
+type version struct{ outputFlags }
 
-type shownVersion struct {
+type versionResult struct {
 	Version string `json:"version"`
 }
 
 // Help describes the command.
 func (*version) Help() string { return "print the release" }
 
-// Run prints it.
+// Run prints the version.
 func (*version) Run(out *printer) error {
 	out.line("%s", daemon.VersionText("stile"))
-	return out.value(shownVersion{daemon.Version})
+	return out.value(versionResult{daemon.Version})
 }
--- a/stile/main.go
+++ b/stile/main.go
@@ -1,5 +1,5 @@
-// Command stile is the operators' command line. It reads files and asks the
-// programs; it writes nothing anywhere.
+// Command stile is the operators' command line. It reads files and queries the running
+// programs; it changes nothing.
 package main
 
 import (
