--- a/share/httpd/httpd.go
+++ b/share/httpd/httpd.go
@@ -1,4 +1,4 @@
-// Package httpd serves HTTP by nbhttp, with limits on bodies, headers,
+// Package httpd serves HTTP over nbhttp, with limits on headers, bodies,
 // connections and time.
 package httpd
 
@@ -25,66 +25,67 @@
 
 // Errors of reading a request.
 var (
-	// ErrTooLarge: the body is over the limit.
+	// ErrTooLarge is returned if the body is over the limit.
 	ErrTooLarge = errors.New("body is too large")
-	// ErrSyntax: the body is not the JSON that was expected.
+	// ErrSyntax is returned if the body is not the expected JSON.
 	ErrSyntax = errors.New("body is not valid")
 )
 
 // Defaults of Server.
 const (
-	// DefaultMaxBodyBytes is the largest request body, in bytes.
+	// DefaultMaxBodyBytes is the default for the largest request body.
 	DefaultMaxBodyBytes = 1 << 20
-	// hardBody is where the connection is cut instead of answered.
-	hardBody     = 8 << 20
-	defaultConns = 10000
-	// readLimit is what the library keeps of a request that is not whole. Below
-	// the largest body it resets the connections of callers whose body comes in
-	// pieces.
-	readLimit = 2 * hardBody
-	// longestIdle is the library's own limit, beyond any of Limits.
-	longestIdle   = 10 * time.Minute
-	writeTimeout  = 10 * time.Second
-	handlersAtAll = 8192
+	// fallbackMaxBodyBytes is the largest body if Limits sets none. The connection
+	// of a caller that sends more is closed.
+	fallbackMaxBodyBytes = 8 << 20
+	defaultMaxConns      = 10000
+	// readLimitBytes is the library's own limit on an incomplete request. If it
+	// is below the largest body, the library resets connections whose body
+	// arrives in pieces.
+	readLimitBytes = 2 * fallbackMaxBodyBytes
+	// engineIdleTimeout is the library's own limit, longer than any in Limits.
+	engineIdleTimeout = 10 * time.Minute
+	writeTimeout      = 10 * time.Second
+	maxHandlers       = 8192
 	// defaultPollers is how many event loops read connections: one more than
-	// the small hosts have cores, so that one large request holds up only some.
+	// small hosts have cores, so that one large request delays only some of them.
 	defaultPollers = 2
 )
 
 // Server serves a handler on one address. The context of a request ends when its
-// caller closes the connection. Fields are set before Start.
+// caller closes the connection. Fields must be set before Start.
 type Server struct {
-	// Address is the IP and port to listen on; port 0 picks one.
+	// Address is the IP and port to listen on; with port 0 the system chooses one.
 	Address  string
 	Handler  http.Handler
 	MaxConns int
-	// Limits are in force until SetLimits replaces them.
+	// Limits apply until SetLimits replaces them.
 	Limits Limits
-	// OnRejected is told of each request outside the limits, which its handler does
-	// not see; it may be nil.
+	// OnRejected is called for each request that is outside the limits and does
+	// not reach the handler; it may be nil.
 	OnRejected func(remote string, status int)
 
-	engine  *nbhttp.Engine
-	addr    net.Addr
-	accept  *evloop.Listener
-	loops   evloop.Prober
-	active  sync.WaitGroup
-	conns   conns
-	limits  atomic.Pointer[Limits]
-	buffers sync.Pool
+	engine   *nbhttp.Engine
+	addr     net.Addr
+	listener *evloop.Listener
+	prober   evloop.Prober
+	active   sync.WaitGroup
+	conns    conns
+	limits   atomic.Pointer[Limits]
+	buffers  sync.Pool
 	// pollers is how many event loops read connections; 0 takes the default.
-	pollers int
-	stop    chan struct{}
-	swept   chan struct{}
+	pollers   int
+	stop      chan struct{}
+	sweepDone chan struct{}
 }
 
-// Start listens and serves. The socket is opened before the engine starts: an
-// engine that finds its address in use stops itself before its event loops have
-// begun, and then never returns, so a daemon would neither run nor fail.
+// Start listens and serves. It opens the socket before it starts the engine: an
+// engine that finds its address in use stops itself before its event loops run
+// and then never returns, so the daemon would neither run nor fail.
 func (s *Server) Start() error {
-	conns := s.MaxConns
-	if conns == 0 {
-		conns = defaultConns
+	maxConns := s.MaxConns
+	if maxConns == 0 {
+		maxConns = defaultMaxConns
 	}
 	s.SetLimits(s.Limits)
 	ln, err := net.Listen("tcp", s.Address)
@@ -92,40 +93,41 @@
 		return errors.Wrapf(err, "listen on %s", s.Address)
 	}
 	s.addr = ln.Addr()
-	s.accept = evloop.NewListener(ln)
+	s.listener = evloop.NewListener(ln)
 	s.engine = nbhttp.NewEngine(nbhttp.Config{
 		Name: "httpd", Network: "tcp", Addrs: []string{s.addr.String()},
-		MaxLoad: conns, MaxHTTPBodySize: readLimit, ReadLimit: readLimit,
-		KeepaliveTime: longestIdle, WriteTimeout: writeTimeout, NPoller: cmp.Or(s.pollers, defaultPollers), NListener: 1,
-		MessageHandlerPoolSize: handlersAtAll,
+		MaxLoad: maxConns, MaxHTTPBodySize: readLimitBytes, ReadLimit: readLimitBytes,
+		KeepaliveTime: engineIdleTimeout, WriteTimeout: writeTimeout, NPoller: cmp.Or(s.pollers, defaultPollers), NListener: 1,
+		MessageHandlerPoolSize: maxHandlers,
 		Handler:                http.HandlerFunc(s.serve),
-		// Called where the request is read, before its handler has a turn.
-		OnRequest: func(_ http.ResponseWriter, r *http.Request) { s.conns.take(r.RemoteAddr) },
-		Listen:    func(string, string) (net.Listener, error) { return s.accept, nil },
+		// Called when the request has been read, before its handler is scheduled.
+		OnRequest: func(_ http.ResponseWriter, r *http.Request) { s.conns.requestRead(r.RemoteAddr) },
+		Listen:    func(string, string) (net.Listener, error) { return s.listener, nil },
 	})
-	s.engine.OnRead(s.readable)
-	s.engine.OnOpen(s.conns.opened)
-	s.engine.OnClose(func(c net.Conn, _ error) { s.conns.closed(c) })
+	s.engine.OnRead(s.onReadable)
+	s.engine.OnOpen(s.conns.add)
+	s.engine.OnClose(func(c net.Conn, _ error) { s.conns.remove(c) })
 	if err := s.engine.Start(); err != nil {
 		return errors.Wrapf(err, "serve on %s", s.Address)
 	}
-	s.stop, s.swept = make(chan struct{}), make(chan struct{})
+	s.stop, s.sweepDone = make(chan struct{}), make(chan struct{})
 	go s.sweep()
 	return nil
 }
 
-// SetLimits puts other limits in force, for connections that are open too.
+// SetLimits replaces the limits, also for open connections.
 func (s *Server) SetLimits(l Limits) {
-	l = l.filled()
+	l = l.withDefaults()
 	s.limits.Store(&l)
 }
 
-// BodyLimit is the largest body in force, in bytes.
+// BodyLimit returns the current limit on request bodies, in bytes.
 func (s *Server) BodyLimit() int { return s.limits.Load().MaxBodyBytes }
 
+// sweep applies the time limits to all connections at an interval, until Close.
 func (s *Server) sweep() {
-	defer close(s.swept)
-	ticks := time.NewTicker(sweepEvery)
+	defer close(s.sweepDone)
+	ticks := time.NewTicker(sweepInterval)
 	defer ticks.Stop()
 	for {
 		select {
@@ -133,34 +135,34 @@
 			return
 		case now := <-ticks.C:
 			for _, conn := range s.conns.sweep(*s.limits.Load(), now) {
-				s.refuse(conn, http.StatusRequestTimeout)
+				s.reject(conn, http.StatusRequestTimeout)
 			}
 		}
 	}
 }
 
-// readSize is how many bytes are read of a connection at once.
-const readSize = 32 << 10
+// readBufferBytes is the size of one read from a connection.
+const readBufferBytes = 32 << 10
 
-// readable reads what a connection has, in its event loop. The library tells of
-// a connection's end only once the requests that were read on it have been
-// handled, which is too late to stop the work for a caller that has left: the
-// end is seen here. A host that stood still finds requests and the ends of their
-// connections together; nothing is done for those.
-func (s *Server) readable(c *nbio.Conn) {
-	if s.loops.HandleProbe(c) {
+// onReadable reads the available bytes of a connection in its event loop. It
+// detects the end of the connection itself, because the library reports the end
+// only after the requests that were read have been handled, too late to cancel
+// their work. After a pause of the host, requests and the ends of their
+// connections are found together; these requests are not handled.
+func (s *Server) onReadable(c *nbio.Conn) {
+	if s.prober.HandleProbe(c) {
 		return
 	}
-	buf := s.buffer()
+	buf := s.getBuffer()
 	defer s.buffers.Put(buf)
 	for {
-		n, ended := fill(c, *buf)
-		if ended {
-			s.conns.left(c)
-			_ = c.CloseWithError(io.EOF) // it has ended already
+		n, closed := readAvailable(c, *buf)
+		if closed {
+			s.conns.peerClosed(c)
+			_ = c.CloseWithError(io.EOF) // the caller has closed it
 			return
 		}
-		if n > 0 && s.read(c, n) {
+		if n > 0 && s.recordBytes(c, n) {
 			c.DataHandler()(c, (*buf)[:n])
 		}
 		if n < len(*buf) {
@@ -169,69 +171,70 @@
 	}
 }
 
-// fill reads until nothing is left or the buffer is full, and tells whether the
-// connection has ended.
-func fill(c *nbio.Conn, buf []byte) (n int, ended bool) {
+// readAvailable reads until no bytes are left or the buffer is full, and reports
+// whether the connection has ended.
+func readAvailable(c *nbio.Conn, buf []byte) (n int, closed bool) {
 	for n < len(buf) {
-		got, err := c.Read(buf[n:])
+		read, err := c.Read(buf[n:])
 		switch {
 		case errors.Is(err, syscall.EINTR):
 		case errors.Is(err, syscall.EAGAIN):
 			return n, false
-		case err != nil || got == 0:
+		case err != nil || read == 0:
 			return n, true
 		default:
-			n += got
+			n += read
 		}
 	}
 	return n, false
 }
 
-func (s *Server) buffer() *[]byte {
+func (s *Server) getBuffer() *[]byte {
 	if b, ok := s.buffers.Get().(*[]byte); ok {
 		return b
 	}
-	b := make([]byte, readSize)
+	b := make([]byte, readBufferBytes)
 	return &b
 }
 
-// read takes bytes into account and tells whether they are to be read.
-func (s *Server) read(conn net.Conn, n int) bool {
-	status, read := s.conns.heard(conn.RemoteAddr().String(), n, *s.limits.Load())
+// recordBytes records n bytes of a request and reports whether to parse them.
+func (s *Server) recordBytes(conn net.Conn, n int) bool {
+	status, accepted := s.conns.recordBytes(conn.RemoteAddr().String(), n, *s.limits.Load())
 	if status != 0 {
-		s.refuse(conn, status)
+		s.reject(conn, status)
 	}
-	return read
+	return accepted
 }
 
-// refuse answers a request that is not whole.
-func (s *Server) refuse(conn net.Conn, status int) {
-	s.tell(conn.RemoteAddr().String(), status)
-	_, _ = conn.Write(bareAnswer(status)) // a caller that is gone is no fault of ours
+// reject answers an incomplete request with an error status.
+func (s *Server) reject(conn net.Conn, status int) {
+	s.reportRejected(conn.RemoteAddr().String(), status)
+	_, _ = conn.Write(errorResponse(status)) // the caller may have disconnected
 }
 
-func (s *Server) tell(remote string, status int) {
+func (s *Server) reportRejected(remote string, status int) {
 	if s.OnRejected != nil {
 		s.OnRejected(remote, status)
 	}
 }
 
+// serve handles one request: it enforces the limits and calls the handler.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	s.active.Add(1)
 	defer s.active.Done()
-	defer s.conns.release(r.RemoteAddr)
-	if status := s.limits.Load().refusal(r); status != 0 {
-		s.tell(r.RemoteAddr, status)
+	defer s.conns.requestDone(r.RemoteAddr)
+	if status := s.limits.Load().checkRequest(r); status != 0 {
+		s.reportRejected(r.RemoteAddr, status)
 		w.Header().Set("Connection", "close")
 		http.Error(w, http.StatusText(status), status)
 		return
 	}
-	r, cancel := s.conns.handle(r)
+	r, cancel := s.conns.withCancel(r)
 	defer cancel()
 	s.Handler.ServeHTTP(w, r)
 }
 
-// Addr is the address in use.
+// Addr returns the address that the server listens on, or Address before Start.
 func (s *Server) Addr() string {
 	if s.addr == nil {
 		return s.Address
@@ -239,31 +242,32 @@
 	return s.addr.String()
 }
 
-// CloseIdle closes the connections on which no request is under way. A request
-// that crosses the close was not taken, and its caller may send it again.
+// CloseIdle closes the connections that have no request in flight. A request that
+// is sent while the connection is closed was not handled, and its caller may send
+// it again.
 func (s *Server) CloseIdle() { s.conns.closeIdle() }
 
-// Close waits for the requests in flight and stops. No request may arrive any
-// more, or it is cut.
+// Close waits for the requests in flight and stops the server. Requests that
+// arrive during Close may be cut off.
 func (s *Server) Close() error {
 	if s.engine == nil {
 		return nil
 	}
 	if s.stop != nil {
 		close(s.stop)
-		<-s.swept
+		<-s.sweepDone
 	}
 	s.active.Wait()
-	<-s.accept.Accepting()
-	if err := s.loops.AwaitLoops(s.engine.Engine, cmp.Or(s.pollers, defaultPollers)); err != nil {
+	<-s.listener.Accepting()
+	if err := s.prober.AwaitLoops(s.engine.Engine, cmp.Or(s.pollers, defaultPollers)); err != nil {
 		return errors.Wrapf(err, "stop serving on %s", s.Address)
 	}
 	s.engine.Stop()
 	return nil
 }
 
-// ReadJSON reads a whole body into v. Unknown fields are faults: a misspelt
-// field would otherwise be ignored in silence.
+// ReadJSON decodes a whole body into v. It rejects unknown fields, since a
+// misspelt field would otherwise be ignored without an error.
 func ReadJSON(r *http.Request, limit int64, v any) error {
 	if r.ContentLength > limit {
 		return ErrTooLarge
@@ -286,7 +290,7 @@
 	return nil
 }
 
-// WriteJSON answers with v.
+// WriteJSON answers with v as JSON.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -297,11 +301,11 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // a caller that is gone is no fault of ours
+	_, _ = w.Write(body) // the caller may have disconnected
 }
 
-// SetRetryAfter sets the header that says when to come back, in whole seconds as
-// HTTP has it, and at least one.
+// SetRetryAfter sets the Retry-After header, rounded up to whole seconds as HTTP
+// requires and to at least one.
 func SetRetryAfter(w http.ResponseWriter, wait clock.Milli) {
 	seconds := max(1, (wait+clock.Second-1)/clock.Second)
 	w.Header().Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
--- a/share/httpd/httpd_test.go
+++ b/share/httpd/httpd_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a daemon that hangs where its address is in use, instead of failing.
+// Guards against a daemon that hangs instead of failing if its address is in use.
 func TestAddressInUseIsAnError(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -33,31 +33,31 @@
 	assert.NilError(t, s.Close())
 }
 
-// Guards against a close of connections with a request that was read and not handled yet.
+// Guards against closing a connection whose request was read but not handled yet.
 func TestIdleCloseSparesARequestThatWasRead(t *testing.T) {
 	var c conns
-	ours, theirs := net.Pipe()
-	defer func() { _ = theirs.Close() }()
-	c.opened(ours)
-	remote := ours.RemoteAddr().String()
-	c.open[remote].freed = time.Now().Add(-time.Minute)
-	c.take(remote)
+	server, peer := net.Pipe()
+	defer func() { _ = peer.Close() }()
+	c.add(server)
+	remote := server.RemoteAddr().String()
+	c.open[remote].idleSince = time.Now().Add(-time.Minute)
+	c.requestRead(remote)
 	c.closeIdle()
-	go func() { _, _ = ours.Write([]byte("x")) }()
-	_, err := theirs.Read(make([]byte, 1))
-	assert.NilError(t, err, "closed with a request on it")
-	c.release(remote)
+	go func() { _, _ = server.Write([]byte("x")) }()
+	_, err := peer.Read(make([]byte, 1))
+	assert.NilError(t, err, "closed while a request was in flight")
+	c.requestDone(remote)
 	c.closeIdle()
-	go func() { _, _ = ours.Write([]byte("x")) }()
-	_, err = theirs.Read(make([]byte, 1))
-	assert.NilError(t, err, "closed before its answer can have been written")
-	c.open[remote].freed = time.Now().Add(-time.Minute)
+	go func() { _, _ = server.Write([]byte("x")) }()
+	_, err = peer.Read(make([]byte, 1))
+	assert.NilError(t, err, "closed before its answer could be written")
+	c.open[remote].idleSince = time.Now().Add(-time.Minute)
 	c.closeIdle()
-	_, err = theirs.Read(make([]byte, 1))
+	_, err = peer.Read(make([]byte, 1))
 	assert.ErrorContains(t, err, "EOF")
 }
 
-// Guards against work that goes on for callers that have closed or reset their connection.
+// Guards against work for callers that have closed or reset their connection.
 func TestContextEndsWhenTheCallerLeaves(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn){
 		"close": func(c *net.TCPConn) { assert.Check(t, c.Close()) },
@@ -67,12 +67,12 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inside, ended := make(chan struct{}), make(chan struct{})
+			handling, cancelled := make(chan struct{}), make(chan struct{})
 			s := Server{Address: "127.0.0.1:0", Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-				close(inside)
+				close(handling)
 				select {
 				case <-r.Context().Done():
-					close(ended)
+					close(cancelled)
 				case <-time.After(5 * time.Second):
 				}
 			})}
@@ -81,26 +81,27 @@
 			assert.NilError(t, err)
 			_, err = c.Write([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"))
 			assert.NilError(t, err)
-			<-inside
+			<-handling
 			end(c.(*net.TCPConn))
 			select {
-			case <-ended:
+			case <-cancelled:
 			case <-time.After(500 * time.Millisecond):
-				t.Error("the context goes on while the request is handled")
+				t.Error("the context has not ended while the request is handled")
 			}
 			assert.NilError(t, s.Close())
 		})
 	}
 }
 
-// Guards against work for callers that have left while their host stood still.
+// Guards against handling the requests of callers that disconnected while the
+// host was paused.
 func TestRequestOfACallerThatHasLeftIsNotHandled(t *testing.T) {
 	handled := make(chan string, 4)
 	s := Server{Address: "127.0.0.1:0", Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { handled <- r.URL.Path })}
-	// With one event loop and its turn held, the server reads nothing.
+	// With its only event loop blocked, the server reads nothing.
 	s.pollers = 1
 	assert.NilError(t, s.Start())
-	held, release := holdNextRead(&s)
+	held, release := blockNextRead(&s)
 	first, err := net.Dial("tcp", s.Addr())
 	assert.NilError(t, err)
 	_, err = first.Write([]byte("GET /stays HTTP/1.1\r\nHost: h\r\n\r\n"))
@@ -111,27 +112,28 @@
 	_, err = second.Write([]byte("GET /leaves HTTP/1.1\r\nHost: h\r\n\r\n"))
 	assert.NilError(t, err)
 	assert.NilError(t, second.Close())
-	time.Sleep(50 * time.Millisecond) // the end crosses loopback
+	time.Sleep(50 * time.Millisecond) // until the close has crossed loopback
 	release()
 	assert.Equal(t, <-handled, "/stays")
 	assert.NilError(t, first.Close())
 	assert.NilError(t, s.Close())
-	assert.Equal(t, len(handled), 0, "the request was handled")
+	assert.Equal(t, len(handled), 0, "the request of the disconnected caller was handled")
 }
 
-// Guards against the end of a former connection ending requests on the next from its address.
+// Guards against a close event of an earlier connection that cancels requests on
+// the next connection from the same address.
 func TestEndOfAFormerConnectionSparesTheNextFromItsAddress(t *testing.T) {
 	var c conns
 	former, a := net.Pipe()
 	next, b := net.Pipe()
 	defer func() { _, _ = a.Close(), b.Close() }()
-	c.opened(former)
-	c.opened(next) // pipes all have one address
-	r, cancel := c.handle(&http.Request{RemoteAddr: next.RemoteAddr().String()})
+	c.add(former)
+	c.add(next) // all pipes have the same address
+	r, cancel := c.withCancel(&http.Request{RemoteAddr: next.RemoteAddr().String()})
 	defer cancel()
-	c.left(former)
-	c.closed(former)
+	c.peerClosed(former)
+	c.remove(former)
 	assert.NilError(t, r.Context().Err())
-	c.left(next)
+	c.peerClosed(next)
 	assert.ErrorIs(t, r.Context().Err(), context.Canceled)
 }
--- a/share/httpd/limits.go
+++ b/share/httpd/limits.go
@@ -7,66 +7,67 @@
 	"time"
 )
 
-// Limits bound what a caller may send and how long it may take. A field that
-// is not above zero takes its default.
+// Limits bound the size and duration of requests. A field that is not above zero
+// takes its default.
 type Limits struct {
-	// MaxHeaderBytes and BodyBytes are the largest header and body of a request.
+	// MaxHeaderBytes and MaxBodyBytes bound the header and body of a request.
 	MaxHeaderBytes, MaxBodyBytes int
-	// StallTimeout is how long a caller may pause within a request that it has begun.
+	// StallTimeout is how long a caller may pause within a request.
 	StallTimeout time.Duration
-	// IdleTimeout is how long a connection may wait for its next request.
+	// IdleTimeout is how long a connection may stay open between requests.
 	IdleTimeout time.Duration
 }
 
 // Defaults of Limits.
 const (
-	defaultHeaderBytes = 64 << 10
-	defaultSilence     = 10 * time.Second
-	defaultIdle        = 2 * time.Minute
+	defaultMaxHeaderBytes = 64 << 10
+	defaultStallTimeout   = 10 * time.Second
+	defaultIdleTimeout    = 2 * time.Minute
 )
 
-func (l Limits) filled() Limits {
+func (l Limits) withDefaults() Limits {
 	if l.MaxHeaderBytes <= 0 {
-		l.MaxHeaderBytes = defaultHeaderBytes
+		l.MaxHeaderBytes = defaultMaxHeaderBytes
 	}
 	if l.MaxBodyBytes <= 0 {
-		l.MaxBodyBytes = hardBody
+		l.MaxBodyBytes = fallbackMaxBodyBytes
 	}
 	if l.StallTimeout <= 0 {
-		l.StallTimeout = defaultSilence
+		l.StallTimeout = defaultStallTimeout
 	}
 	if l.IdleTimeout <= 0 {
-		l.IdleTimeout = defaultIdle
+		l.IdleTimeout = defaultIdleTimeout
 	}
 	return l
 }
 
 const (
-	// slowest is how many times Silence a whole request may take: a caller that
-	// sends a byte now and then holds a connection, and memory, for no use.
-	slowest = 10
-	// sweepEvery is how often connections are looked at.
-	sweepEvery = 250 * time.Millisecond
-	// linger is how long a refused caller may go on sending before its
-	// connection is closed. Closed at once, with bytes unread, the connection
-	// would be reset and the caller would not see the answer.
-	linger = time.Second
-	// framing is what chunked bodies may add to the bytes of a request.
-	framing = 16 << 10
+	// maxStallTimeouts bounds the time to send a whole request, in multiples of
+	// StallTimeout. A caller that sends a byte now and then would otherwise hold a
+	// connection and its memory without limit.
+	maxStallTimeouts = 10
+	// sweepInterval is how often the time limits of connections are checked.
+	sweepInterval = 250 * time.Millisecond
+	// rejectLinger is how long a connection stays open after its request was
+	// rejected. Closing it at once, with bytes unread, would reset it, and the
+	// caller would not see the answer.
+	rejectLinger = time.Second
+	// chunkingBytes is what chunked encoding may add to the size of a request.
+	chunkingBytes = 16 << 10
 )
 
-// tooMuch tells why the bytes of a request that is not whole yet are more than
-// any within the limits has; 0 if they are not.
-func (l Limits) tooMuch(bytes int) int {
-	if bytes > l.MaxHeaderBytes+l.MaxBodyBytes+l.MaxBodyBytes/4+framing {
+// checkSize returns the status to reject an incomplete request with if it is
+// already larger than the limits allow, or 0.
+func (l Limits) checkSize(bytes int) int {
+	if bytes > l.MaxHeaderBytes+l.MaxBodyBytes+l.MaxBodyBytes/4+chunkingBytes {
 		return http.StatusRequestEntityTooLarge
 	}
 	return 0
 }
 
-// refusal is the status that a whole request outside the limits gets; 0 for
-// none.
-func (l Limits) refusal(r *http.Request) int {
+// checkRequest returns the status to reject a complete request with, or 0 if it is
+// within the limits.
+func (l Limits) checkRequest(r *http.Request) int {
 	size := len(r.RequestURI)
 	for name, values := range r.Header {
 		for _, v := range values {
@@ -82,61 +83,62 @@
 	return 0
 }
 
-// verdict is what a connection's state asks for at a time.
-type verdict int
+// connAction is what a sweep does with a connection.
+type connAction int
 
 const (
-	// keep leaves the connection as it is.
-	keep verdict = iota
-	// closeNow ends a connection on which nothing is owed.
-	closeNow
-	// timeOut answers that the request did not come in time.
-	timeOut
+	// keepOpen leaves the connection open.
+	keepOpen connAction = iota
+	// closeConn closes a connection that waits for no answer.
+	closeConn
+	// rejectTimedOut answers that the request timed out.
+	rejectTimedOut
 )
 
-// judge looks at one connection. What has arrived and is not read yet counts as in
-// time.
-func (l Limits) judge(o *openConn, now time.Time) verdict {
+// nextAction returns what to do with a connection. Bytes that have arrived and
+// are not read yet count as in time.
+func (l Limits) nextAction(o *openConn, now time.Time) connAction {
 	switch {
 	case o.requests > 0:
-		return keep
-	case !o.refusedAt.IsZero():
-		if now.Sub(o.refusedAt) > linger {
-			return closeNow
+		return keepOpen
+	case !o.rejectedAt.IsZero():
+		if now.Sub(o.rejectedAt) > rejectLinger {
+			return closeConn
 		}
-	case !o.begunAt.IsZero():
-		if now.Sub(o.heardAt) > l.StallTimeout && !o.unread() || now.Sub(o.begunAt) > slowest*l.StallTimeout {
-			return timeOut
+	case !o.requestStarted.IsZero():
+		if now.Sub(o.lastRead) > l.StallTimeout && !o.hasUnread() || now.Sub(o.requestStarted) > maxStallTimeouts*l.StallTimeout {
+			return rejectTimedOut
 		}
-	case now.Sub(o.freed) > l.IdleTimeout && !o.unread():
-		return closeNow
+	case now.Sub(o.idleSince) > l.IdleTimeout && !o.hasUnread():
+		return closeConn
 	}
-	return keep
+	return keepOpen
 }
 
-// bareAnswer is an answer to a request that no handler has seen.
-func bareAnswer(status int) []byte {
+// errorResponse returns an HTTP response without a body, for a request that does
+// not reach a handler.
+func errorResponse(status int) []byte {
 	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))
 }
 
-// sweep closes connections that have rested too long, and returns those whose
-// request did not come in time.
-func (c *conns) sweep(l Limits, now time.Time) (late []net.Conn) {
-	var ended []net.Conn
+// sweep closes connections that were idle for too long, and returns those whose
+// request timed out.
+func (c *conns) sweep(l Limits, now time.Time) (timedOut []net.Conn) {
+	var expired []net.Conn
 	c.mu.Lock()
 	for _, o := range c.open {
-		switch l.judge(o, now) {
-		case closeNow:
-			ended = append(ended, o.conn)
-		case timeOut:
-			o.refusedAt = now
-			late = append(late, o.conn)
-		case keep:
+		switch l.nextAction(o, now) {
+		case closeConn:
+			expired = append(expired, o.conn)
+		case rejectTimedOut:
+			o.rejectedAt = now
+			timedOut = append(timedOut, o.conn)
+		case keepOpen:
 		}
 	}
 	c.mu.Unlock()
-	for _, conn := range ended {
-		_ = conn.Close() // an error says only that the caller was faster
+	for _, conn := range expired {
+		_ = conn.Close() // fails only if the caller closed it first
 	}
-	return late
+	return timedOut
 }
--- a/share/httpd/limits_test.go
+++ b/share/httpd/limits_test.go
@@ -15,14 +15,14 @@
 	"gotest.tools/v3/poll"
 )
 
-// limited serves an echo with small limits and opens a connection to it.
-func limited(t *testing.T, l Limits) (*Server, net.Conn) {
+// startEcho starts an echo server with limits and opens a connection to it.
+func startEcho(t *testing.T, l Limits) (*Server, net.Conn) {
 	t.Helper()
-	return limitedLoops(t, l, 0)
+	return startEchoLoops(t, l, 0)
 }
 
-// limitedLoops is limited with a number of event loops; 0 for the default.
-func limitedLoops(t *testing.T, l Limits, loops int) (*Server, net.Conn) {
+// startEchoLoops is startEcho with a number of event loops; 0 for the default.
+func startEchoLoops(t *testing.T, l Limits, loops int) (*Server, net.Conn) {
 	t.Helper()
 	s := &Server{Address: "127.0.0.1:0", Limits: l, pollers: loops, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -41,8 +41,8 @@
 	return s, c
 }
 
-// status reads one answer and drops its body.
-func status(t *testing.T, c net.Conn) int {
+// readStatus reads one answer, discards its body and returns its status.
+func readStatus(t *testing.T, c net.Conn) int {
 	t.Helper()
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	assert.NilError(t, err)
@@ -52,19 +52,19 @@
 	return res.StatusCode
 }
 
-// Guards against half-sent requests that hold their connections for good.
+// Guards against incomplete requests that hold their connections forever.
 func TestHalfSentRequestIsTimedOut(t *testing.T) {
-	_, c := limited(t, Limits{StallTimeout: 300 * time.Millisecond})
+	_, c := startEcho(t, Limits{StallTimeout: 300 * time.Millisecond})
 	_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nContent-Le")
 	assert.NilError(t, err)
-	assert.Equal(t, status(t, c), http.StatusRequestTimeout)
+	assert.Equal(t, readStatus(t, c), http.StatusRequestTimeout)
 	_, err = c.Read(make([]byte, 1))
 	assert.ErrorContains(t, err, "EOF")
 }
 
-// Guards against requests that come a byte at a time, with no pause over the limit.
+// Guards against requests that arrive a byte at a time, with pauses below the limit.
 func TestDrippingRequestIsTimedOut(t *testing.T) {
-	_, c := limited(t, Limits{StallTimeout: 100 * time.Millisecond})
+	_, c := startEcho(t, Limits{StallTimeout: 100 * time.Millisecond})
 	go func() {
 		_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nX: ")
 		for err == nil {
@@ -73,48 +73,48 @@
 		}
 	}()
 	began := time.Now()
-	assert.Equal(t, status(t, c), http.StatusRequestTimeout)
+	assert.Equal(t, readStatus(t, c), http.StatusRequestTimeout)
 	assert.Assert(t, time.Since(began) < 10*time.Second)
 }
 
-// Guards against slow callers being cut off although their pauses are within the limit.
+// Guards against rejecting slow callers whose pauses are within the limit.
 func TestSlowRequestIsServed(t *testing.T) {
-	_, c := limited(t, Limits{StallTimeout: 400 * time.Millisecond})
+	_, c := startEcho(t, Limits{StallTimeout: 400 * time.Millisecond})
 	for _, part := range []string{"POST / HTTP/1.1\r\nHost: h\r\n", "Content-Length: 4\r\n\r\n", "ab", "cd"} {
 		_, err := io.WriteString(c, part)
 		assert.NilError(t, err)
 		time.Sleep(200 * time.Millisecond)
 	}
-	assert.Equal(t, status(t, c), http.StatusOK)
+	assert.Equal(t, readStatus(t, c), http.StatusOK)
 }
 
-// Guards against callers of bodies over the limit that are reset while they send, without an answer.
+// Guards against a reset instead of an answer while a caller sends a body over the limit.
 func TestLargeBodyIsRefusedWithAnAnswer(t *testing.T) {
-	_, c := limited(t, Limits{MaxBodyBytes: 100 << 10})
+	_, c := startEcho(t, Limits{MaxBodyBytes: 100 << 10})
 	go func() {
 		_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3000000\r\n\r\n")
 		if err == nil {
-			_, _ = c.Write(bytes.Repeat([]byte("x"), 3000000)) // the server may close before it is through
+			_, _ = c.Write(bytes.Repeat([]byte("x"), 3000000)) // the server may close the connection earlier
 		}
 	}()
-	assert.Equal(t, status(t, c), http.StatusRequestEntityTooLarge)
+	assert.Equal(t, readStatus(t, c), http.StatusRequestEntityTooLarge)
 }
 
-// Guards against the same for bodies in chunks, whose size nobody has named.
+// Guards against a reset instead of an answer for chunked bodies, which name no size.
 func TestLargeChunkedBodyIsRefusedWithAnAnswer(t *testing.T) {
-	_, c := limited(t, Limits{MaxBodyBytes: 100 << 10})
+	_, c := startEcho(t, Limits{MaxBodyBytes: 100 << 10})
 	go func() {
 		_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for i := 0; i < 3000 && err == nil; i++ {
 			_, err = io.WriteString(c, "400\r\n"+strings.Repeat("x", 1024)+"\r\n")
 		}
 	}()
-	assert.Equal(t, status(t, c), http.StatusRequestEntityTooLarge)
+	assert.Equal(t, readStatus(t, c), http.StatusRequestEntityTooLarge)
 }
 
-// Guards against bodies within the limit that are cut off since they come in many pieces.
+// Guards against rejecting a body within the limit because it arrives in many pieces.
 func TestBodyWithinTheLimitIsTaken(t *testing.T) {
-	_, c := limited(t, Limits{MaxBodyBytes: 256 << 10})
+	_, c := startEcho(t, Limits{MaxBodyBytes: 256 << 10})
 	body := bytes.Repeat([]byte("0123456789abcdef"), 16<<10)
 	go func() {
 		_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 262144\r\n\r\n")
@@ -132,43 +132,43 @@
 	assert.Assert(t, bytes.Equal(got, body))
 }
 
-// Guards against headers over the limit that are taken.
+// Guards against accepting headers over the limit.
 func TestLargeHeaderIsRefused(t *testing.T) {
-	_, c := limited(t, Limits{MaxHeaderBytes: 4 << 10})
+	_, c := startEcho(t, Limits{MaxHeaderBytes: 4 << 10})
 	_, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\nX-Long: "+strings.Repeat("x", 8<<10)+"\r\n\r\n")
 	assert.NilError(t, err)
-	assert.Equal(t, status(t, c), http.StatusRequestHeaderFieldsTooLarge)
+	assert.Equal(t, readStatus(t, c), http.StatusRequestHeaderFieldsTooLarge)
 }
 
-// Guards against idle connections that stay open, or are closed before callers use them in time.
+// Guards against idle connections that stay open, or are closed before the timeout.
 func TestIdleConnectionIsClosedAfterItsTime(t *testing.T) {
-	_, c := limited(t, Limits{IdleTimeout: time.Second})
+	_, c := startEcho(t, Limits{IdleTimeout: time.Second})
 	for range 2 {
 		time.Sleep(800 * time.Millisecond)
 		_, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		assert.NilError(t, err)
-		assert.Equal(t, status(t, c), http.StatusOK)
+		assert.Equal(t, readStatus(t, c), http.StatusOK)
 	}
 	_, err := c.Read(make([]byte, 1))
 	assert.ErrorContains(t, err, "EOF")
 }
 
-// Guards against limits that do not hold for connections that were open when they changed.
+// Guards against new limits that do not apply to open connections.
 func TestLimitsAreReplacedWhileOpen(t *testing.T) {
-	s, c := limited(t, Limits{})
+	s, c := startEcho(t, Limits{})
 	_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\n")
 	assert.NilError(t, err)
 	s.SetLimits(Limits{StallTimeout: 200 * time.Millisecond})
-	assert.Equal(t, status(t, c), http.StatusRequestTimeout)
+	assert.Equal(t, readStatus(t, c), http.StatusRequestTimeout)
 }
 
-// Guards against callers that never read their large answers and hold up others, or the end.
+// Guards against callers that never read their large answers and block others, or Close.
 func TestCallersThatNeverReadHoldUpNobody(t *testing.T) {
 	large := bytes.Repeat([]byte("x"), 4<<20)
 	s := &Server{Address: "127.0.0.1:0", Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusOK)
 		if r.URL.Path == "/large" {
-			_, _ = w.Write(large) // its reader never reads
+			_, _ = w.Write(large) // the caller never reads it
 		}
 	})}
 	assert.NilError(t, s.Start())
@@ -186,7 +186,7 @@
 	for range 10 {
 		_, err = io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		assert.NilError(t, err)
-		assert.Equal(t, status(t, c), http.StatusOK)
+		assert.Equal(t, readStatus(t, c), http.StatusOK)
 	}
 	closed := make(chan error, 1)
 	go func() { closed <- s.Close() }()
@@ -194,15 +194,15 @@
 	case err := <-closed:
 		assert.NilError(t, err)
 	case <-time.After(5 * time.Second):
-		t.Fatal("the server does not close")
+		t.Fatal("Close did not return")
 	}
 }
 
 const plainRequest = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// holdNextRead keeps the event loop of a server with one from reading, from its next
-// turn until release is called; held is closed once it is kept.
-func holdNextRead(s *Server) (held <-chan struct{}, release func()) {
+// blockNextRead blocks the event loop of a server with one loop at its next read,
+// until release is called. held is closed once the loop is blocked.
+func blockNextRead(s *Server) (held <-chan struct{}, release func()) {
 	block, blocked := make(chan struct{}), make(chan struct{})
 	s.engine.OnRead(func(c *nbio.Conn) {
 		select {
@@ -211,16 +211,15 @@
 			close(blocked)
 			<-block
 		}
-		s.readable(c)
+		s.onReadable(c)
 	})
 	return blocked, func() { close(block) }
 }
 
-// hold keeps the event loop of a server with one from reading until the returned
-// function is called.
-func hold(t *testing.T, s *Server) (release func()) {
+// blockLoop blocks the event loop of a server with one loop until release is called.
+func blockLoop(t *testing.T, s *Server) (release func()) {
 	t.Helper()
-	held, release := holdNextRead(s)
+	held, release := blockNextRead(s)
 	c, err := net.Dial("tcp", s.Addr())
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
@@ -230,7 +229,7 @@
 	return release
 }
 
-// hasRead tells whether a connection has so many bytes of a request that is not whole.
+// hasRead reports whether a connection has read so many bytes of an incomplete request.
 func (c *conns) hasRead(bytes int) poll.Check {
 	return func(poll.LogT) poll.Result {
 		c.mu.Lock()
@@ -244,8 +243,8 @@
 	}
 }
 
-// Guards against a request that arrived in time and is reset, or told that it came too
-// late, since its host read it late.
+// Guards against a reset or a timeout for a request that arrived in time and was
+// read late by its host.
 func TestRequestsThatWaitUnreadAreServed(t *testing.T) {
 	const limit = 300 * time.Millisecond
 	for _, c := range []struct {
@@ -257,35 +256,35 @@
 		{"within a request", Limits{StallTimeout: limit}, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\na", "b"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s, conn := limitedLoops(t, c.limits, 1)
+			s, conn := startEchoLoops(t, c.limits, 1)
 			_, err := io.WriteString(conn, plainRequest)
 			assert.NilError(t, err)
-			assert.Equal(t, status(t, conn), http.StatusOK)
+			assert.Equal(t, readStatus(t, conn), http.StatusOK)
 			_, err = io.WriteString(conn, c.first)
 			assert.NilError(t, err)
 			poll.WaitOn(t, s.conns.hasRead(len(c.first)))
-			release := hold(t, s)
+			release := blockLoop(t, s)
 			_, err = io.WriteString(conn, c.rest)
 			assert.NilError(t, err)
-			time.Sleep(limit + 2*sweepEvery) // several sweeps find the connection over its limit
+			time.Sleep(limit + 2*sweepInterval) // several sweeps find the connection over its limit
 			release()
-			assert.Equal(t, status(t, conn), http.StatusOK)
+			assert.Equal(t, readStatus(t, conn), http.StatusOK)
 		})
 	}
 }
 
-// Guards against a request that arrived before its host left and is reset, since the
-// host reads it after it closed its idle connections.
+// Guards against a reset of a request that arrived before the host closed its
+// idle connections and was not read yet.
 func TestIdleCloseSparesRequestsThatWaitUnread(t *testing.T) {
-	s, conn := limitedLoops(t, Limits{}, 1)
+	s, conn := startEchoLoops(t, Limits{}, 1)
 	_, err := io.WriteString(conn, plainRequest)
 	assert.NilError(t, err)
-	assert.Equal(t, status(t, conn), http.StatusOK)
-	release := hold(t, s)
+	assert.Equal(t, readStatus(t, conn), http.StatusOK)
+	release := blockLoop(t, s)
 	_, err = io.WriteString(conn, plainRequest)
 	assert.NilError(t, err)
-	time.Sleep(2 * settleAfter) // until the connection counts as idle
+	time.Sleep(2 * idleGrace) // until the connection counts as idle
 	s.CloseIdle()
 	release()
-	assert.Equal(t, status(t, conn), http.StatusOK)
+	assert.Equal(t, readStatus(t, conn), http.StatusOK)
 }
--- a/share/httpd/reuse_test.go
+++ b/share/httpd/reuse_test.go
@@ -12,14 +12,14 @@
 	"gotest.tools/v3/poll"
 )
 
-// serverSide is the server's end of a connection.
+// serverSide returns the server's end of a connection.
 func (s *Server) serverSide(c net.Conn) net.Conn {
 	s.conns.mu.Lock()
 	defer s.conns.mu.Unlock()
 	return s.conns.open[c.LocalAddr().String()].conn
 }
 
-// socket makes a TCP socket that is not connected yet.
+// socket returns a TCP socket that is not connected yet.
 func socket(t *testing.T) int {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -38,61 +38,61 @@
 	assert.NilError(t, syscall.Connect(fd, to))
 }
 
-// Guards against a new connection that is closed by the end of a former one, whose
-// descriptor it has and whose event waits in the event loop.
+// Guards against closing a new connection that reuses the descriptor of a former
+// one, because the former one's close event still waits in the event loop.
 func TestNewConnectionOutlivesEventsOfFormerOnes(t *testing.T) {
-	const formers, settle = 5, 50 * time.Millisecond
-	s, first := limitedLoops(t, Limits{}, 1)
-	asked := []net.Conn{first}
-	for range formers + 1 {
-		asked = append(asked, dial(t, s).conn)
+	const formerConns, settle = 5, 50 * time.Millisecond
+	s, first := startEchoLoops(t, Limits{}, 1)
+	clients := []net.Conn{first}
+	for range formerConns + 1 {
+		clients = append(clients, dial(t, s).conn)
 	}
-	for _, c := range asked {
+	for _, c := range clients {
 		_, err := c.Write([]byte(plainRequest))
 		assert.NilError(t, err)
-		assert.Equal(t, status(t, c), http.StatusOK)
+		assert.Equal(t, readStatus(t, c), http.StatusOK)
 	}
-	// The loop reads from the first connection, then from the second, whose turn is in
-	// one batch with the ends of the others.
-	turns := make(chan chan struct{}, 2)
-	turn := []chan struct{}{make(chan struct{}), make(chan struct{})}
-	turns <- turn[0]
-	turns <- turn[1]
+	// The loop blocks in a read from the first connection, then in one from the
+	// second. The second read is in one batch with the close events of the others.
+	batches := make(chan chan struct{}, 2)
+	batch := []chan struct{}{make(chan struct{}), make(chan struct{})}
+	batches <- batch[0]
+	batches <- batch[1]
 	s.engine.OnRead(func(c *nbio.Conn) {
 		select {
-		case held := <-turns:
+		case held := <-batches:
 			<-held
 		default:
 		}
-		s.readable(c)
+		s.onReadable(c)
 	})
-	for _, c := range asked[:2] {
+	for _, c := range clients[:2] {
 		_, err := c.Write([]byte(plainRequest))
 		assert.NilError(t, err)
-		time.Sleep(settle) // the loop is held in the first, and the second waits
+		time.Sleep(settle) // the loop blocks in the first read; the second waits
 	}
-	fresh := []int{socket(t), socket(t), socket(t)}
-	for _, c := range asked[2:] {
+	newSockets := []int{socket(t), socket(t), socket(t)}
+	for _, c := range clients[2:] {
 		assert.NilError(t, c.(*net.TCPConn).CloseWrite())
 	}
-	time.Sleep(settle) // the ends cross loopback
-	close(turn[0])
+	time.Sleep(settle) // until the closes have crossed loopback
+	close(batch[0])
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if len(turns) == 0 {
+		if len(batches) == 0 {
 			return poll.Success()
 		}
 		return poll.Continue("the second batch has not begun")
 	})
-	for _, c := range asked[2:] {
+	for _, c := range clients[2:] {
 		assert.NilError(t, s.serverSide(c).Close())
 	}
-	for _, fd := range fresh {
+	for _, fd := range newSockets {
 		connect(t, fd, s)
 	}
-	time.Sleep(settle) // they are accepted
-	close(turn[1])
-	time.Sleep(settle) // the rest of the batch is handled
-	for _, fd := range fresh {
+	time.Sleep(settle) // until they are accepted
+	close(batch[1])
+	time.Sleep(settle) // until the rest of the batch is handled
+	for _, fd := range newSockets {
 		_, err := syscall.Write(fd, []byte(plainRequest))
 		assert.NilError(t, err)
 		answer := make([]byte, 16)
