--- a/share/fetch/line.go
+++ b/share/fetch/client.go
@@ -7,8 +7,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Client makes calls to one address, one at a time, over a connection that is
-// kept and replaced after any fault. Engine and Address are set before use.
+// Client makes calls to one address, one at a time, over a connection that it
+// keeps and replaces after any error. Engine and Address must be set before use.
 type Client struct {
 	Engine  *Engine
 	Address string
@@ -16,28 +16,28 @@
 	conn *Conn
 }
 
-// Do makes a call and waits for it, no longer than a timeout: a connection may
-// go silent for good while new ones work.
-func (l *Client) Do(r *http.Request, timeout time.Duration) (Reply, error) {
-	if l.conn == nil {
-		l.conn = &Conn{Engine: l.Engine, Address: l.Address}
+// Do makes a call and waits for the reply until the timeout. A connection may
+// stop responding for good while new ones work.
+func (c *Client) Do(r *http.Request, timeout time.Duration) (Reply, error) {
+	if c.conn == nil {
+		c.conn = &Conn{Engine: c.Engine, Address: c.Address}
 	}
-	reply, err := l.conn.wait(r, timeout)
+	reply, err := c.conn.wait(r, timeout)
 	if err != nil {
-		l.Disconnect()
+		c.Disconnect()
 	}
 	return reply, err
 }
 
-// Disconnect gives up the connection; the next call opens another.
-func (l *Client) Disconnect() {
-	if l.conn != nil {
-		l.conn.Close()
-		l.conn = nil
+// Disconnect closes the connection; the next call opens another.
+func (c *Client) Disconnect() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
 	}
 }
 
-// wait makes a call and waits for it.
+// wait makes a call and waits for the reply.
 func (c *Conn) wait(r *http.Request, timeout time.Duration) (Reply, error) {
 	type result struct {
 		reply Reply
@@ -52,7 +52,7 @@
 		return g.reply, g.err
 	case <-c.Engine.done:
 		// A connection that was opened while the engine stopped never gets a
-		// reply, and nobody would tell.
+		// reply, and the library doesn't report it.
 		return Reply{}, errors.Mark(errors.New("client is closed"), ErrConnLost)
 	case <-timer.C:
 		return Reply{}, errors.Mark(errors.Newf("no reply within %s", timeout), ErrConnLost)
--- a/share/fetch/fetch.go
+++ b/share/fetch/fetch.go
@@ -1,6 +1,6 @@
-// Package fetch makes HTTP calls over nbhttp, one connection at a time, and
-// tells a connection that could not be opened from one that was lost: only the
-// first proves that nothing was run.
+// Package fetch makes HTTP calls over nbhttp, one call at a time on each
+// connection. It distinguishes a connection that could not be opened from one
+// that was lost: only the first proves that the request did not run.
 package fetch
 
 import (
@@ -21,22 +21,23 @@
 
 // Errors of calls.
 var (
-	// ErrNotOpened: the connection could not be opened; nothing was sent.
+	// ErrNotOpened is returned if the connection could not be opened. Nothing was
+	// sent.
 	ErrNotOpened = errors.New("connection was not opened")
-	// ErrLost: the connection broke after it was open. What was sent may have
+	// ErrConnLost is returned if an open connection was lost. The request may have
 	// arrived.
 	ErrConnLost = errors.New("connection was lost")
-	// ErrTooLarge: the reply is larger than allowed.
+	// ErrTooLarge is returned if the reply is larger than MaxReplyBytes.
 	ErrTooLarge = errors.New("reply is too large")
 )
 
-// dialTimeout bounds the opening of a connection.
+// dialTimeout bounds the time to open a connection.
 const dialTimeout = time.Second
 
-// MaxReplyBytes is the largest reply taken, in bytes.
+// MaxReplyBytes is the size limit of a reply body.
 const MaxReplyBytes = 4 << 20
 
-// Reply is a whole HTTP reply.
+// Reply is a complete HTTP reply.
 type Reply struct {
 	Status int
 	Header http.Header
@@ -45,8 +46,8 @@
 
 // Engine drives the connections of a process.
 type Engine struct {
-	// Source is the IP that connections are opened from; empty leaves it to
-	// the system.
+	// Source is the IP that connections are opened from; if it is empty, the
+	// system chooses one.
 	Source string
 
 	engine *nbhttp.Engine
@@ -54,10 +55,10 @@
 	done   chan struct{}
 }
 
-// pollers is how many event loops drive connections.
+// pollers is the number of event loops that drive connections.
 const pollers = 2
 
-// Start makes the engine ready.
+// Start starts the event loops.
 func (e *Engine) Start() error {
 	e.engine = nbhttp.NewEngine(nbhttp.Config{
 		Name: "fetch", NPoller: pollers, MaxHTTPBodySize: MaxReplyBytes, SupportServerOnly: false,
@@ -66,8 +67,8 @@
 	return errors.Wrap(e.engine.Start(), "start http client")
 }
 
-// Close ends all connections and waits. Calls under way end with ErrLost; later
-// ones are not opened.
+// Close closes all connections and waits for the event loops. Calls in progress
+// end with ErrConnLost; later calls open no connection.
 func (e *Engine) Close() error {
 	if e.engine == nil {
 		return nil
@@ -90,23 +91,23 @@
 }
 
 // Conn is one connection, opened by its first call. It carries one call at a
-// time. After an error it is of no more use.
+// time, and can't be used again after an error.
 type Conn struct {
 	Engine *Engine
-	// Address is the IP and port.
+	// Address is the IP and port of the server.
 	Address string
-	// OnClose is called once the connection is closed, by either side; it may
-	// be nil. It must not call the Conn.
+	// OnClose is called once either side has closed the connection; it may be
+	// nil. It must not call the Conn.
 	OnClose func()
 
 	mu     sync.Mutex
 	client *nbhttp.ClientConn
 	opened bool
-	shut   bool
+	closed bool
 }
 
 // Do sends a request and calls done once, from another goroutine. It may block
-// while the connection is opened.
+// until the connection is open.
 func (c *Conn) Do(r *http.Request, done func(Reply, error)) {
 	client, ok := c.start()
 	if !ok {
@@ -125,7 +126,7 @@
 func (c *Conn) start() (*nbhttp.ClientConn, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.shut || c.Engine.closed() {
+	if c.closed || c.Engine.closed() {
 		return nil, false
 	}
 	if c.client == nil {
@@ -149,7 +150,8 @@
 	return conn, nil
 }
 
-// SourceAddr is the local address to dial from, or nil to leave it open.
+// SourceAddr returns the local address to dial from, or nil if the system is to
+// choose one.
 func SourceAddr(ip string) net.Addr {
 	parsed := net.ParseIP(ip)
 	if parsed == nil || parsed.IsUnspecified() {
@@ -171,7 +173,7 @@
 	if res.Body == nil {
 		return reply, nil
 	}
-	defer func() { _ = res.Body.Close() }() // it is read to the end below
+	defer func() { _ = res.Body.Close() }() // the body is read to its end below
 	reply.Body, err = io.ReadAll(io.LimitReader(res.Body, MaxReplyBytes+1))
 	if err != nil {
 		return Reply{}, errors.Mark(errors.Wrap(err, "read reply"), ErrConnLost)
@@ -182,19 +184,19 @@
 	return reply, nil
 }
 
-// Close closes the connection. A call under way ends with ErrLost. It must not
-// be called from within done.
+// Close closes the connection. A call in progress ends with ErrConnLost. Close
+// must not be called from within done.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	client := c.client
-	c.shut = true
+	c.closed = true
 	c.mu.Unlock()
 	if client != nil {
 		client.Close()
 	}
 }
 
-// Request builds a request with a body; empty for none.
+// Request returns a request with a JSON body, or without one if body is empty.
 func Request(method, address, path string, body []byte) (*http.Request, error) {
 	r, err := http.NewRequest(method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
@@ -207,12 +209,12 @@
 	return r, nil
 }
 
-// Get makes one call over a connection of its own and waits for it.
+// Get sends a GET request over a new connection and waits for the reply.
 func Get(e *Engine, address, path string, timeout time.Duration) (Reply, error) {
 	return Call(e, http.MethodGet, address, path, nil, timeout)
 }
 
-// Call makes one call over a connection of its own and waits for it.
+// Call sends a request over a new connection and waits for the reply.
 func Call(e *Engine, method, address, path string, body []byte, timeout time.Duration) (Reply, error) {
 	r, err := Request(method, address, path, body)
 	if err != nil {
@@ -221,7 +223,7 @@
 	return CallRequest(e, address, r, timeout)
 }
 
-// CallRequest sends a request over a connection of its own and waits for it.
+// CallRequest sends r over a new connection and waits for the reply.
 func CallRequest(e *Engine, address string, r *http.Request, timeout time.Duration) (Reply, error) {
 	c := &Conn{Engine: e, Address: address}
 	defer c.Close()
--- a/share/fetch/fetch_test.go
+++ b/share/fetch/fetch_test.go
@@ -12,14 +12,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// deaf accepts connections and never answers.
-func deaf(t *testing.T) string {
+// listenSilent returns the address of a server that accepts connections and never
+// answers.
+func listenSilent(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		for {
 			if _, err := ln.Accept(); err != nil {
 				return
@@ -28,19 +29,20 @@
 	}()
 	t.Cleanup(func() {
 		_ = ln.Close()
-		<-ended
+		<-done
 	})
 	return ln.Addr().String()
 }
 
-// A program that is told to stop hangs for half a minute. It waits for a watch
-// at the platform; the HTTP engine has stopped, so nobody will ever answer.
+// Guards against a program that hangs for half a minute when it is stopped: it
+// waits for a watch at the platform, and no reply can arrive because the HTTP
+// engine has stopped.
 func TestCloseEndsCallsUnderWay(t *testing.T) {
 	ignore := goleak.IgnoreCurrent()
-	t.Cleanup(func() { goleak.VerifyNone(t, ignore) }) // runs after deaf's
+	t.Cleanup(func() { goleak.VerifyNone(t, ignore) }) // runs after the cleanup of listenSilent
 	e := &Engine{}
 	assert.NilError(t, e.Start())
-	addr := deaf(t)
+	addr := listenSilent(t)
 	got := make(chan error, 1)
 	go func() {
 		_, err := Get(e, addr, "/", time.Minute)
@@ -65,8 +67,8 @@
 	assert.Assert(t, errors.Is(err, ErrNotOpened))
 }
 
-// A command line program that asks one question never ends: it stops the engine
-// before its event loops have begun, and they miss it.
+// Guards against a command line program that never ends after its only call: it
+// stops the engine before the event loops run, and they miss the stop.
 func TestCloseRightAfterStart(t *testing.T) {
 	for range 20 {
 		e := &Engine{}
@@ -75,15 +77,15 @@
 	}
 }
 
-// Guards against a Close that never ends where the event loops begin late, because
-// other work holds the processors.
+// Guards against a Close that never returns if the event loops start late, because
+// other work keeps the processors busy.
 func TestCloseBeforeLoopsHaveBegun(t *testing.T) {
 	former := runtime.GOMAXPROCS(1)
 	defer runtime.GOMAXPROCS(former)
-	const busy = 60
+	const spinners = 60
 	var stop atomic.Bool
 	defer stop.Store(true)
-	for range busy {
+	for range spinners {
 		go func() {
 			for !stop.Load() {
 			}
@@ -91,13 +93,13 @@
 	}
 	e := &Engine{}
 	assert.NilError(t, e.Start())
-	ended := make(chan error, 1)
-	go func() { ended <- e.Close() }()
+	closed := make(chan error, 1)
+	go func() { closed <- e.Close() }()
 	time.AfterFunc(2*time.Second, func() { stop.Store(true) })
 	select {
-	case err := <-ended:
+	case err := <-closed:
 		assert.NilError(t, err)
 	case <-time.After(10 * time.Second):
-		t.Fatal("Close has not ended")
+		t.Fatal("Close did not return")
 	}
 }
