--- a/share/evloop/loops_test.go
+++ b/share/evloop/evloop_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a loop that gets none of the connections, because the free
-// descriptors leave the same remainder each time.
+// Guards against a loop that is assigned none of the connections, because the free
+// descriptors have the same remainder each time.
 func TestEveryLoopIsReached(t *testing.T) {
 	for _, loops := range []int{1, 2, 3, 4} {
 		for _, gap := range []int{0, 1, 2, 3} {
@@ -21,10 +21,10 @@
 					defer func() { assert.NilError(t, f.Close()) }()
 				}
 				g := nbio.NewEngine(nbio.Config{NPoller: loops})
-				var l Prober
-				g.OnData(func(c *nbio.Conn, _ []byte) { l.HandleProbe(c) })
+				var p Prober
+				g.OnData(func(c *nbio.Conn, _ []byte) { p.HandleProbe(c) })
 				assert.NilError(t, g.Start())
-				assert.NilError(t, l.AwaitLoops(g, loops))
+				assert.NilError(t, p.AwaitLoops(g, loops))
 				g.Stop()
 			})
 		}
