--- a/share/netio/netio.go
+++ b/share/netio/netio.go
@@ -1,5 +1,5 @@
-// Package netio sets up the network library for the whole process. Packages that
-// start engines of the library import it.
+// Package netio sets up the network library for the whole process. Every package
+// that starts an engine of the library imports it.
 package netio
 
 import (
@@ -8,9 +8,9 @@
 )
 
 func init() {
-	// The library logs to standard output, which belongs to the programs.
+	// The library logs to standard output, which the programs use for their output.
 	logging.SetLevel(logging.LevelNone)
-	// The library writes to buffers that it has freed, and frees some twice. Its default
-	// allocator would give such a buffer to two connections.
+	// The library writes to buffers that it has freed, and frees some of them twice.
+	// With its default allocator, two connections would share such a buffer.
 	mempool.DefaultMemPool = mempool.NewSTD()
 }
