--- a/share/conf/conf.go
+++ b/share/conf/conf.go
@@ -1,5 +1,5 @@
-// Package conf reads YAML files strictly: every fault is reported with its
-// file, line and key, and a file with a fault is taken not at all.
+// Package conf reads YAML files strictly: it reports every fault with its file,
+// line and key, and rejects a file that has any fault.
 package conf
 
 import (
@@ -15,18 +15,18 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// ErrInvalid marks every error about the contents of a file.
+// ErrInvalid marks every error in the contents of a file.
 var ErrInvalid = errors.New("invalid file")
 
-// Fault is one thing wrong in a file.
+// Fault is one error in a file.
 type Fault struct {
 	File string
-	// Line counts from 1; 0 means the file as a whole.
+	// Line counts from 1; 0 stands for the whole file.
 	Line int
 	// Key is the path of the faulty key, such as servers[3].slots.
 	Key     string
 	Problem string
-	// Hint says what to do about it; it may be empty.
+	// Hint says how to fix the fault; it may be empty.
 	Hint string
 }
 
@@ -44,22 +44,22 @@
 	return b.String()
 }
 
-// Faults is a list of faults as an error; errors.Is(err, ErrInvalid) holds.
-type Faults []Fault //nolint:errname // the plural says that it is a list
+// Faults is a list of faults that is an error. It matches ErrInvalid in errors.Is.
+type Faults []Fault //nolint:errname // a list of faults, not a single error
 
-// Error lists the faults, one a line.
+// Error returns the faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
-	for i, one := range f {
-		lines[i] = one.String()
+	for i, fault := range f {
+		lines[i] = fault.String()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Is makes a list of faults match ErrInvalid.
+// Is reports whether the target is ErrInvalid.
 func (f Faults) Is(target error) bool { return target == ErrInvalid }
 
-// Err returns the list as an error, or nil when it is empty.
+// Err returns the list as an error, sorted by file and line, or nil if it is empty.
 func (f Faults) Err() error {
 	if len(f) == 0 {
 		return nil
@@ -73,32 +73,32 @@
 	return f
 }
 
-// Source is a file that can tell the line of a key. It is parsed for that only
-// when a fault is found: the parsed form takes some seventy times the memory of
-// the text.
+// Source is a file in which the lines of keys can be looked up. It keeps the text and
+// parses it for a lookup, which only a fault needs: the parsed form takes about 70
+// times the memory of the text.
 type Source struct {
 	File string
 	body []byte
 }
 
-// Line returns the line of the value at a path such as servers[3].slots, or of
-// its nearest parent that is in the file.
+// Line returns the line of the value at a path such as servers[3].slots, or of its
+// nearest parent that is in the file.
 func (s Source) Line(key string) int {
 	for key != "" {
-		if n := s.find(key); n != nil {
+		if n := s.findNode(key); n != nil {
 			return n.GetToken().Position.Line
 		}
-		key = parent(key)
+		key = parentKey(key)
 	}
 	return 1
 }
 
-// Fault makes a fault about a key of this file.
+// Fault returns a fault for a key of this file.
 func (s Source) Fault(key, problem, hint string) Fault {
 	return Fault{File: s.File, Line: s.Line(key), Key: key, Problem: problem, Hint: hint}
 }
 
-func (s Source) find(key string) ast.Node {
+func (s Source) findNode(key string) ast.Node {
 	tree, err := parser.ParseBytes(s.body, 0)
 	if err != nil {
 		return nil
@@ -114,7 +114,7 @@
 	return n
 }
 
-func parent(key string) string {
+func parentKey(key string) string {
 	i := strings.LastIndexAny(key, ".[")
 	if i < 0 {
 		return ""
@@ -123,28 +123,28 @@
 }
 
 // Decode reads a YAML body into a pointer to a struct with yaml and validate
-// tags. It returns the source for further checks, and Faults when anything is
-// wrong.
-func Decode(file string, body []byte, into any) (Source, error) {
+// tags. It returns the source for further checks, and Faults if the file is
+// invalid.
+func Decode(file string, body []byte, target any) (Source, error) {
 	src := Source{File: file, body: body}
 	tree, err := parser.ParseBytes(body, 0)
 	if err != nil {
-		return src, Faults{fromYAML(file, err)}
+		return src, Faults{yamlFault(file, err)}
 	}
 	var faults Faults
 	for _, doc := range tree.Docs {
 		if doc.Body != nil {
-			faults = append(faults, unknownKeys(file, "", doc.Body, reflect.TypeOf(into).Elem())...)
+			faults = append(faults, unknownKeys(file, "", doc.Body, reflect.TypeOf(target).Elem())...)
 		}
 	}
-	if err := yaml.Unmarshal(body, into); err != nil {
-		return src, append(faults, fromYAML(file, err)).Err()
+	if err := yaml.Unmarshal(body, target); err != nil {
+		return src, append(faults, yamlFault(file, err)).Err()
 	}
-	return src, append(faults, check(src, into)...).Err()
+	return src, append(faults, validateStruct(src, target)...).Err()
 }
 
-// fromYAML keeps the position that the YAML library found.
-func fromYAML(file string, err error) Fault {
+// yamlFault returns a fault with the position that the YAML library reports.
+func yamlFault(file string, err error) Fault {
 	f := Fault{File: file, Line: 1, Problem: err.Error()}
 	var y yaml.Error
 	if errors.As(err, &y) {
@@ -156,9 +156,9 @@
 	return f
 }
 
-// unknownKeys walks the tree beside the type. The library's own strict mode
-// stops at the first unknown key; an operator wants to see them all.
-func unknownKeys(file, at string, n ast.Node, t reflect.Type) Faults {
+// unknownKeys compares the keys of a node with the fields of a type. The library's
+// own strict mode stops at the first unknown key, and operators need all of them.
+func unknownKeys(file, parentPath string, n ast.Node, t reflect.Type) Faults {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
@@ -169,21 +169,21 @@
 			return nil
 		}
 		for i, item := range n.Values {
-			faults = append(faults, unknownKeys(file, fmt.Sprintf("%s[%d]", at, i), item, t.Elem())...)
+			faults = append(faults, unknownKeys(file, fmt.Sprintf("%s[%d]", parentPath, i), item, t.Elem())...)
 		}
 	case *ast.MappingNode:
 		if t.Kind() != reflect.Struct {
 			return nil
 		}
-		known := keys(t)
+		known := yamlKeys(t)
 		for _, pair := range n.Values {
 			key := pair.Key.String()
-			path := strings.TrimPrefix(at+"."+key, ".")
+			path := strings.TrimPrefix(parentPath+"."+key, ".")
 			field, ok := known[key]
 			if !ok {
 				faults = append(faults, Fault{
 					File: file, Line: pair.Key.GetToken().Position.Line, Key: path,
-					Problem: "unknown key", Hint: "known here: " + names(known),
+					Problem: "unknown key", Hint: "known here: " + joinNames(known),
 				})
 				continue
 			}
@@ -193,7 +193,7 @@
 	return faults
 }
 
-func keys(t reflect.Type) map[string]reflect.Type {
+func yamlKeys(t reflect.Type) map[string]reflect.Type {
 	known := make(map[string]reflect.Type, t.NumField())
 	for i := range t.NumField() {
 		f := t.Field(i)
@@ -204,7 +204,7 @@
 	return known
 }
 
-func names(known map[string]reflect.Type) string {
+func joinNames(known map[string]reflect.Type) string {
 	list := make([]string, 0, len(known))
 	for k := range known {
 		list = append(list, k)
@@ -221,15 +221,15 @@
 	return name
 }
 
-var rules = func() *validator.Validate {
+var validate = func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(yamlName)
 	return v
 }()
 
-// check runs the validate tags and maps each failure to its key and line.
-func check(src Source, v any) Faults {
-	err := rules.Struct(v)
+// validateStruct checks the validate tags and maps each failure to its key and line.
+func validateStruct(src Source, v any) Faults {
+	err := validate.Struct(v)
 	var list validator.ValidationErrors
 	if !errors.As(err, &list) {
 		return nil
@@ -237,12 +237,12 @@
 	faults := make(Faults, 0, len(list))
 	for _, e := range list {
 		_, key, _ := strings.Cut(e.Namespace(), ".")
-		faults = append(faults, src.Fault(key, problem(e), ""))
+		faults = append(faults, src.Fault(key, describe(e), ""))
 	}
 	return faults
 }
 
-func problem(e validator.FieldError) string {
+func describe(e validator.FieldError) string {
 	switch e.Tag() {
 	case "required":
 		return "missing"
