--- a/share/daemon/daemon.go
+++ b/share/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon is the frame of the long-running programs: arguments,
-// settings, logs, metrics, the admin address, and an orderly end on a signal.
+// Package daemon runs the long-running programs: it parses arguments, loads
+// settings, sets up logs, metrics and the admin address, and shuts down on a signal.
 package daemon
 
 import (
@@ -22,7 +22,7 @@
 	"dandelionstile/share/spans"
 )
 
-// Version is the release, as in CHANGELOG.md.
+// Version is the release version, as in CHANGELOG.md.
 const Version = "0.1.0"
 
 // Exit codes of the programs.
@@ -32,7 +32,7 @@
 	ExitSettings = 2
 )
 
-// VersionText is what --version prints.
+// VersionText returns the output of --version.
 func VersionText(program string) string {
 	text := "dandelionstile " + program + " " + Version
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -41,18 +41,18 @@
 	return text
 }
 
-// Arguments are the flags that all daemons have. Those that are given override
-// the settings file.
+// Arguments are the flags of all daemons. A flag that is set overrides the
+// settings file.
 type Arguments struct {
 	Settings string `arg:"--settings,-s,required" placeholder:"FILE" help:"settings file (YAML)"`
-	Check    bool   `arg:"--check" help:"check the settings and exit"`
-	LogLevel string `arg:"--log-level" placeholder:"LEVEL" help:"debug, info, warn or error"`
-	Admin    string `arg:"--admin" placeholder:"IP:PORT" help:"address of the admin endpoint"`
-	Links    string `arg:"--links" placeholder:"IP:PORT" help:"address for links between hosts"`
+	Check    bool   `arg:"--check" help:"validate the settings and exit"`
+	LogLevel string `arg:"--log-level" placeholder:"LEVEL" help:"log level: debug, info, warn or error"`
+	Admin    string `arg:"--admin" placeholder:"IP:PORT" help:"listen address of the admin endpoint"`
+	Links    string `arg:"--links" placeholder:"IP:PORT" help:"listen address for links between hosts"`
 	Platform string `arg:"--platform" placeholder:"IP:PORT" help:"address of the platform"`
 }
 
-func (a Arguments) override(s *node.Settings) {
+func (a Arguments) overrideSettings(s *node.Settings) {
 	for _, o := range []struct {
 		from string
 		to   *string
@@ -68,7 +68,7 @@
 	}
 }
 
-// Env is what a program starts from.
+// Env holds what a program is started with.
 type Env struct {
 	Settings node.Settings
 	Log      zerolog.Logger
@@ -79,21 +79,21 @@
 // Service is a running program.
 type Service struct {
 	Admin http.Handler
-	// Leave ends the service's work in order; a second signal skips it.
+	// Leave drains the service; a second signal skips it.
 	Leave func()
 	Close func() error
 }
 
 // Main runs a program and returns its exit code. The arguments are parsed into
-// all, which embeds common.
-func Main(program string, all any, common *Arguments, start func(Env) (Service, error)) int {
-	arg.MustParse(all)
+// args, which embeds common.
+func Main(program string, args any, common *Arguments, start func(Env) (Service, error)) int {
+	arg.MustParse(args)
 	settings, err := node.Load(common.Settings)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return ExitSettings
 	}
-	common.override(&settings)
+	common.overrideSettings(&settings)
 	if common.Check {
 		fmt.Println("settings are valid")
 		return ExitOK
@@ -127,7 +127,7 @@
 		return errors.CombineErrors(err, service.Close())
 	}
 	log.Info().Str("admin", admin.Addr()).Str("links", settings.Listen.Links).Msg("started")
-	wait(log, service.Leave)
+	awaitShutdown(log, service.Leave)
 	err = service.Close()
 	err = errors.CombineErrors(err, admin.Close())
 	err = errors.CombineErrors(err, m.Close())
@@ -136,25 +136,25 @@
 	return err
 }
 
-// wait returns when a signal has come and the service has left, or at a second
-// signal.
-func wait(log zerolog.Logger, leave func()) {
+// awaitShutdown returns when the service has drained after a signal, or at a
+// second signal.
+func awaitShutdown(log zerolog.Logger, leave func()) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
 	first := <-signals
 	log.Info().Str("signal", first.String()).Msg("leaving")
-	left := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		leave()
-		close(left)
+		close(done)
 	}()
 	select {
-	case <-left:
+	case <-done:
 	case second := <-signals:
-		log.Warn().Str("signal", second.String()).Msg("second signal: work under way is cut")
+		log.Warn().Str("signal", second.String()).Msg("second signal; aborting work in progress")
 	}
 }
 
-// MarkInvalid marks an error as one of the settings, for the exit code.
+// MarkInvalid marks an error as caused by the settings, for the exit code.
 func MarkInvalid(err error) error { return errors.Mark(err, conf.ErrInvalid) }
