--- a/share/logs/bounded.go
+++ b/share/logs/bounded.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// gather is how long lines are collected before they are written, so that
-	// a busy second costs some twenty writes and not thousands.
-	gather = 50 * time.Millisecond
-	// queueBytes is how much waits for a reader that is slow, per kind of
-	// line. Beyond it lines are left out and counted.
-	queueBytes = 256 << 10
-	// closeWait bounds how long Close waits for a reader that has stopped.
-	closeWait = time.Second
+	// flushInterval is how long lines are collected before they are written. It
+	// limits a busy second to about twenty writes instead of thousands.
+	flushInterval = 50 * time.Millisecond
+	// maxQueueBytes bounds each queue of lines that wait for a slow reader. Lines
+	// beyond it are dropped and counted.
+	maxQueueBytes = 256 << 10
+	// closeTimeout bounds how long Close waits for a reader that is blocked.
+	closeTimeout = time.Second
 )
 
-// BoundedWriter passes log lines on without ever blocking who writes them. Lines at
-// warning level and above have a queue of their own, so that a flood of lines
-// about requests that went well leaves no failure unexplained.
+// BoundedWriter forwards log lines without ever blocking the goroutines that log.
+// Lines at warning level and above have their own queue, so that a flood of lines
+// about successful requests doesn't drop the cause of a failure.
 type BoundedWriter struct {
 	out io.Writer
 
-	mu      sync.Mutex
-	usual   queue
-	failure queue
-	ready   chan struct{}
-	stop    chan struct{}
-	done    chan struct{}
-	once    sync.Once
+	mu        sync.Mutex
+	normal    queue
+	failures  queue
+	ready     chan struct{}
+	stop      chan struct{}
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
 type queue struct {
@@ -42,30 +42,30 @@
 }
 
 func (q *queue) add(line []byte) {
-	if q.buf.Len()+len(line) > queueBytes {
+	if q.buf.Len()+len(line) > maxQueueBytes {
 		q.dropped++
 		return
 	}
 	q.buf.Write(line)
 }
 
-// NewBoundedWriter starts passing lines on to a writer.
+// NewBoundedWriter returns a BoundedWriter that forwards lines to out.
 func NewBoundedWriter(out io.Writer) *BoundedWriter {
 	b := &BoundedWriter{out: out, ready: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	go b.run()
 	return b
 }
 
-// Write takes a line of unknown level.
+// Write queues a line without a level.
 func (b *BoundedWriter) Write(line []byte) (int, error) { return b.WriteLevel(zerolog.InfoLevel, line) }
 
-// WriteLevel takes a line; zerolog calls it.
+// WriteLevel queues a line; zerolog calls it.
 func (b *BoundedWriter) WriteLevel(level zerolog.Level, line []byte) (int, error) {
 	b.mu.Lock()
 	if level >= zerolog.WarnLevel {
-		b.failure.add(line)
+		b.failures.add(line)
 	} else {
-		b.usual.add(line)
+		b.normal.add(line)
 	}
 	b.mu.Unlock()
 	select {
@@ -85,39 +85,39 @@
 			return
 		}
 		select {
-		case <-time.After(gather):
+		case <-time.After(flushInterval):
 		case <-b.stop:
 		}
 		b.flush()
 	}
 }
 
-// flush writes what has gathered, failures first.
+// flush writes the queued lines, failures first.
 func (b *BoundedWriter) flush() {
 	b.mu.Lock()
-	lines := make([]byte, 0, b.failure.buf.Len()+b.usual.buf.Len())
-	for _, q := range []*queue{&b.failure, &b.usual} {
+	lines := make([]byte, 0, b.failures.buf.Len()+b.normal.buf.Len())
+	for _, q := range []*queue{&b.failures, &b.normal} {
 		lines = append(lines, q.buf.Bytes()...)
 		q.buf.Reset()
 	}
-	lost, lostFailures := b.usual.dropped, b.failure.dropped
-	b.usual.dropped, b.failure.dropped = 0, 0
+	dropped, droppedFailures := b.normal.dropped, b.failures.dropped
+	b.normal.dropped, b.failures.dropped = 0, 0
 	b.mu.Unlock()
-	if lost+lostFailures > 0 {
-		lines = append(lines, `{"level":"warn","message":"log-lines-left-out","usual":`+strconv.Itoa(lost)+
-			`,"failures":`+strconv.Itoa(lostFailures)+"}\n"...)
+	if dropped+droppedFailures > 0 {
+		lines = append(lines, `{"level":"warn","message":"log-lines-left-out","usual":`+strconv.Itoa(dropped)+
+			`,"failures":`+strconv.Itoa(droppedFailures)+"}\n"...)
 	}
 	if len(lines) > 0 {
-		_, _ = b.out.Write(lines) // there is nowhere left to report it
+		_, _ = b.out.Write(lines) // there is no other place to report an error
 	}
 }
 
-// Close writes what is left and waits, but not for ever.
+// Close writes the queued lines and waits for that, at most for closeTimeout.
 func (b *BoundedWriter) Close() error {
-	b.once.Do(func() { close(b.stop) })
+	b.closeOnce.Do(func() { close(b.stop) })
 	select {
 	case <-b.done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 	return nil
 }
--- a/share/logs/bounded_test.go
+++ b/share/logs/bounded_test.go
@@ -12,32 +12,32 @@
 	"gotest.tools/v3/poll"
 )
 
-// stuck is a reader that takes nothing until it is freed.
-type stuck struct {
-	free chan struct{}
+// blockedWriter blocks all writes until unblock is closed.
+type blockedWriter struct {
+	unblock chan struct{}
 
-	mu  sync.Mutex
-	got bytes.Buffer
+	mu      sync.Mutex
+	written bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.free
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.unblock
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(p)
+	return s.written.Write(p)
 }
 
-func (s *stuck) text() string {
+func (s *blockedWriter) text() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.String()
+	return s.written.String()
 }
 
-// Whoever reads the log stops reading. Writers go on without waiting; when it
-// reads again it gets what was kept, with failures among it although many more
-// lines about ordinary requests came, and the number that was left out.
+// Guards against a log reader that stops reading and blocks the program, and
+// against failures that are dropped when the queue overflows with lines about
+// successful requests. The number of dropped lines is logged.
 func TestLogNeverBlocksAndKeepsFailures(t *testing.T) {
-	s := &stuck{free: make(chan struct{})}
+	s := &blockedWriter{unblock: make(chan struct{})}
 	b := NewBoundedWriter(s)
 	log := zerolog.New(b)
 	began := time.Now()
@@ -48,26 +48,26 @@
 		log.Warn().Msg("refused")
 	}
 	assert.Assert(t, time.Since(began) < 5*time.Second)
-	close(s.free)
+	close(s.unblock)
 	assert.NilError(t, b.Close())
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if strings.Contains(s.text(), "log-lines-left-out") {
 			return poll.Success()
 		}
-		return poll.Continue("not told of yet")
+		return poll.Continue("no line about dropped lines yet")
 	})
 	assert.Equal(t, strings.Count(s.text(), "refused"), 10)
 	assert.Assert(t, strings.Count(s.text(), `"answered"`) < 50000)
 }
 
-// A reader that never reads again does not keep a program from ending.
+// Guards against a reader that never reads again and keeps the program from exiting.
 func TestCloseDoesNotWaitForEver(t *testing.T) {
-	s := &stuck{free: make(chan struct{})}
+	s := &blockedWriter{unblock: make(chan struct{})}
 	b := NewBoundedWriter(s)
 	log := zerolog.New(b)
 	log.Warn().Msg("last")
 	began := time.Now()
 	assert.NilError(t, b.Close())
-	assert.Assert(t, time.Since(began) < 3*closeWait)
-	close(s.free)
+	assert.Assert(t, time.Since(began) < 3*closeTimeout)
+	close(s.unblock)
 }
--- a/share/logs/logs.go
+++ b/share/logs/logs.go
@@ -1,4 +1,4 @@
-// Package logs makes the programs' loggers.
+// Package logs creates the loggers of the programs.
 package logs
 
 import (
@@ -8,8 +8,8 @@
 	"github.com/rs/zerolog"
 )
 
-// New returns a logger that writes JSON lines of a level and above. The program
-// and host stand on every line.
+// New returns a logger that writes JSON lines at a level and above. Each line has
+// the program and the host.
 func New(w io.Writer, level, program, host string) (zerolog.Logger, error) {
 	l, err := zerolog.ParseLevel(level)
 	if err != nil {
