--- a/share/meter/meter.go
+++ b/share/meter/meter.go
@@ -1,6 +1,6 @@
-// Package meter counts what the programs do, by tally, and serves the counts in
-// Prometheus' form. Labels come from the inventory and from fixed lists, never
-// from callers, so their number is bounded.
+// Package meter records metrics with tally and serves them in the Prometheus
+// format. Label values come from the inventory and from fixed lists, never from
+// callers, so their number is bounded.
 package meter
 
 import (
@@ -13,11 +13,11 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportEvery is how often tally hands its counts on.
-const reportEvery = time.Second
+// reportInterval is how often tally reports its metrics to the Prometheus registry.
+const reportInterval = time.Second
 
-// sanitize lets label values stand as the inventory has them.
-var sanitize = tally.SanitizeOptions{
+// sanitizeOptions permits the characters that names in the inventory have.
+var sanitizeOptions = tally.SanitizeOptions{
 	NameCharacters: prometheus.DefaultSanitizerOpts.NameCharacters,
 	KeyCharacters:  prometheus.DefaultSanitizerOpts.KeyCharacters,
 	ValueCharacters: tally.ValidCharacters{
@@ -26,7 +26,7 @@
 	ReplacementCharacter: tally.DefaultReplacementCharacter,
 }
 
-// Meter is the root of a program's metrics. The zero value counts nothing.
+// Meter is the root of a program's metrics. The zero value records nothing.
 type Meter struct {
 	scope    tally.Scope
 	closer   io.Closer
@@ -38,15 +38,15 @@
 	registry := prom.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{
 		Registerer: registry, Gatherer: registry,
-		OnRegisterError: func(error) {}, // a clash of names costs one metric, not the program
+		OnRegisterError: func(error) {}, // a duplicate name loses one metric and doesn't stop the program
 	})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "dandelionstile", Tags: map[string]string{"program": program},
 		CachedReporter: reporter, Separator: prometheus.DefaultSeparator,
-		SanitizeOptions: &sanitize,
-		// tally's metrics about itself would double the page.
+		SanitizeOptions: &sanitizeOptions,
+		// tally's metrics about itself would double the size of the page.
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
+	}, reportInterval)
 	return &Meter{scope: scope, closer: closer, reporter: reporter}
 }
 
@@ -84,15 +84,15 @@
 	500 * time.Millisecond, time.Second, 2 * time.Second, 5 * time.Second,
 }
 
-// Latency records a time in a histogram.
+// Latency records a duration in a histogram.
 func (m *Meter) Latency(name string, d time.Duration, labels ...Label) {
 	m.tagged(labels).Histogram(name, latencyBuckets).RecordDuration(d)
 }
 
-// Handler serves the metrics page.
+// Handler returns a handler that serves the metrics page.
 func (m *Meter) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
-// Close reports what is left and waits.
+// Close reports the remaining metrics and waits for it.
 func (m *Meter) Close() error {
 	if m == nil || m.closer == nil {
 		return nil
