--- a/share/spans/spans.go
+++ b/share/spans/spans.go
@@ -1,5 +1,5 @@
-// Package spans records a trace span per hop. Spans go to a file, one JSON
-// object a line, as OpenTelemetry's stdout exporter writes them.
+// Package spans records a trace span per hop. Spans are written to a file, one
+// JSON object per line, in the format of OpenTelemetry's stdout exporter.
 package spans
 
 import (
@@ -15,15 +15,15 @@
 	api "go.opentelemetry.io/otel/trace"
 )
 
-// Tracer makes spans. The zero value makes spans that go nowhere.
+// Tracer starts spans. The zero value starts spans that record nothing.
 type Tracer struct {
 	provider *trace.TracerProvider
 	tracer   api.Tracer
 	file     *os.File
 }
 
-// New returns a tracer that writes a share of all traces to a file. An empty
-// path turns tracing off.
+// New returns a tracer that writes the given ratio of all traces to a file. An
+// empty path disables tracing.
 func New(path, program, host string, ratio float64) (*Tracer, error) {
 	if path == "" {
 		return &Tracer{}, nil
@@ -34,7 +34,7 @@
 	}
 	exporter, err := stdouttrace.New(stdouttrace.WithWriter(file))
 	if err != nil {
-		return nil, errors.CombineErrors(errors.Wrap(err, "make trace exporter"), file.Close())
+		return nil, errors.CombineErrors(errors.Wrap(err, "create trace exporter"), file.Close())
 	}
 	res := resource.NewSchemaless(
 		attribute.String("service.name", "dandelionstile-"+program),
@@ -48,14 +48,14 @@
 	return &Tracer{provider: p, tracer: p.Tracer("dandelionstile"), file: file}, nil
 }
 
-// Span is one hop's part of a trace. The zero value records nothing.
+// Span is the part of a trace on one hop. The zero value records nothing.
 type Span struct {
 	span api.Span
 	ctx  context.Context
 }
 
-// Start begins a span below the parent that a traceparent text names; with
-// none, a new trace.
+// Start starts a span as a child of the parent in a traceparent header, or as the
+// root of a new trace if parent is empty.
 func (t *Tracer) Start(parent, name string, attrs ...attribute.KeyValue) Span {
 	if t == nil || t.tracer == nil {
 		return Span{}
@@ -68,8 +68,8 @@
 	return Span{span: span, ctx: ctx}
 }
 
-// Parent is the text that names this span as a parent; empty when it is not
-// recorded.
+// Parent returns the traceparent header for children of this span, or an empty
+// string if the span is not sampled.
 func (s Span) Parent() string {
 	if s.span == nil || !s.span.SpanContext().IsSampled() {
 		return ""
@@ -79,14 +79,14 @@
 	return carrier["traceparent"]
 }
 
-// Event adds a decision to the span.
+// Event adds an event to the span.
 func (s Span) Event(name string, attrs ...attribute.KeyValue) {
 	if s.span != nil {
 		s.span.AddEvent(name, api.WithAttributes(attrs...))
 	}
 }
 
-// Set adds attributes.
+// Set sets attributes of the span.
 func (s Span) Set(attrs ...attribute.KeyValue) {
 	if s.span != nil {
 		s.span.SetAttributes(attrs...)
@@ -100,7 +100,7 @@
 	}
 }
 
-// Close writes what is left and waits.
+// Close writes the remaining spans and closes the file.
 func (t *Tracer) Close() error {
 	if t == nil || t.provider == nil {
 		return nil
