--- a/share/query/query.go
+++ b/share/query/query.go
@@ -1,5 +1,5 @@
-// Package query holds the types that travel with a request: calls to leafs,
-// their outcomes, and the answer with its coverage.
+// Package query holds the types of a request: calls to leaves, their outcomes,
+// and the answer with its coverage.
 package query
 
 import (
@@ -9,24 +9,24 @@
 	"dandelionstile/share/topo"
 )
 
-// Kind is the final word on a call or an update.
+// Kind is the result of a call or an update.
 type Kind uint8
 
-// The kinds. Only OK carries a result.
+// The kinds of results. Only OK carries rows or a body.
 const (
-	// OK: the leaf answered.
+	// OK means that the leaf answered.
 	OK Kind = iota + 1
-	// NotRun: no byte of the request left for a leaf.
+	// NotRun means that no byte of the request was sent to a leaf.
 	NotRun
-	// Shed: the request reached the leaf, which says that it did not run it.
+	// Shed means that the leaf received the request and reports that it did not run it.
 	Shed
-	// Unknown: the request may have run.
+	// Unknown means that the request may have run.
 	Unknown
-	// Died: the leaf's server went down while it had the request.
+	// Died means that the leaf's server crashed while it had the request.
 	Died
 )
 
-// String returns the kind as it is written in answers and logs.
+// String returns the kind as it appears in answers and logs.
 func (k Kind) String() string {
 	switch k {
 	case OK:
@@ -43,7 +43,7 @@
 	return "invalid"
 }
 
-// MayHaveRun tells whether the request may have run.
+// MayHaveRun reports whether the request may have run.
 func (k Kind) MayHaveRun() bool { return k != NotRun && k != Shed }
 
 // Reason says why a call or request has no result. The values appear in
@@ -80,9 +80,9 @@
 	ReasonReused      Reason = "id-reused"
 	ReasonLeafError   Reason = "leaf-error"
 	ReasonBusy        Reason = "link-busy"
-	// ReasonCallerGone ends a query whose caller has closed its connection.
+	// ReasonCallerGone ends a query whose caller has closed the connection.
 	ReasonCallerGone Reason = "caller-gone"
-	// ReasonProven answers a canary that need not run: the aggregator knows
+	// ReasonProven answers a canary that does not run, because the aggregator knows
 	// that a leaf survived the request.
 	ReasonProven Reason = "proven"
 )
@@ -94,8 +94,8 @@
 	Text  string
 }
 
-// Before orders rows: best score first, then by key, so that the order is the
-// same on every host.
+// Before reports whether r sorts before o: by score, the best first, then by key,
+// so that the order is the same on every host.
 func (r Row) Before(o Row) bool {
 	if r.Score != o.Score {
 		return r.Score > o.Score
@@ -103,42 +103,42 @@
 	return r.Key < o.Key
 }
 
-// Merge sorts rows, drops later rows with a key already seen, and keeps at most
-// limit of them.
+// Merge sorts rows, removes later rows with the same key, and returns at most limit
+// of them.
 func Merge(rows []Row, limit int) []Row {
 	sort.SliceStable(rows, func(i, j int) bool { return rows[i].Before(rows[j]) })
 	seen := make(map[string]struct{}, min(limit, len(rows)))
-	kept := rows[:0]
+	merged := rows[:0]
 	for _, r := range rows {
-		if len(kept) == limit {
+		if len(merged) == limit {
 			break
 		}
-		if _, twice := seen[r.Key]; twice {
+		if _, duplicate := seen[r.Key]; duplicate {
 			continue
 		}
 		seen[r.Key] = struct{}{}
-		kept = append(kept, r)
+		merged = append(merged, r)
 	}
-	return kept
+	return merged
 }
 
-// Feedback is what an aggregator knows of one leaf.
+// Feedback is the state of one leaf as its aggregator reports it.
 type Feedback struct {
 	Leaf string
-	// Busy and Queued count the requests at the leaf and before it; Limit is
-	// how many the aggregator sends to it at once.
+	// Busy and Queued count the requests that the leaf runs and those that wait for
+	// it; Limit is how many the aggregator sends to it at once.
 	Busy   int
 	Queued int
 	Limit  int
-	// Holds are the snapshots that the leaf has.
+	// Holds lists the snapshots that the leaf has.
 	Holds []topo.SnapshotID
-	// Closed: the leaf takes no new work for now.
+	// Closed is set while the leaf accepts no new work.
 	Closed bool
-	// CallTime is how long its recent calls took, in ms; 0 when not known.
+	// CallTime is the duration of the leaf's recent calls in ms, or 0 if unknown.
 	CallTime float64
 }
 
-// Outcome is the final word on one call to a leaf.
+// Outcome is the result of one call to a leaf.
 type Outcome struct {
 	Call       uint64
 	Kind       Kind
@@ -148,31 +148,31 @@
 	// Body is the result of an update.
 	Body string
 	Took clock.Milli
-	// Strikes counts, with kind Died, the servers that the request has brought
-	// down; RetryAfter is then how long it is refused.
+	// Strikes counts, if Kind is Died, the servers that the request has crashed.
+	// RetryAfter is then how long the request is rejected.
 	Strikes int
-	// Feedback is nil when the aggregator has nothing to say of the leaf.
+	// Feedback is nil if the aggregator reports nothing about the leaf.
 	Feedback *Feedback
 }
 
-// Missing is a shard that an answer lacks.
+// Missing is a shard that is not in an answer.
 type Missing struct {
 	Shard  int
 	Reason Reason
 }
 
-// Coverage tells how much of the pinned partition map an answer rests on.
+// Coverage says how much of the pinned partition map an answer includes.
 type Coverage struct {
 	Shards   int
 	Answered int
 	Missing  []Missing
 }
 
-// Complete tells whether every shard is in the answer.
+// Complete reports whether every shard is in the answer.
 func (c Coverage) Complete() bool { return c.Answered == c.Shards }
 
-// Answer is what a caller gets for a query. With a Reason it is a refusal, and
-// RetryAfter says when to come back.
+// Answer is the answer to a caller's query. If Refused is set, the query was
+// rejected, and RetryAfter is when the caller may retry it.
 type Answer struct {
 	Pin        topo.SnapshotID
 	Rows       []Row
