--- a/share/admin/show.go
+++ b/share/admin/admin.go
@@ -1,5 +1,5 @@
-// Package show holds the bodies of the programs' admin endpoints, as the
-// programs write them and `stile` reads them.
+// Package admin holds the bodies of the programs' admin endpoints, which the
+// programs write and `stile` reads.
 package admin
 
 import (
@@ -9,7 +9,7 @@
 	"dandelionstile/share/query"
 )
 
-// Status is the body of /v1/status. An aggregator fills Leafs, an entry
+// Status is the body of /v1/status. An aggregator sets Leaves, an entry sets
 // Services.
 type Status struct {
 	Node     Node      `json:"node"`
@@ -18,7 +18,7 @@
 	Strikes  []Strike  `json:"quarantine,omitempty"`
 }
 
-// Node is what both programs tell of themselves.
+// Node is the part of the status that both programs have.
 type Node struct {
 	Host        string `json:"host"`
 	Domain      string `json:"failure-domain"`
@@ -27,29 +27,29 @@
 	Ready       bool   `json:"ready"`
 	Leaving     bool   `json:"leaving"`
 	Watching    bool   `json:"watching"`
-	// PlatformAge is how long ago the platform was last heard by anyone this
-	// program knows of, in ms; -1 for never.
+	// PlatformAge is the time since any process that this program knows of last
+	// heard from the platform, in ms; -1 if none has.
 	PlatformAge int64     `json:"platform-age-ms"`
 	Versions    []Version `json:"versions"`
 	Refused     []Refused `json:"refused"`
 	Peers       []Peer    `json:"peers"`
 }
 
-// Version is a version in force.
+// Version is the version of a key that is in use.
 type Version struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
 	Digest  uint64 `json:"digest"`
 }
 
-// Refused is a version that was found invalid.
+// Refused is a version that was rejected as invalid.
 type Refused struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
 	Reason  string `json:"why"`
 }
 
-// Peer is a link.
+// Peer is a host that this one has a link to.
 type Peer struct {
 	Name    string `json:"name"`
 	Leaving bool   `json:"leaving"`
@@ -71,7 +71,7 @@
 	Closed    string `json:"closed"`
 }
 
-// Service is what an entry could answer for a service now.
+// Service is the coverage that an entry could give a service's queries now.
 type Service struct {
 	Service  string    `json:"service"`
 	Snapshot string    `json:"snapshot"`
@@ -80,13 +80,13 @@
 	Missing  []Missing `json:"missing"`
 }
 
-// Missing is a shard that an answer lacks, or would lack.
+// Missing is a shard that an answer lacks or would lack.
 type Missing struct {
 	Shard  int    `json:"shard"`
 	Reason string `json:"reason"`
 }
 
-// Strike is a request that is refused.
+// Strike is a request that is rejected because it crashed servers.
 type Strike struct {
 	Fingerprint string `json:"fingerprint"`
 	Count       int    `json:"count"`
@@ -118,7 +118,7 @@
 	Cause string `json:"cause"`
 }
 
-// MissingFrom maps the missing shards of a coverage.
+// MissingFrom converts the missing shards of a coverage.
 func MissingFrom(list []query.Missing) []Missing {
 	out := make([]Missing, len(list))
 	for i, m := range list {
@@ -127,7 +127,7 @@
 	return out
 }
 
-// StrikesFrom maps the strikes of a table.
+// StrikesFrom converts the strikes of a table.
 func StrikesFrom(list []deny.Strike) []Strike {
 	out := make([]Strike, len(list))
 	for i, s := range list {
