--- a/share/wire/map.go
+++ b/share/wire/map.go
@@ -1,5 +1,5 @@
 // Package wire holds the messages between dandelionstile's processes, generated
-// from wire.proto, and maps the ones that both programs use to domain types.
+// from wire.proto, and converts those that both programs use to domain types.
 package wire
 
 import (
@@ -8,7 +8,7 @@
 	"dandelionstile/share/topo"
 )
 
-// OutcomeTo maps an outcome to its message.
+// OutcomeTo converts an outcome to its message.
 func OutcomeTo(o query.Outcome) *Outcome {
 	w := &Outcome{
 		Call: o.Call, Kind: uint32(o.Kind), Reason: string(o.Reason),
@@ -23,8 +23,8 @@
 	return w
 }
 
-// OutcomeFrom maps a message to an outcome. A kind that is not known counts as
-// unknown, the one that promises least.
+// OutcomeFrom converts a message to an outcome. An unrecognized kind becomes
+// query.Unknown, which guarantees the least.
 func OutcomeFrom(w *Outcome) query.Outcome {
 	o := query.Outcome{
 		Call: w.GetCall(), Kind: KindFrom(w.GetKind()), Reason: query.Reason(w.GetReason()),
@@ -40,7 +40,7 @@
 	return o
 }
 
-// KindFrom maps a number to a kind.
+// KindFrom converts a number to a kind.
 func KindFrom(n uint32) query.Kind {
 	if n < uint32(query.OK) || n > uint32(query.Died) {
 		return query.Unknown
@@ -48,24 +48,24 @@
 	return query.Kind(n)
 }
 
-// FeedbackTo maps feedback to its message.
+// FeedbackTo converts feedback to its message.
 func FeedbackTo(fb query.Feedback) *Feedback {
 	w := &Feedback{
 		Leaf: fb.Leaf, Busy: uint32(fb.Busy), Limit: uint32(fb.Limit), Queued: uint32(fb.Queued), Closed: fb.Closed, PaceMs: float32(fb.CallTime),
 	}
-	for _, p := range fb.Holds {
-		w.Holds = append(w.Holds, &Snapshot{Layout: p.Layout, Version: p.Version})
+	for _, s := range fb.Holds {
+		w.Holds = append(w.Holds, &Snapshot{Layout: s.Layout, Version: s.Version})
 	}
 	return w
 }
 
-// FeedbackFrom maps a message to feedback.
+// FeedbackFrom converts a message to feedback.
 func FeedbackFrom(w *Feedback) query.Feedback {
 	fb := query.Feedback{
 		Leaf: w.GetLeaf(), Busy: int(w.GetBusy()), Limit: int(w.GetLimit()), Queued: int(w.GetQueued()), Closed: w.GetClosed(), CallTime: float64(w.GetPaceMs()),
 	}
-	for _, p := range w.GetHolds() {
-		fb.Holds = append(fb.Holds, topo.SnapshotID{Layout: p.GetLayout(), Version: p.GetVersion()})
+	for _, s := range w.GetHolds() {
+		fb.Holds = append(fb.Holds, topo.SnapshotID{Layout: s.GetLayout(), Version: s.GetVersion()})
 	}
 	return fb
 }
