--- a/share/router/caller_test.go
+++ b/share/router/caller_test.go
@@ -9,15 +9,15 @@
 	"dandelionstile/share/clock"
 )
 
-// Guards against the time that a repeat has lost being taken for the round trip to all
-// callers behind its address, which are then answered too early.
-func TestRepeatsLeaveRoundTripsAlone(t *testing.T) {
+// Guards against taking the time that a retry has lost for the round trip to all callers
+// behind its address: their answers would leave too early.
+func TestRetriesDoNotChangeRoundTrips(t *testing.T) {
 	var c callers
-	assert.Equal(t, c.roundTrip("gateway:1", 0), clock.Milli(0), "an open connection tells nothing")
-	assert.Equal(t, c.roundTrip("gateway:1", 40), clock.Milli(0), "a repeat on an open connection")
+	assert.Equal(t, c.roundTrip("gateway:1", 0), clock.Milli(0), "a request with its full wait shows no round trip")
+	assert.Equal(t, c.roundTrip("gateway:1", 40), clock.Milli(0), "a retry on an open connection")
 	assert.Equal(t, c.roundTrip("gateway:2", 6), clock.Milli(6), "the first request of a connection")
-	assert.Equal(t, c.roundTrip("gateway:2", 3), clock.Milli(6), "a later one")
-	assert.Equal(t, c.roundTrip("gateway:3", 18), clock.Milli(6), "a repeat on a new connection")
+	assert.Equal(t, c.roundTrip("gateway:2", 3), clock.Milli(6), "a later request of the connection")
+	assert.Equal(t, c.roundTrip("gateway:3", 18), clock.Milli(6), "a retry on a new connection")
 	assert.Equal(t, c.roundTrip("gateway:1", 0), clock.Milli(6))
 	assert.Equal(t, c.roundTrip("other:1", maxRoundTrip+1), clock.Milli(0), "too long to be a round trip")
 }
@@ -31,5 +31,5 @@
 		c.roundTrip("kept:1", 40)
 	}
 	assert.Assert(t, len(c.roundTrips) <= maxCallers && len(c.recent)+len(c.former) <= 2*maxCallers)
-	assert.Equal(t, c.roundTrip("kept:1", 40), clock.Milli(0), "a connection that is used is not forgotten")
+	assert.Equal(t, c.roundTrip("kept:1", 40), clock.Milli(0), "a connection in use is not forgotten")
 }
--- a/share/router/crash_test.go
+++ b/share/router/crash_test.go
@@ -11,42 +11,42 @@
 	"dandelionstile/share/roster"
 )
 
-// crashRig has a service of many leafs and passes crashes on to a second host.
+// crashRig returns a rig with a service of eight leaves and a route without retries.
 func crashRig(t *testing.T) *rig {
 	t.Helper()
 	r := newRig(t)
-	var leafs []roster.Leaf
+	var leaves []roster.Leaf
 	for i := range 8 {
-		leafs = append(leafs, leafOf("s", fmt.Sprintf("leaf-%d", i), here))
+		leaves = append(leaves, leafOf("s", fmt.Sprintf("leaf-%d", i), nearDomain))
 	}
-	one := single(true)
+	one := singleRoute(true)
 	one.Attempts = 1
-	r.handle(Facts{Table: table(1, one), Leaves: leafs})
+	r.handle(Facts{Table: table(1, one), Leaves: leaves})
 	return r
 }
 
-// down lets the leaf that got a request go down under it: the connection
-// breaks, and the next request that goes there finds nobody.
-func (r *rig) down(s Send) {
-	r.ends(s, call.Broken)
+// crashLeaf crashes the leaf that a request was sent to: the connection breaks, and the
+// next connection to the leaf is refused.
+func (r *rig) crashLeaf(s Send) {
+	r.fail(s, call.Broken)
 	r.engine.leafDown(r.now, r.engine.leaves[s.Leaf])
 	for _, a := range r.engine.actions {
-		if tell, ok := a.(SendCrashReports); ok {
-			r.told = append(r.told, tell.List...)
+		if reports, ok := a.(SendCrashReports); ok {
+			r.crashReports = append(r.crashReports, reports.List...)
 		}
 	}
 	r.engine.leaves[s.Leaf].unhealthy = true
 	r.engine.leaves[s.Leaf].probeAt = r.now + 100000
 }
 
-// A request brings down each leaf that runs it, and its caller sends it again
-// and again. After three leafs it is refused at once, here and on a host that
-// has only been told of it; other requests are served.
-func TestRequestThatBringsLeafsDownIsRefused(t *testing.T) {
+// A request crashes each leaf that runs it, and its caller sends it again and again. After
+// three leaves it is refused at once, here and on a host that knows of it only by crash
+// reports; other requests are served.
+func TestRequestThatCrashesLeavesIsRefused(t *testing.T) {
 	r := crashRig(t)
 	for range crash.BlockThreshold {
 		r.arrive("/one/bad", 4000)
-		r.down(r.last())
+		r.crashLeaf(r.last())
 	}
 	sent := len(r.sends)
 	q := r.arrive("/one/bad", 4000)
@@ -56,39 +56,38 @@
 	assert.Equal(t, len(r.sends), sent+1)
 
 	other := crashRig(t)
-	other.handle(CrashReports{List: r.told})
+	other.handle(CrashReports{List: r.crashReports})
 	q = other.arrive("/one/bad", 4000)
 	assert.Equal(t, other.answers[q].Refusal, Harmful)
 	assert.Equal(t, len(other.sends), 0)
-	other.pass(crash.ReportTTL + 1)
+	other.advance(crash.ReportTTL + 1)
 	other.arrive("/one/bad", 4000)
-	assert.Equal(t, len(other.sends), 1, "it is forgotten in the end")
+	assert.Equal(t, len(other.sends), 1, "the request was refused after the crash reports had expired")
 }
 
-// Leafs lose answers and live on: connections break, and the next one is
-// accepted. No request is blamed, however often it is sent.
+// Leaves lose replies without a crash: connections break, and the next one is accepted. No
+// request is blamed, however often it is sent.
 func TestLostAnswersBlameNoRequest(t *testing.T) {
 	r := crashRig(t)
 	for range 20 {
 		r.arrive("/one/x", 4000)
-		r.ends(r.last(), call.Broken)
-		r.pass(2000)
+		r.fail(r.last(), call.Broken)
+		r.advance(2000)
 	}
 	q := r.arrive("/one/x", 4000)
 	_, refused := r.answers[q]
 	assert.Assert(t, !refused)
 }
 
-// A request brings down each leaf that runs it and is sent once in a while. No
-// other request follows to the leafs that went down, which are avoided: a connection check
-// finds each of them gone, or the request would never be told from one whose
-// answers are lost.
-func TestLeafThatWentDownIsFoundGoneByAConnCheck(t *testing.T) {
+// A request that crashes each leaf that runs it is sent rarely, and no other request follows
+// to the crashed leaves, which are avoided. A connection check detects each crash; without
+// it, the request could not be distinguished from one whose replies are lost.
+func TestConnCheckFindsCrashedLeaf(t *testing.T) {
 	r := crashRig(t)
 	for range crash.BlockThreshold {
 		r.arrive("/one/bad", 4000)
 		s := r.last()
-		r.ends(s, call.Broken)
+		r.fail(s, call.Broken)
 		var checks []CheckConn
 		for _, a := range r.engine.actions {
 			if k, ok := a.(CheckConn); ok {
@@ -97,109 +96,109 @@
 		}
 		assert.DeepEqual(t, checks, []CheckConn{{Leaf: s.Leaf, Address: s.Address}})
 		r.handle(ConnRefused{Leaf: s.Leaf})
-		r.pass(3000)
+		r.advance(3000)
 	}
 	q := r.arrive("/one/bad", 4000)
 	assert.Equal(t, r.answers[q].Refusal, Harmful)
 }
 
-// Half of all answers are lost for a while. A leaf has a connection check now and then, not
-// once for each.
+// All replies are lost for two seconds. A leaf gets a connection check now and then, not one
+// for each lost reply.
 func TestLostAnswersCauseFewConnChecks(t *testing.T) {
 	r := crashRig(t)
 	checks := 0
 	for range 200 {
 		r.arrive("/one/x", 4000)
-		r.ends(r.last(), call.Broken)
+		r.fail(r.last(), call.Broken)
 		for _, a := range r.engine.actions {
 			if _, ok := a.(CheckConn); ok {
 				checks++
 			}
 		}
-		r.pass(10)
+		r.advance(10)
 	}
-	most := 8 * (200*10/int(connCheckPause) + 1)
-	assert.Assert(t, checks <= most, "%d checks at 8 leafs in two seconds, at most %d", checks, most)
+	limit := 8 * (200*10/int(connCheckPause) + 1)
+	assert.Assert(t, checks <= limit, "%d checks at 8 leaves in two seconds, at most %d", checks, limit)
 }
 
-// Many callers send the same request, and leafs answer it well. Then four leafs
-// die of something else, each with one of these requests on it, one after the
-// other or all at once. The request goes on being served: blamed for the leafs,
-// it would be refused for as long as callers go on sending it.
-func TestPopularRequestIsNotBlamedForLeafsThatDie(t *testing.T) {
+// Many callers send the same request, and leaves answer it. Then four leaves crash for
+// another reason while they run it, one after the other or at once. The request must still
+// be served: once blamed for the crashes, it would be refused for as long as callers send
+// it.
+func TestPopularRequestIsNotBlamedForCrashes(t *testing.T) {
 	t.Run("one after the other", func(t *testing.T) {
 		r := crashRig(t)
 		for range crash.BlockThreshold + 1 {
 			r.arrive("/one/popular", 4000)
-			r.good(r.last())
+			r.reply(r.last())
 			r.arrive("/one/popular", 4000)
-			r.down(r.last())
-			r.pass(500)
+			r.crashLeaf(r.last())
+			r.advance(500)
 		}
-		r.servesPopular()
+		r.assertServesPopular()
 	})
 	t.Run("at once", func(t *testing.T) {
 		r := crashRig(t)
 		r.arrive("/one/popular", 4000)
-		r.good(r.last())
+		r.reply(r.last())
 		var sends []Send
-		at := map[string]bool{}
-		for len(at) <= crash.BlockThreshold {
+		leaves := map[string]bool{}
+		for len(leaves) <= crash.BlockThreshold {
 			r.arrive("/one/popular", 4000)
 			sends = append(sends, r.last())
-			at[r.last().Leaf] = true
+			leaves[r.last().Leaf] = true
 		}
 		for _, s := range sends {
 			if !r.engine.leaves[s.Leaf].unhealthy {
-				r.down(s)
+				r.crashLeaf(s)
 			}
 		}
-		r.servesPopular()
+		r.assertServesPopular()
 	})
-	t.Run("told by another host", func(t *testing.T) {
+	t.Run("reported by another host", func(t *testing.T) {
 		r := crashRig(t)
 		r.arrive("/one/popular", 4000)
-		r.good(r.last())
-		r.handle(CrashReports{List: strikesOf("/one/popular", 5)})
-		r.servesPopular()
+		r.reply(r.last())
+		r.handle(CrashReports{List: crashReportsFor("/one/popular", 5)})
+		r.assertServesPopular()
 	})
-	t.Run("answered after the blame", func(t *testing.T) {
+	t.Run("answered after the report", func(t *testing.T) {
 		r := crashRig(t)
 		r.arrive("/one/popular", 4000)
-		open := r.last()
-		r.handle(CrashReports{List: strikesOf("/one/popular", 5)})
-		r.good(open)
-		r.servesPopular()
+		pending := r.last()
+		r.handle(CrashReports{List: crashReportsFor("/one/popular", 5)})
+		r.reply(pending)
+		r.assertServesPopular()
 	})
 }
 
-// A request was served well until its leafs were replaced by a version that it
-// brings down. What it was before protects it only for a while.
+// A request was served until its leaves were replaced by a version that it crashes. Its
+// earlier replies protect it only for a while.
 func TestRequestThatTurnsHarmfulIsRefused(t *testing.T) {
 	r := crashRig(t)
 	r.arrive("/one/x", 4000)
-	r.good(r.last())
-	r.pass(2*crash.ProvenTTL + 1)
+	r.reply(r.last())
+	r.advance(2*crash.ProvenTTL + 1)
 	for range crash.BlockThreshold {
 		r.arrive("/one/x", 4000)
-		r.down(r.last())
+		r.crashLeaf(r.last())
 	}
 	q := r.arrive("/one/x", 4000)
 	assert.Equal(t, r.answers[q].Refusal, Harmful)
 }
 
-// strikesOf are another host's crashes for a request.
-func strikesOf(path string, leafs int) []crash.Report {
+// crashReportsFor returns another host's crash reports on a request.
+func crashReportsFor(path string, leaves int) []crash.Report {
 	fingerprint := fingerprint(&call.Request{Method: "GET", Host: "h", Target: path})
 	var list []crash.Report
-	for i := range leafs {
+	for i := range leaves {
 		list = append(list, crash.Report{Fingerprint: fingerprint, Leaf: fmt.Sprintf("elsewhere-%d", i), Age: 100})
 	}
 	return list
 }
 
-// servesPopular checks that the popular request is sent to a leaf.
-func (r *rig) servesPopular() {
+// assertServesPopular checks that the popular request is sent to a leaf.
+func (r *rig) assertServesPopular() {
 	r.t.Helper()
 	sent := len(r.sends)
 	q := r.arrive("/one/popular", 4000)
--- a/share/router/forward_test.go
+++ b/share/router/forward_test.go
@@ -10,26 +10,26 @@
 	"dandelionstile/share/roster"
 )
 
-const helperAddress = "10.0.0.9:7001"
+const peerAddress = "10.0.0.9:7001"
 
-// farRig has four shards beside it and four that only the far region has, and
-// knows a host there.
+// farRig returns a rig with four shards that have near leaves, four that have far leaves
+// only, and a far host.
 func farRig(t *testing.T) *rig {
 	t.Helper()
 	r := newRig(t)
-	leafs := pairs(4)
+	leaves := leafPairs(4)
 	for i := 4; i < 8; i++ {
 		s := fmt.Sprintf("s%d", i)
-		leafs = append(leafs, leafOf(s, s+"-far", there), leafOf(s, s+"-far2", there))
+		leaves = append(leaves, leafOf(s, s+"-far", farDomain), leafOf(s, s+"-far2", farDomain))
 	}
-	r.handle(Facts{Table: table(7, merged(8)), Leaves: leafs})
-	r.handle(Peers{List: []Peer{{Address: helperAddress, Domain: there, Started: 1}}})
+	r.handle(Facts{Table: table(7, shardedRoute(8)), Leaves: leaves})
+	r.handle(Peers{List: []Peer{{Address: peerAddress, Domain: farDomain, Started: 1}}})
 	return r
 }
 
-// Half of a query's shards have leafs in another region only. They cross the
-// long way as one request to a host there, which is told which shards, by which
-// configuration and until when; its answer is merged with the near replies.
+// Half of a query's shards have leaves in another region only. They are forwarded in one
+// request to a host there, with their names, the configuration version and the target; its
+// answer is merged with the near replies.
 func TestFarShardsAreForwardedTogether(t *testing.T) {
 	r := farRig(t)
 	q := r.arrive("/all/x", 1500)
@@ -40,7 +40,7 @@
 	assert.Equal(t, forward.Version, uint64(7))
 	assert.Assert(t, forward.Target < 250-defaultMargin)
 	for _, s := range r.sends {
-		r.good(s)
+		r.reply(s)
 	}
 	r.handle(Done{Call: forward.Call, Kind: call.Answered, ProcessingTime: 20, Reply: &call.Reply{
 		Status: 200, Stamp: "a, b, c", Missing: []string{"s6"},
@@ -50,29 +50,29 @@
 	assert.DeepEqual(t, m.Missing, []string{"s6"})
 }
 
-// The other host refuses because it has not begun: it knows an older
-// configuration, or is leaving. Its shards are asked for from here.
+// The other host refuses a forward that it has not begun: it has an older configuration, or
+// shuts down. The shards' leaves are called from here.
 func TestForwardThatWasRefusedIsServedFromHere(t *testing.T) {
 	r := farRig(t)
 	q := r.arrive("/all/x", 1500)
 	r.handle(Done{Call: r.forwards[0].Call, Kind: call.Shed, Cause: "stale"})
 	assert.Equal(t, len(r.sends), 8)
 	for _, s := range r.sends {
-		r.good(s)
+		r.reply(s)
 	}
 	assert.Equal(t, len(r.answers[q].Merged.Parts), 8)
 }
 
-// The other host dies long after it was asked. It may have asked two leafs for
-// a shard by then, as many as the route allows: none is asked again, and the
-// next query avoids the host.
+// The other host fails long after it got a forward. By then it may have called two leaves
+// for a shard, as many as the route allows: none is called again, and the next query avoids
+// the host.
 func TestForwardThatBrokeLateIsNotRepeated(t *testing.T) {
 	r := farRig(t)
 	q := r.arrive("/all/x", 1500)
 	for _, s := range r.sends {
-		r.good(s)
+		r.reply(s)
 	}
-	r.pass(120)
+	r.advance(120)
 	sent := len(r.sends)
 	r.handle(Done{Call: r.forwards[0].Call, Kind: call.Broken, Cause: "reset"})
 	assert.Equal(t, len(r.sends), sent)
@@ -83,21 +83,20 @@
 	assert.Equal(t, len(r.sends), sent+8)
 }
 
-// A host stands still with a forwarded part. Its caller gets the shards that are
-// in when they are enough, and further queries go round it.
-func TestHostThatStandsStillIsAvoided(t *testing.T) {
+// A host stalls with a forwarded part of a query. Further queries avoid it.
+func TestStalledHostIsAvoided(t *testing.T) {
 	r := farRig(t)
 	r.arrive("/all/x", 1500)
-	r.pass(250 + forwardGrace + 60)
+	r.advance(250 + forwardGrace + 60)
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, len(r.forwards), 1)
 }
 
-// A forwarded part names a configuration that this host does not know yet. It is
-// refused as not run: answering by the older one would undo the newer.
+// A forwarded part names a configuration or a shard that this host does not know. It is
+// refused as not run: an answer by the older configuration would undo the newer.
 func TestOlderHostRefusesAForward(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(6, merged(2)), Leaves: pairs(2)})
+	r.handle(Facts{Table: table(6, shardedRoute(2)), Leaves: leafPairs(2)})
 	ask := func(version uint64, shards ...string) Answer {
 		r.queries++
 		r.handle(Arrival{
@@ -113,46 +112,46 @@
 	assert.Equal(t, len(r.sends), 2)
 }
 
-// A forwarded part is answered with whatever is in when its time has come: any
-// shard is of use to the host that has the caller.
+// A forwarded part is answered at its target with the shards available: any shard is of use
+// to the host that answers the caller.
 func TestForwardedPartIsAnsweredInTime(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(6, merged(4)), Leaves: pairs(4)})
+	r.handle(Facts{Table: table(6, shardedRoute(4)), Leaves: leafPairs(4)})
 	r.queries++
 	r.handle(Arrival{
 		Query: 1, Wait: 1000, Forwarded: true, Version: 6, Shards: []string{"s0", "s1", "s2"}, Target: 100,
 		Request: &call.Request{ID: "q", Target: "/all/x", Host: "h"},
 	})
-	r.good(r.sends[0])
-	r.pass(101)
+	r.reply(r.sends[0])
+	r.advance(101)
 	m := r.answers[1].Merged
 	assert.Equal(t, len(m.Parts), 1)
 	assert.DeepEqual(t, m.Missing, []string{"s1", "s2"})
 }
 
-// A route may be served in this region only. Its shards are not handed to a
-// host elsewhere, nor asked for there.
+// A route is restricted to this region. Its shards are neither forwarded to a host in
+// another region nor called there.
 func TestRegionsOfARouteAreKept(t *testing.T) {
 	r := newRig(t)
-	bound := merged(2)
-	bound.Regions = []string{"near"}
-	bound.MinShare = 0.5
-	r.handle(Facts{Table: table(1, bound), Leaves: []roster.Leaf{
-		leafOf("s0", "a", here), leafOf("s1", "b", there),
+	restricted := shardedRoute(2)
+	restricted.Regions = []string{"near"}
+	restricted.MinShare = 0.5
+	r.handle(Facts{Table: table(1, restricted), Leaves: []roster.Leaf{
+		leafOf("s0", "a", nearDomain), leafOf("s1", "b", farDomain),
 	}})
-	r.handle(Peers{List: []Peer{{Address: helperAddress, Domain: there, Started: 1}}})
+	r.handle(Peers{List: []Peer{{Address: peerAddress, Domain: farDomain, Started: 1}}})
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, len(r.sends), 1)
 	assert.Equal(t, r.sends[0].Leaf, "a")
 	assert.Equal(t, len(r.forwards), 0)
 }
 
-// A forwarded part finds all leafs busy. It waits for room until its time, and is
-// then answered with what there is: a refusal would only have the host that
-// sent it ask the same leafs.
-func TestForwardedPartWaitsForRoom(t *testing.T) {
+// A forwarded part finds all leaves busy. It is queued until its target and then answered
+// with the shards available: after a refusal, the host that sent it would only call the
+// same leaves.
+func TestForwardedPartWaitsForCapacity(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(6, merged(1)), Leaves: pairs(1)})
+	r.handle(Facts{Table: table(6, shardedRoute(1)), Leaves: leafPairs(1)})
 	for _, f := range r.engine.leaves {
 		f.limit = 0
 	}
@@ -160,40 +159,40 @@
 		Query: 1, Wait: 1000, Forwarded: true, Version: 6, Shards: []string{"s0"}, Target: 150,
 		Request: &call.Request{ID: "q", Target: "/all/x", Host: "h"},
 	})
-	r.pass(140)
+	r.advance(140)
 	_, answered := r.answers[1]
 	assert.Assert(t, !answered)
-	r.pass(15)
+	r.advance(15)
 	assert.DeepEqual(t, r.answers[1].Merged.Missing, []string{"s0"})
 }
 
-// Another host answers at the target and lacks parts that the query cannot do
-// without. They are asked for from here, as second calls; the caller gets an
-// answer and need not ask for all shards once more.
+// Another host answers at the target and lacks shards that the query needs. They are called
+// from here, at the expense of the budget, so that the caller gets an answer and need not
+// retry all shards.
 func TestPartsThatAnotherHostLacksAreAskedForFromHere(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leaves: farLeaves(4)})
-	r.handle(Peers{List: []Peer{{Address: helperAddress, Domain: there, Started: 1}}})
+	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: farLeaves(4)})
+	r.handle(Peers{List: []Peer{{Address: peerAddress, Domain: farDomain, Started: 1}}})
 	q := r.arrive("/all/x", 1500)
 	assert.Equal(t, len(r.forwards), 1)
-	r.pass(200)
+	r.advance(200)
 	r.handle(Done{Call: r.forwards[0].Call, Kind: call.Answered, Reply: &call.Reply{
 		Status: 200, Stamp: "a, b", Missing: []string{"s2", "s3"},
 	}})
 	assert.Equal(t, len(r.sends), 1, "three of four shards are needed: %v", r.notes)
-	r.good(r.last())
-	r.pass(1500)
+	r.reply(r.last())
+	r.advance(1500)
 	assert.Assert(t, r.answers[q].Merged != nil, "%v", r.answers[q])
 	assert.Equal(t, len(r.answers[q].Merged.Missing), 1)
 }
 
-// Guards against shards that are handed to a host which has stopped answering: each
-// of many hosts would find out by a query of its own that is late.
+// Guards against shards that are forwarded to a host which has stopped answering: each of
+// many hosts would detect that only by a late query of its own.
 func TestSuspectedHostGetsNoShards(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leaves: farLeaves(4)})
+	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: farLeaves(4)})
 	other := "10.0.2.8:1"
-	r.handle(Peers{List: []Peer{{Address: helperAddress, Domain: there, Started: 1, Suspected: true}, {Address: other, Domain: there, Started: 1}}})
+	r.handle(Peers{List: []Peer{{Address: peerAddress, Domain: farDomain, Started: 1, Suspected: true}, {Address: other, Domain: farDomain, Started: 1}}})
 	for range 3 {
 		r.arrive("/all/x", 1500)
 	}
@@ -203,12 +202,12 @@
 	assert.Equal(t, len(r.forwards), 3)
 }
 
-// farLeaves are a leaf for each of some shards, all in another failure domain.
+// farLeaves returns a leaf for each of some shards, all in another failure domain.
 func farLeaves(shards int) []roster.Leaf {
 	list := make([]roster.Leaf, shards)
 	for i := range list {
 		service := fmt.Sprintf("s%d", i)
-		list[i] = leafOf(service, service+"-far", there)
+		list[i] = leafOf(service, service+"-far", farDomain)
 	}
 	return list
 }
--- a/share/router/late_test.go
+++ b/share/router/late_test.go
@@ -10,9 +10,9 @@
 	"dandelionstile/share/roster"
 )
 
-// passed is how much of a caller's time was taken to have passed, by the last
-// note of an admission.
-func (r *rig) passed() clock.Milli {
+// sinceFirstAttempt returns the estimated time since the first attempt of the request that
+// was admitted last.
+func (r *rig) sinceFirstAttempt() clock.Milli {
 	for i := len(r.notes) - 1; i >= 0; i-- {
 		if r.notes[i].Kind == NoteAdmitted {
 			return r.notes[i].SinceFirstAttempt
@@ -22,109 +22,109 @@
 	return 0
 }
 
-// All hosts have just started, and the first callers are those who were cut
-// off and come back: each names another remainder of its wait. The host takes
-// the route's timeout for the full wait and knows them as late; the first of
-// them must not pass for a full wait.
-func TestTimeoutTellsWhoComesBack(t *testing.T) {
+// All hosts have just started, and the first requests are retries of callers that were cut
+// off, each with a different remainder of its wait. The host takes the route's timeout for
+// the full wait and detects that they are late; the first of them must not count as a full
+// wait.
+func TestTimeoutRevealsRetries(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(1)), Leaves: pairs(1)})
+	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
 	for _, left := range []clock.Milli{400, 350, 480, 310} {
 		r.arrive("/all/x", left)
-		assert.Equal(t, r.passed(), 1500-left)
+		assert.Equal(t, r.sinceFirstAttempt(), 1500-left)
 	}
 }
 
-// Operators allow 1500 ms on a route whose callers wait for 900. The timeout
-// is only a first guess: once enough callers have named 900, a request that
-// names it counts as one whose time has just begun.
+// Operators allow 1500 ms on a route whose callers wait for 900. The timeout is only the
+// initial estimate: once enough callers have named 900, a request that names it counts as
+// a first attempt.
 func TestCallersOwnWaitReplacesTheTimeout(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(1)), Leaves: pairs(1)})
+	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
 	for range 30 {
 		r.arrive("/all/x", 900)
-		r.good(r.last())
+		r.reply(r.last())
 	}
-	assert.Equal(t, r.passed(), clock.Milli(0))
+	assert.Equal(t, r.sinceFirstAttempt(), clock.Milli(0))
 }
 
-// Half of the callers open a connection for each request and name a few ms
-// less than their wait. They must not be taken for those who name it in full:
-// their answers would leave a round trip too late.
+// Two of three callers open a connection for each request and name a few ms less than
+// their wait. Theirs must not be taken for a full wait: their answers would leave a round
+// trip too late.
 func TestFirstRequestsOnConnectionsDoNotCountAsFull(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(1)), Leaves: pairs(1)})
+	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
 	for range 40 {
 		r.arrive("/all/x", 1493)
-		r.good(r.last())
+		r.reply(r.last())
 		r.arrive("/all/x", 1493)
-		r.good(r.last())
+		r.reply(r.last())
 		r.arrive("/all/x", 1500)
-		r.good(r.last())
+		r.reply(r.last())
 	}
 	r.arrive("/all/x", 1493)
-	assert.Equal(t, r.passed(), clock.Milli(7))
+	assert.Equal(t, r.sinceFirstAttempt(), clock.Milli(7))
 }
 
-// Another host hands over parts of queries with what is left of their time.
-// That is no caller's wait, and callers here are not measured by it.
-func TestHandedOverPartsDoNotTeachWaits(t *testing.T) {
+// Another host forwards parts of queries with their remaining time. That is no caller's wait
+// and must not change the estimate.
+func TestForwardedPartsDoNotTeachWaits(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(1)), Leaves: pairs(1)})
+	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
 	for range 80 {
 		r.queries++
 		r.handle(Arrival{
 			Query: r.queries, Wait: 1100, Forwarded: true, Shards: []string{"s0"}, Target: 200, Version: 1,
 			Request: &call.Request{ID: "x", Method: "GET", Target: "/all/x", Host: "h"},
 		})
-		r.good(r.last())
+		r.reply(r.last())
 	}
 	r.arrive("/all/x", 1100)
-	assert.Equal(t, r.passed(), clock.Milli(400))
+	assert.Equal(t, r.sinceFirstAttempt(), clock.Milli(400))
 }
 
-// Callers whose target has passed ask while others can still be answered in
-// time. A late query adds no call to a leaf that has one from here; the room
-// that is left goes to a query in time, which is not made to wait behind it.
-func TestLateQueryLeavesRoom(t *testing.T) {
+// Late queries arrive while others can still be answered in time. A late query adds no
+// call to a leaf that has one from this host; the remaining capacity goes to a query in
+// time, which is not queued behind it.
+func TestLateQueryLeavesCapacity(t *testing.T) {
 	r := newRig(t)
-	near := []roster.Leaf{leafOf("s0", "only", here)}
-	r.handle(Facts{Table: table(1, merged(1)), Leaves: near})
+	near := []roster.Leaf{leafOf("s0", "only", nearDomain)}
+	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: near})
 	r.arrive("/all/a", 1500)
 	late := r.arrive("/all/late", 400)
-	assert.Equal(t, len(r.sends), 1, "the late query took room")
+	assert.Equal(t, len(r.sends), 1, "the late query took capacity")
 	r.arrive("/all/b", 1500)
-	assert.Equal(t, len(r.sends), 2, "a query in time waits behind a late one")
+	assert.Equal(t, len(r.sends), 2, "a query in time was queued behind a late one")
 	for _, s := range r.sends {
-		r.good(s)
+		r.reply(s)
 	}
-	assert.Equal(t, len(r.sends), 3, "the late query was not asked for when there was room")
-	r.good(r.last())
+	assert.Equal(t, len(r.sends), 3, "the late query was not sent when there was capacity")
+	r.reply(r.last())
 	assert.Assert(t, r.answers[late].Merged != nil)
 }
 
-// A leaf is slow under a late query. A second leaf is not asked until a new target
-// has passed without an answer: before that it could only
-// make the answer less late, at the cost of those in time.
+// A leaf is slow with a late query. No second leaf is called until a new target has passed
+// without an answer: before that, a hedge could only make the answer less late, at the
+// cost of queries in time.
 func TestLateQueryIsNotHedged(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(1)), Leaves: pairs(1)})
+	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
 	r.arrive("/all/late", 400)
-	r.pass(245)
+	r.advance(245)
 	assert.Equal(t, len(r.sends), 1)
-	r.pass(50)
+	r.advance(50)
 	assert.Equal(t, len(r.sends), 2)
 }
 
-// A host has just started and learns its routes in a moment. Callers who come
-// before are told to come back within a target's time; later, when it reaches
-// nobody who has routes, there is no use in that.
-func TestCallersOfAHostThatHasJustStartedComeBackSoon(t *testing.T) {
+// A host has just started and receives its routes shortly. Callers that arrive before are
+// told to retry within a target's time; later, if it reaches no host that has routes, an
+// early retry is of no use.
+func TestStartingHostAsksForEarlyRetry(t *testing.T) {
 	r := newRig(t)
-	soon := r.arrive("/all/x", 1500)
-	assert.Equal(t, r.answers[soon].Refusal, NoConfig)
-	assert.Assert(t, r.answers[soon].RetryAfter <= 250, "%d", r.answers[soon].RetryAfter)
-	r.pass(5000)
+	early := r.arrive("/all/x", 1500)
+	assert.Equal(t, r.answers[early].Refusal, NoConfig)
+	assert.Assert(t, r.answers[early].RetryAfter <= 250, "%d", r.answers[early].RetryAfter)
+	r.advance(5000)
 	late := r.arrive("/all/x", 1500)
 	assert.Assert(t, r.answers[late].RetryAfter >= 500, "%d", r.answers[late].RetryAfter)
 }
--- a/share/router/limit_test.go
+++ b/share/router/limit_test.go
@@ -9,26 +9,25 @@
 	"dandelionstile/share/limit"
 )
 
-// limited is a limiter after a second in which all of so many queries were late.
-func limited(under int) limit.Limiter {
-	l := limit.Limiter{InFlight: under}
+// saturatedLimiter returns a limiter after a second in which all queries were late.
+func saturatedLimiter(inFlight int) limit.Limiter {
+	l := limit.Limiter{InFlight: inFlight}
 	for i := range 50 {
 		l.RecordLate(clock.Milli(i * 20))
 	}
 	return l
 }
 
-// More queries come than can be answered in time. Who is turned away hears so at
-// once, as not run and with a time to come back, before a leaf is asked. Who
-// comes back is let in as soon as fewer are under way than the limit, and until
-// then refused in the same way.
+// More queries arrive than can be answered in time. Excess ones are refused at once, as not
+// run and with a time to retry, before a leaf is called. Retries are admitted as soon as
+// fewer queries are in flight than the limit, and until then refused in the same way.
 func TestBeyondTheLimitCallersAreRefusedAtOnce(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
-	r.engine.limiter = limited(20)
+	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
+	r.engine.limiter = saturatedLimiter(20)
 	first := r.arrive("/all/x", 1500)
-	back := r.arrive("/all/x", 1200-retryNoRoom)
-	for _, q := range []uint64{first, back} {
+	retry := r.arrive("/all/x", 1200-retryNoRoom)
+	for _, q := range []uint64{first, retry} {
 		assert.Equal(t, r.answers[q].Refusal, NoCapacity)
 		assert.Assert(t, r.answers[q].RetryAfter >= retryNoRoom)
 	}
@@ -38,19 +37,19 @@
 	assert.Equal(t, len(r.sends), 4)
 }
 
-// On-call asks why callers were turned away. One line tells when it began, with
-// the share of late answers, and one when it ended.
-func TestLimitIsToldOf(t *testing.T) {
+// On-call needs to see why callers were refused. One line logs that the limit is set, with
+// the share of late answers, and one that it is lifted.
+func TestLimitIsLogged(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
+	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
 	for range 6 {
 		sent := len(r.sends)
 		for range 4 {
 			r.arrive("/all/x", 1500)
 		}
-		r.pass(260)
+		r.advance(260)
 		for _, s := range r.sends[sent:] {
-			r.good(s)
+			r.reply(s)
 		}
 	}
 	assert.Assert(t, r.noted(NoteLimitSet), "%v", r.notes)
@@ -58,19 +57,19 @@
 		sent := len(r.sends)
 		r.arrive("/all/x", 1500)
 		for _, s := range r.sends[sent:] {
-			r.good(s)
+			r.reply(s)
 		}
 	}
 	assert.Assert(t, r.noted(NoteLimitLifted))
 }
 
-// A host whose callers are turned away gets shards of a query that another host
-// has admitted and whose target has passed. It serves them: an empty answer at
-// once would throw away the calls just made and fail the whole query.
+// A host whose limiter refuses queries gets shards of a late query that another host has
+// admitted. It serves them: an empty answer at once would waste the calls already made and
+// fail the whole query.
 func TestForwardedLateShardsAreServedDespiteTheLimit(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
-	r.engine.limiter = limited(20)
+	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
+	r.engine.limiter = saturatedLimiter(20)
 	r.queries++
 	r.handle(Arrival{
 		Query: r.queries, Wait: 900, Forwarded: true, Late: true, Shards: []string{"s0", "s1"}, Target: 200, Version: 1,
@@ -78,7 +77,7 @@
 	})
 	assert.Equal(t, len(r.sends), 2)
 	for _, s := range r.sends {
-		r.good(s)
+		r.reply(s)
 	}
 	merged := r.answers[r.queries].Merged
 	assert.Assert(t, merged != nil)
--- a/share/router/names_test.go
+++ b/share/router/names_test.go
@@ -10,11 +10,11 @@
 	"dandelionstile/share/roster"
 )
 
-// Guards against a log of a line for each leaf and host when an index is cut anew.
-func TestManyLeavesAreToldOfInOneLine(t *testing.T) {
+// Guards against a log line for each leaf and host when an index is resharded.
+func TestManyLeavesAreLoggedInOneLine(t *testing.T) {
 	r := newRig(t)
-	first := []roster.Leaf{leafOf("s0", "s0-near", here)}
-	r.handle(Facts{Table: table(1, merged(1)), Leaves: first})
+	first := []roster.Leaf{leafOf("s0", "s0-near", nearDomain)}
+	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: first})
 	count := func(kind NoteKind) (lines, leaves int) {
 		for _, n := range r.notes {
 			if n.Kind == kind {
@@ -24,13 +24,13 @@
 		}
 		return lines, leaves
 	}
-	few := append(slices.Clone(first), leafOf("s1", "a", here), leafOf("s2", "b", here))
+	few := append(slices.Clone(first), leafOf("s1", "a", nearDomain), leafOf("s2", "b", nearDomain))
 	r.handle(Facts{Leaves: few})
 	lines, _ := count(NoteLeafNew)
 	assert.Equal(t, lines, 2)
 	many := slices.Clone(few)
 	for i := range 258 {
-		many = append(many, leafOf("s3", fmt.Sprintf("i-%d", i), here))
+		many = append(many, leafOf("s3", fmt.Sprintf("i-%d", i), nearDomain))
 	}
 	r.handle(Facts{Leaves: many})
 	r.handle(Facts{Leaves: few})
--- a/share/router/query_test.go
+++ b/share/router/query_test.go
@@ -10,71 +10,70 @@
 	"dandelionstile/share/roster"
 )
 
-// A query over four shards has three replies when its target comes. The caller
-// gets these three in time, with the fourth named as missing; the call that is
-// still out is given up soon after.
+// Three of a query's four shards have replied at its target. The caller gets these three
+// in time, with the fourth named as missing; the remaining call is cancelled soon after.
 func TestPartialAnswerLeavesInTime(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
+	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
 	q := r.arrive("/all/x", 1500)
 	calls := r.sends
 	assert.Equal(t, len(calls), 4)
 	for _, s := range calls[:3] {
-		r.good(s)
+		r.reply(s)
 	}
-	r.pass(250 - defaultMargin - 1)
+	r.advance(250 - defaultMargin - 1)
 	_, answered := r.answers[q]
 	assert.Assert(t, !answered)
-	r.pass(2)
+	r.advance(2)
 	m := r.answers[q].Merged
 	assert.Equal(t, len(m.Parts), 3)
 	assert.DeepEqual(t, m.Missing, []string{"s3"})
-	r.pass(orphanGrace + 10)
+	r.advance(orphanGrace + 10)
 	assert.Assert(t, len(r.cancels) >= 1)
 }
 
-// Two shards of four are in at the target, one too few. The query waits on, and
-// is answered as soon as the third comes, late but whole enough.
-func TestTooFewShardsWaitOn(t *testing.T) {
+// Two of four shards have replied at the target, one too few. The query is answered, late,
+// as soon as the third replies.
+func TestTooFewShardsDelayTheAnswer(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
+	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
 	q := r.arrive("/all/x", 1500)
-	r.good(r.sends[0])
-	r.good(r.sends[1])
-	r.pass(600)
+	r.reply(r.sends[0])
+	r.reply(r.sends[1])
+	r.advance(600)
 	_, answered := r.answers[q]
 	assert.Assert(t, !answered)
-	r.good(r.sends[2])
+	r.reply(r.sends[2])
 	assert.Equal(t, len(r.answers[q].Merged.Parts), 3)
 }
 
-// A caller that was refused elsewhere comes back with 1,350 of its 1,500 ms
-// left. Its target counts from the first attempt: the answer leaves 150 ms
-// sooner than for one that comes fresh.
-func TestReturningCallerIsAnsweredSooner(t *testing.T) {
+// A caller that was refused by another host retries with 1,350 of its 1,500 ms left. Its
+// target counts from the first attempt: the answer leaves 150 ms sooner than for a first
+// attempt.
+func TestRetryIsAnsweredSooner(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
+	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
 	for range 5 {
-		fresh := r.arrive("/all/x", 1500)
+		first := r.arrive("/all/x", 1500)
 		for _, s := range r.sends[len(r.sends)-4:] {
-			r.good(s)
+			r.reply(s)
 		}
-		assert.Assert(t, r.answers[fresh].Merged != nil)
+		assert.Assert(t, r.answers[first].Merged != nil)
 	}
 	q := r.arrive("/all/x", 1350)
 	for _, s := range r.sends[len(r.sends)-4:][:3] {
-		r.good(s)
+		r.reply(s)
 	}
-	r.pass(100 - defaultMargin + 1)
+	r.advance(100 - defaultMargin + 1)
 	assert.Assert(t, r.answers[q].Merged != nil)
 }
 
-// A caller in another region needs 40 ms there and back, which its first
-// request on a new connection has shown. Later answers leave 40 ms sooner for
-// it; with the same margin for all, its partial answers came late.
+// A caller in another region has a round trip of 40 ms, which its first request on a new
+// connection has shown. Later answers to it leave 40 ms sooner; with the same margin for
+// all callers, its partial answers were late.
 func TestFarCallerIsAnsweredSooner(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
+	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
 	ask := func(wait clock.Milli) uint64 {
 		r.queries++
 		r.handle(Arrival{
@@ -85,7 +84,7 @@
 	}
 	finish := func(n int) {
 		for _, s := range r.sends[len(r.sends)-4:][:n] {
-			r.good(s)
+			r.reply(s)
 		}
 	}
 	for range 3 {
@@ -96,183 +95,182 @@
 	finish(4)
 	q := ask(1500)
 	finish(3)
-	r.pass(250 - 40 - defaultMargin - 1)
+	r.advance(250 - 40 - defaultMargin - 1)
 	_, answered := r.answers[q]
 	assert.Assert(t, !answered)
-	r.pass(2)
+	r.advance(2)
 	assert.Assert(t, r.answers[q].Merged != nil)
 }
 
-// A leaf stands still with a shard's call. The other replica is asked in time
-// for the answer to be complete within its target, and new queries avoid the
-// leaf before any call to it has failed.
+// A leaf stalls during a shard's call. The other replica is called in time for a complete
+// answer within the target, and new queries avoid the leaf before any call to it has
+// failed.
 func TestStalledLeafIsHedgedAndAvoided(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(1)), Leaves: []roster.Leaf{leafOf("s0", "a", here), leafOf("s0", "b", here)}})
+	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: []roster.Leaf{leafOf("s0", "a", nearDomain), leafOf("s0", "b", nearDomain)}})
 	for range 20 {
 		r.arrive("/all/x", 1500)
-		r.pass(20)
-		r.good(r.last())
+		r.advance(20)
+		r.reply(r.last())
 	}
 	q := r.arrive("/all/x", 1500)
 	stalled := r.last()
-	r.pass(120)
+	r.advance(120)
 	hedge := r.last()
 	assert.Assert(t, hedge.Leaf != stalled.Leaf)
 	assert.Assert(t, r.noted(NoteHedged))
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, hedge.Leaf)
-	r.good(hedge)
+	r.reply(hedge)
 	assert.Equal(t, len(r.answers[q].Merged.Parts), 1)
 }
 
-// The caller closes its connection while leafs work. Their calls are given up
-// within a fraction of a second, so that no leaf works for nobody.
-func TestWorkEndsWhenTheCallerLeaves(t *testing.T) {
+// The caller disconnects while leaves run its calls. The calls are cancelled within a
+// fraction of a second, so that leaves stop work that nobody needs.
+func TestWorkEndsWhenTheCallerDisconnects(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
+	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
 	q := r.arrive("/all/x", 1500)
 	r.handle(CallerGone{Query: q})
-	r.pass(250)
+	r.advance(250)
 	assert.Equal(t, len(r.cancels), 4)
 	_, answered := r.answers[q]
 	assert.Assert(t, !answered)
 }
 
-// Both replicas of a shard have become ten times slower under a steady stream
-// of queries. Every query wants a second call for it; those that wait for room
-// when they are retried must not go round the budget. Over any ten seconds the
-// second calls stay within the operators' bound: a fifth of the requests and
-// what may be saved up.
+// Both replicas of a shard have become ten times slower under a steady load, so that every
+// query needs a hedge or retry for it. Retries of queued shards must not bypass the
+// budget: over any ten seconds, hedges and retries stay within the operators' bound of a
+// fifth of the requests plus the reserve.
 func TestSecondCallsStayWithinTheBudget(t *testing.T) {
 	r := newRig(t)
 	r.engine.Policy = Policy{BudgetRatio: 0.19, BudgetReserve: 40, MinHosts: 6}
-	r.handle(Facts{Table: table(1, merged(1)), Leaves: pairs(1)})
-	type flying struct {
+	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
+	type openCall struct {
 		send Send
 		due  clock.Milli
 	}
-	var air []flying
+	var open []openCall
 	seen := 0
-	asked := map[string]bool{}
-	second := 0
+	requested := map[string]bool{}
+	extraCalls := 0
 	for step := range 10000 {
 		if step%70 == 0 {
 			r.arrive("/all/x", 1500)
 		}
-		r.pass(1)
+		r.advance(1)
 		for ; seen < len(r.sends); seen++ {
-			// Every third call is turned down at once, the rest take long.
+			// Every third call is rejected at once, the others take long.
 			due := r.now + 300
 			if seen%3 == 0 {
 				due = r.now
 			}
-			air = append(air, flying{r.sends[seen], due})
-			if asked[r.sends[seen].Request.ID] {
-				second++
+			open = append(open, openCall{r.sends[seen], due})
+			if requested[r.sends[seen].Request.ID] {
+				extraCalls++
 			}
-			asked[r.sends[seen].Request.ID] = true
+			requested[r.sends[seen].Request.ID] = true
 		}
-		rest := air[:0]
-		for _, f := range air {
+		rest := open[:0]
+		for _, c := range open {
 			switch {
-			case f.due > r.now:
-				rest = append(rest, f)
-			case f.due == r.now:
-				r.ends(f.send, call.Shed)
+			case c.due > r.now:
+				rest = append(rest, c)
+			case c.due == r.now:
+				r.fail(c.send, call.Shed)
 			default:
-				r.good(f.send)
+				r.reply(c.send)
 			}
 		}
-		air = rest
+		open = rest
 	}
-	// Queries that were turned away have earned nothing.
-	bound := 0.19*float64(len(asked)) + 40.0/6
-	assert.Assert(t, float64(second) <= bound+1, "%d second calls for %d queries, %g allowed", second, len(asked), bound)
-	assert.Assert(t, second > 10, "the budget is there to be used")
+	// Refused queries have earned nothing.
+	bound := 0.19*float64(len(requested)) + 40.0/6
+	assert.Assert(t, float64(extraCalls) <= bound+1, "%d hedges and retries for %d queries, %g allowed", extraCalls, len(requested), bound)
+	assert.Assert(t, extraCalls > 10, "the budget was hardly used")
 }
 
-// Leafs beside the host turn down most calls; those in the other region answer
-// all. Within a second most calls go the longer way.
-func TestLeafsThatTurnDownAreLeftForFarOnes(t *testing.T) {
+// Near leaves reject most calls, while those in the other region answer all. Within a
+// second most calls must go to the far leaves.
+func TestRejectingLeavesAreAvoided(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(1)), Leaves: pairs(1)})
+	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
 	far := 0
 	for i := range 60 {
 		r.arrive("/all/x", 1500)
 		for _, s := range r.sends[len(r.sends)-1:] {
-			r.pass(10)
+			r.advance(10)
 			if s.Leaf == "s0-near" && i%5 < 3 {
-				r.ends(s, call.Shed)
-				r.pass(60)
+				r.fail(s, call.Shed)
+				r.advance(60)
 				if l := r.last(); l.Leaf == "s0-far" {
-					r.good(l)
+					r.reply(l)
 				}
 				continue
 			}
 			if s.Leaf == "s0-far" {
 				far++
-				r.pass(50)
+				r.advance(50)
 			}
-			r.good(s)
+			r.reply(s)
 		}
 	}
-	assert.Assert(t, far > 30, "%d of 60 went to the leaf that answers", far)
+	assert.Assert(t, far > 30, "%d of 60 calls went to the leaf that answers", far)
 }
 
-// A new configuration names other shards while a query runs. The query ends
-// with the shards that it began with; the next one has the new ones.
+// A new configuration names other shards while a query is in flight. The query ends with
+// the shards that it began with; the next one has the new ones.
 func TestQueryKeepsItsConfiguration(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(2)), Leaves: pairs(3)})
+	r.handle(Facts{Table: table(1, shardedRoute(2)), Leaves: leafPairs(3)})
 	q := r.arrive("/all/x", 1500)
 	first := r.sends
-	r.handle(Facts{Table: table(2, merged(3)), Leaves: pairs(3)})
+	r.handle(Facts{Table: table(2, shardedRoute(3)), Leaves: leafPairs(3)})
 	for _, s := range first {
-		r.good(s)
+		r.reply(s)
 	}
 	assert.Equal(t, len(r.answers[q].Merged.Parts), 2)
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, len(r.sends), 5)
-	// An older version that arrives late changes nothing.
-	r.handle(Facts{Table: table(1, merged(2)), Leaves: pairs(3)})
+	// An older version that arrives late is ignored.
+	r.handle(Facts{Table: table(1, shardedRoute(2)), Leaves: leafPairs(3)})
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, len(r.sends), 8)
 }
 
-// A shard's only leaf is gone. The query is answered with the others at once
-// and does not wait for what cannot come.
+// A shard has no leaf. The query is answered with the other shards as soon as they have
+// replied.
 func TestShardWithoutLeafIsNotWaitedFor(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(3)})
+	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(3)})
 	q := r.arrive("/all/x", 1500)
 	for _, s := range r.sends {
-		r.good(s)
+		r.reply(s)
 	}
 	assert.Equal(t, len(r.answers[q].Merged.Parts), 3)
-	r.handle(Facts{Leaves: []roster.Leaf{leafOf("s0", "a", here)}})
+	r.handle(Facts{Leaves: []roster.Leaf{leafOf("s0", "a", nearDomain)}})
 	q = r.arrive("/all/x", 1500)
 	assert.Equal(t, r.answers[q].Refusal, NoLeaf)
 }
 
-// All leafs lose four answers of ten: they accept connections and reset them.
-// A lost answer is asked for again elsewhere while the budget lasts; no query
-// is refused for want of a leaf, since every second try would have served it.
-func TestLeafsThatLoseAnswersAreStillAsked(t *testing.T) {
+// All leaves lose four of ten replies: they accept connections and reset them. Lost
+// replies are retried at other leaves while the budget lasts; no query is refused for lack
+// of a leaf, since every second attempt would be answered.
+func TestLeavesThatLoseRepliesAreStillCalled(t *testing.T) {
 	r := newRig(t)
 	r.engine.Policy = Policy{BudgetRatio: 1, BudgetReserve: 1000, MinHosts: 1}
-	r.handle(Facts{Table: table(1, merged(4)), Leaves: pairs(4)})
+	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
 	good, calls := 0, 0
 	for range 100 {
 		seen := len(r.sends)
 		q := r.arrive("/all/x", 1500)
 		for ; seen < len(r.sends); seen++ {
-			r.pass(5)
+			r.advance(5)
 			calls++
 			if calls*7%10 < 4 {
-				r.ends(r.sends[seen], call.Broken)
+				r.fail(r.sends[seen], call.Broken)
 			} else {
-				r.good(r.sends[seen])
+				r.reply(r.sends[seen])
 			}
 		}
 		assert.Assert(t, r.answers[q].Refusal != NoLeaf)
@@ -280,5 +278,5 @@
 			good++
 		}
 	}
-	assert.Assert(t, good > 80, "%d of 100 were answered", good)
+	assert.Assert(t, good > 80, "%d of 100 queries were answered", good)
 }
--- a/share/router/reports_test.go
+++ b/share/router/reports_test.go
@@ -10,98 +10,97 @@
 )
 
 // neighbor is another host of the own failure domain.
-var neighbor = Peer{Address: "10.0.0.2:1", Domain: here, Started: 1}
+var neighbor = Peer{Address: "10.0.0.2:1", Domain: nearDomain, Started: 1}
 
-// newsRig has two shards, each with a near leaf and a far one, and a neighbor.
-func newsRig(t *testing.T) *rig {
+// reportsRig returns a rig with a shard that has a near leaf and a far one, and a neighbor.
+func reportsRig(t *testing.T) *rig {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, merged(1)), Leaves: pairs(1)})
+	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
 	r.handle(Peers{List: []Peer{neighbor}})
 	return r
 }
 
-// A leaf has turned slow, and another host of the domain has found out. This
-// one has not called the leaf of late; without the news its next query would be
-// late. It asks the far leaf at once, and the near one again once it is told that
-// the leaf is well.
-func TestSlowLeafIsAvoidedOnAnotherHostsWord(t *testing.T) {
-	r := newsRig(t)
+// A leaf has become slow, and another host of the domain has detected it. This host has not
+// called the leaf recently; without the report its next query would be late. It calls the
+// far leaf at once, and the near one again after a report that the leaf has recovered.
+func TestSlowLeafIsAvoidedAfterReport(t *testing.T) {
+	r := reportsRig(t)
 	r.handle(LeafReports{List: []report.Leaf{{ID: "s0-near", ExtraLatency: 300}}})
 	assert.Assert(t, r.noted(NoteLeafReport))
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, "s0-far")
-	r.good(r.last())
+	r.reply(r.last())
 	r.handle(LeafReports{List: []report.Leaf{{ID: "s0-near"}}})
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, "s0-near")
 }
 
-// Another host's calls to a leaf fail; the same as for slow ones holds.
-func TestFailingLeafIsAvoidedOnAnotherHostsWord(t *testing.T) {
-	r := newsRig(t)
+// Another host's calls to a leaf fail; the leaf is avoided like a slow one.
+func TestFailingLeafIsAvoidedAfterReport(t *testing.T) {
+	r := reportsRig(t)
 	r.handle(LeafReports{List: []report.Leaf{{ID: "s0-near", FailureRatio: 0.6}}})
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, "s0-far")
 }
 
-// This host's own call has just been answered quickly: what another host saw
-// some time ago, or sees from a worse place, does not count against that.
-func TestOwnCallsTellMoreThanNews(t *testing.T) {
-	r := newsRig(t)
+// This host's own call has just been answered quickly. A report that is older, or from a
+// host with a worse path to the leaf, does not outweigh that.
+func TestOwnCallsOutweighReports(t *testing.T) {
+	r := reportsRig(t)
 	r.arrive("/all/x", 1500)
-	r.pass(10)
-	r.good(r.last())
+	r.advance(10)
+	r.reply(r.last())
 	r.handle(LeafReports{List: []report.Leaf{{ID: "s0-near", ExtraLatency: 300}}})
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, "s0-near")
 }
 
-// call has a query answered after a time and returns what was told of its leaf.
-func (r *rig) call(took clock.Milli) []report.Leaf {
-	before := len(r.leafNews)
+// timedCall has a query answered after a time and returns the reports sent on its leaf.
+func (r *rig) timedCall(took clock.Milli) []report.Leaf {
+	before := len(r.leafReports)
 	r.arrive("/all/x", 1500)
 	s := r.last()
-	r.pass(took)
-	r.good(s)
-	return r.leafNews[before:]
+	r.advance(took)
+	r.reply(s)
+	return r.leafReports[before:]
 }
 
-// A leaf turns slow. The host tells of it with the first slow reply, not again
-// with each that is as slow, and once more when the leaf is well.
-func TestNewsIsToldOnce(t *testing.T) {
-	r := newsRig(t)
+// A leaf becomes slow. The host reports it with the first slow reply, not again with each
+// that is as slow, and once more when the leaf has recovered.
+func TestReportIsSentOnce(t *testing.T) {
+	r := reportsRig(t)
 	for range 20 {
-		assert.Equal(t, len(r.call(10)), 0, "a leaf as usual is no news")
+		assert.Equal(t, len(r.timedCall(10)), 0, "a leaf with its usual latency is not reported")
 	}
-	told := r.call(150)
-	assert.Equal(t, len(told), 1)
-	assert.Equal(t, told[0].ID, "s0-near")
-	assert.Assert(t, told[0].ExtraLatency >= 15, "%d", told[0].ExtraLatency)
-	again := 0
+	reports := r.timedCall(150)
+	assert.Equal(t, len(reports), 1)
+	assert.Equal(t, reports[0].ID, "s0-near")
+	assert.Assert(t, reports[0].ExtraLatency >= 15, "%d", reports[0].ExtraLatency)
+	repeated := 0
 	for range 20 {
-		again += len(r.call(150))
+		repeated += len(r.timedCall(150))
 	}
-	assert.Assert(t, again <= 2, "told %d times more", again)
-	r.pass(5000)
-	again = 0
+	assert.Assert(t, repeated <= 2, "reported %d times more", repeated)
+	r.advance(5000)
+	repeated = 0
 	for range 40 {
-		again += len(r.call(10))
+		repeated += len(r.timedCall(10))
 	}
-	assert.Assert(t, again >= 1 && r.leafNews[len(r.leafNews)-1].ExtraLatency < 15, "%v", r.leafNews)
+	assert.Assert(t, repeated >= 1 && r.leafReports[len(r.leafReports)-1].ExtraLatency < 15, "%v", r.leafReports)
 }
 
-// A host is frozen for two seconds while it waits for a leaf. The reply seems to
-// have taken as long, but that says nothing of the leaf: if the host told the
-// others, all would avoid leafs that are well.
-func TestHostThatStoodStillTellsNothing(t *testing.T) {
-	r := newsRig(t)
+// A host stalls for two seconds while it waits for a leaf. The reply seems to have taken as
+// long, which says nothing about the leaf: with a report, all hosts would avoid healthy
+// leaves.
+func TestStalledHostSendsNoReports(t *testing.T) {
+	r := reportsRig(t)
 	for range 5 {
-		r.call(10)
+		r.timedCall(10)
 	}
 	r.arrive("/all/x", 1500)
 	s := r.last()
 	r.now += 2000
 	r.handle(Tick{})
-	r.good(s)
-	assert.Equal(t, len(r.leafNews), 0, "%v", r.leafNews)
+	r.reply(s)
+	assert.Equal(t, len(r.leafReports), 0, "%v", r.leafReports)
 }
--- a/share/router/router_test.go
+++ b/share/router/router_test.go
@@ -14,33 +14,33 @@
 	"dandelionstile/share/route"
 )
 
-// rig drives an engine by hand and keeps what it asked for.
+// rig drives an engine directly and records its actions.
 type rig struct {
-	t        *testing.T
-	engine   Engine
-	now      clock.Milli
-	queries  uint64
-	sends    []Send
-	forwards []Forward
-	cancels  []Cancel
-	probes   []Probe
-	answers  map[uint64]Answer
-	notes    []Note
-	told     []crash.Report
-	// leafNews is what was told to the other hosts of the domain.
-	leafNews []report.Leaf
+	t            *testing.T
+	engine       Engine
+	now          clock.Milli
+	queries      uint64
+	sends        []Send
+	forwards     []Forward
+	cancels      []Cancel
+	probes       []Probe
+	answers      map[uint64]Answer
+	notes        []Note
+	crashReports []crash.Report
+	// leafReports are the reports sent to the other hosts of the domain.
+	leafReports []report.Leaf
 }
 
 const (
-	here  = "near-1"
-	there = "far-1"
+	nearDomain = "near-1"
+	farDomain  = "far-1"
 )
 
 func newRig(t *testing.T) *rig {
 	t.Helper()
 	r := &rig{t: t, now: 1000, answers: map[uint64]Answer{}}
-	r.engine.Self = HostInfo{Domain: here, Region: "near"}
-	r.engine.Regions = map[string]string{here: "near", there: "far"}
+	r.engine.Self = HostInfo{Domain: nearDomain, Region: "near"}
+	r.engine.Regions = map[string]string{nearDomain: "near", farDomain: "far"}
 	return r
 }
 
@@ -60,17 +60,17 @@
 			assert.Assert(r.t, !twice, "query %d was answered twice", a.Query)
 			r.answers[a.Query] = a
 		case SendCrashReports:
-			r.told = append(r.told, a.List...)
+			r.crashReports = append(r.crashReports, a.List...)
 		case SendLeafReports:
-			r.leafNews = append(r.leafNews, a.List...)
+			r.leafReports = append(r.leafReports, a.List...)
 		case Note:
 			r.notes = append(r.notes, a)
 		}
 	}
 }
 
-// pass lets time go by, with every tick that falls due.
-func (r *rig) pass(span clock.Milli) {
+// advance moves the clock forward and handles every tick that falls due.
+func (r *rig) advance(span clock.Milli) {
 	end := r.now + span
 	for {
 		next := r.engine.NextTick()
@@ -83,7 +83,7 @@
 	r.now = end
 }
 
-// arrive sends a request in and returns its number.
+// arrive submits a request and returns its number.
 func (r *rig) arrive(path string, wait clock.Milli) uint64 {
 	r.queries++
 	r.handle(Arrival{
@@ -93,24 +93,24 @@
 	return r.queries
 }
 
-// last is the newest call to a leaf.
-// request is the one that a caller or host sends next.
+// request returns the next request of a caller or another host.
 func (r *rig) request(path string) *call.Request {
 	return &call.Request{ID: fmt.Sprintf("q%d", r.queries), Method: "GET", Target: path, Host: "h"}
 }
 
+// last returns the newest call to a leaf.
 func (r *rig) last() Send {
 	assert.Assert(r.t, len(r.sends) > 0, "no call was made")
 	return r.sends[len(r.sends)-1]
 }
 
-func (r *rig) good(s Send) {
+func (r *rig) reply(s Send) {
 	r.handle(Done{Call: s.Call, Kind: call.Answered, Reply: &call.Reply{Status: 200, Stamp: "stamp-" + s.Leaf}})
 }
 
-func (r *rig) ends(s Send, kind call.Kind) { r.handle(Done{Call: s.Call, Kind: kind, Cause: "test"}) }
+func (r *rig) fail(s Send, kind call.Kind) { r.handle(Done{Call: s.Call, Kind: kind, Cause: "test"}) }
 
-// noted tells whether a decision of a kind was noted.
+// noted reports whether there is a note of a kind.
 func (r *rig) noted(kind NoteKind) bool {
 	for _, n := range r.notes {
 		if n.Kind == kind {
@@ -120,15 +120,16 @@
 	return false
 }
 
-func single(idempotent bool) route.Route {
+// singleRoute returns a route to one leaf of a service.
+func singleRoute(idempotent bool) route.Route {
 	return route.Route{
 		Name: "one", Host: "h", Prefix: "/one/", Idempotent: idempotent, Attempts: 2, Timeout: 4000, Target: 800,
 		Services: []route.WeightedService{{Service: "s", Weight: 1}},
 	}
 }
 
-// merged is a route over n shards, s0 and so on.
-func merged(n int) route.Route {
+// shardedRoute returns a route over n shards, s0 and so on.
+func shardedRoute(n int) route.Route {
 	r := route.Route{
 		Name: "all", Host: "h", Prefix: "/all/", Idempotent: true, Attempts: 2, Timeout: 1500, Target: 250,
 		TopK: 5, MinShare: 0.75,
@@ -143,33 +144,32 @@
 	return &route.Table{Version: version, Routes: routes, Services: map[string]route.Service{}}
 }
 
-// leafOf makes an entry of a leaf.
+// leafOf returns a roster entry of a leaf with two slots.
 func leafOf(service, id, domain string) roster.Leaf {
 	return roster.Leaf{ID: id, Service: service, Address: id + ":1", Domain: domain, Slots: 2}
 }
 
-// pairs gives each of n shards a near leaf and a far one.
-func pairs(n int) []roster.Leaf {
+// leafPairs returns a near leaf and a far one for each of n shards.
+func leafPairs(n int) []roster.Leaf {
 	var list []roster.Leaf
 	for i := range n {
 		s := fmt.Sprintf("s%d", i)
-		list = append(list, leafOf(s, s+"-near", here), leafOf(s, s+"-far", there))
+		list = append(list, leafOf(s, s+"-near", nearDomain), leafOf(s, s+"-far", farDomain))
 	}
 	return list
 }
 
-// A caller asks for a record; the leaf breaks the connection after it has the
-// request. The request may run again, so another leaf is asked at once and the
-// caller gets its record.
+// A leaf breaks the connection after it has received a request that may run again. Another
+// leaf is called at once, and the caller gets its reply.
 func TestBrokenCallIsTriedOnAnotherLeaf(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, single(true)), Leaves: []roster.Leaf{leafOf("s", "a", here), leafOf("s", "b", here)}})
+	r.handle(Facts{Table: table(1, singleRoute(true)), Leaves: []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("s", "b", nearDomain)}})
 	q := r.arrive("/one/x", 4000)
 	first := r.last()
 	r.now += 2
-	r.ends(first, call.Broken)
+	r.fail(first, call.Broken)
 	assert.Equal(t, len(r.sends), 2, "%v", r.notes)
 	assert.Assert(t, r.last().Leaf != first.Leaf)
-	r.good(r.last())
+	r.reply(r.last())
 	assert.Equal(t, r.answers[q].Reply.Status, 200)
 }
--- a/share/router/world_test.go
+++ b/share/router/world_test.go
@@ -18,146 +18,146 @@
 	"dandelionstile/share/route"
 )
 
-// world replays a seeded load against several hosts and their leafs under a
-// virtual clock: arrivals, service times, queues at leafs, callers that come
-// back. Everything in it follows from the seed.
+// world simulates a seeded load on several hosts and their leaves under a virtual
+// clock: arrivals, service times, queues at leaves and callers' retries. Its course
+// depends on the seed only.
 type world struct {
-	t     *testing.T
-	now   clock.Milli
-	queue occasions
-	seq   int
-	luck  *rand.Rand
-	hosts []*simHost
-	leafs map[string]*simLeaf
-	kinds []simKind
-	table *route.Table
-	list  []roster.Leaf
-	asked []*simRequest
-	// aggregators is the policy's; 0 is the default.
+	t        *testing.T
+	now      clock.Milli
+	events   simEventHeap
+	seq      int
+	rng      *rand.Rand
+	hosts    []*simHost
+	leaves   map[string]*simLeaf
+	kinds    []simKind
+	table    *route.Table
+	roster   []roster.Leaf
+	requests []*simRequest
+	// aggregators is Policy.Aggregators of all hosts; 0 is the default.
 	aggregators int
-	// silent hosts tell each other nothing of leafs.
-	silent bool
-	// stopped ends the arrivals.
-	stopped clock.Milli
-	// abuse is the share of callers that repeat abuseTimes more often than others,
-	// and at once.
-	abuse float64
-	// crowd is by how much more requests come than usual; 0 is not at all.
-	crowd float64
-}
-
-// simKind is a kind of request.
+	// noReports disables leaf reports between hosts.
+	noReports bool
+	// arrivalsEnd is when arrivals stop.
+	arrivalsEnd clock.Milli
+	// aggressiveShare is the share of callers that retry at once and make
+	// aggressiveRetries more attempts than others.
+	aggressiveShare float64
+	// surge is the factor on the arrival rate; 0 means 1.
+	surge float64
+}
+
+// simKind is a kind of request: its route, its load and its callers.
 type simKind struct {
 	route     route.Route
 	perSecond float64
-	deadline  clock.Milli
-	work      float64 // ms, mean
+	wait      clock.Milli // from the first attempt on
+	workMs    float64     // mean
 	retries   int
 }
 
-// simRequest is what one caller wants.
+// simRequest is one caller's request with all its attempts.
 type simRequest struct {
-	kind  *simKind
-	first clock.Milli
-	tries int
-	// credit is what the answer was worth to the caller, of 1.
+	kind     *simKind
+	firstAt  clock.Milli
+	attempts int
+	// credit is the value of the answer to the caller, from 0 to 1.
 	credit float64
-	ended  bool
-	// abuses is set for a caller that repeats at once and often.
-	abuses bool
+	done   bool
+	// aggressive callers retry at once and more often than others.
+	aggressive bool
 	// lastRefusal is the reason of the last refusal.
 	lastRefusal Refusal
 }
 
-// failed tells whether a request that has ended was not served although it may
-// have run.
+// failed reports whether a request ended without an answer although a leaf may have
+// run it.
 func (r *simRequest) failed() bool {
 	return r.credit == 0 && (r.lastRefusal == Failed || r.lastRefusal == Late || r.lastRefusal == None)
 }
 
-type occasion struct {
+type simEvent struct {
 	at  clock.Milli
 	seq int
 	run func()
 }
 
-type occasions []occasion
+type simEventHeap []simEvent
 
-func (o occasions) Len() int { return len(o) }
-func (o occasions) Less(i, j int) bool {
-	return o[i].at < o[j].at || o[i].at == o[j].at && o[i].seq < o[j].seq
+func (h simEventHeap) Len() int { return len(h) }
+func (h simEventHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (o occasions) Swap(i, j int) { o[i], o[j] = o[j], o[i] }
-func (o *occasions) Push(x any)   { *o = append(*o, x.(occasion)) }
-func (o *occasions) Pop() any {
-	old := *o
+func (h simEventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *simEventHeap) Push(x any)   { *h = append(*h, x.(simEvent)) }
+func (h *simEventHeap) Pop() any {
+	old := *h
 	x := old[len(old)-1]
-	*o = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return x
 }
 
-func (w *world) at(at clock.Milli, run func()) {
+func (w *world) schedule(at clock.Milli, run func()) {
 	w.seq++
-	heap.Push(&w.queue, occasion{max(at, w.now), w.seq, run})
+	heap.Push(&w.events, simEvent{max(at, w.now), w.seq, run})
 }
 
-func (w *world) run(end clock.Milli) {
-	for len(w.queue) > 0 && w.queue[0].at <= end {
-		o := heap.Pop(&w.queue).(occasion)
-		w.now = o.at
-		o.run()
+func (w *world) runUntil(end clock.Milli) {
+	for len(w.events) > 0 && w.events[0].at <= end {
+		event := heap.Pop(&w.events).(simEvent)
+		w.now = event.at
+		event.run()
 	}
 	w.now = end
 }
 
 const (
-	abuseTimes                = 3
-	simWay        clock.Milli = 3 // one way between caller and host
-	simNear       clock.Milli = 1 // one way between host and leaf
-	simFar        clock.Milli = 8 // the same between regions
-	simConnect    clock.Milli = 1000
-	simLateCredit             = 0.1
-	simSpread                 = 0.35
+	aggressiveRetries             = 3
+	simCallerDelay    clock.Milli = 3 // one way between caller and host
+	simNearDelay      clock.Milli = 1 // one way between host and leaf
+	simFarDelay       clock.Milli = 8 // the same between regions
+	simConnectTimeout clock.Milli = 1000
+	simLateCredit                 = 0.1
+	simWorkSigma                  = 0.35
 )
 
 // simHost is one host.
 type simHost struct {
 	w       *world
 	address string
-	place   HostInfo
+	info    HostInfo
 	engine  *Engine
-	dark    bool
+	down    bool
 	queries uint64
 	answers map[uint64]func(Answer)
 	calls   map[uint64]*simJob
-	tick    clock.Milli
+	tickAt  clock.Milli
 }
 
-// start begins a new process.
+// start starts a new process.
 func (h *simHost) start() {
-	h.engine = &Engine{Self: h.place, Regions: simRegions, Policy: Policy{BudgetRatio: 0.19, BudgetReserve: 39, MinHosts: len(h.w.hosts), Aggregators: h.w.aggregators}}
+	h.engine = &Engine{Self: h.info, Regions: simRegions, Policy: Policy{BudgetRatio: 0.19, BudgetReserve: 39, MinHosts: len(h.w.hosts), Aggregators: h.w.aggregators}}
 	h.answers = map[uint64]func(Answer){}
 	h.calls = map[uint64]*simJob{}
-	h.dark = false
-	h.tick = 0
-	h.handle(Facts{Table: h.w.table, Leaves: h.w.list})
-	h.w.at(h.w.now+300, func() { h.meet() })
+	h.down = false
+	h.tickAt = 0
+	h.handle(Facts{Table: h.w.table, Leaves: h.w.roster})
+	h.w.schedule(h.w.now+300, func() { h.updatePeers() })
 }
 
-// meet tells the host of the others.
-func (h *simHost) meet() {
+// updatePeers sets the host's list of the other live hosts.
+func (h *simHost) updatePeers() {
 	var list []Peer
 	for _, o := range h.w.hosts {
-		if o != h && !o.dark {
-			list = append(list, Peer{Address: o.address, Domain: o.place.Domain, Started: 1})
+		if o != h && !o.down {
+			list = append(list, Peer{Address: o.address, Domain: o.info.Domain, Started: 1})
 		}
 	}
 	h.handle(Peers{List: list})
 }
 
-// stop is a loss of power.
-func (h *simHost) stop() {
-	h.dark = true
+// powerOff ends the process and its calls, as a power loss does.
+func (h *simHost) powerOff() {
+	h.down = true
 	h.engine = nil
 	for _, id := range slices.Sorted(maps.Keys(h.calls)) {
 		j := h.calls[id]
@@ -173,36 +173,36 @@
 	}
 	engine := h.engine
 	for _, a := range engine.Handle(h.w.now, ev) {
-		h.act(engine, a)
+		h.execute(engine, a)
 	}
 	next := engine.NextTick()
-	if next != 0 && (h.tick == 0 || next < h.tick) {
-		h.tick = next
-		h.w.at(next, func() {
+	if next != 0 && (h.tickAt == 0 || next < h.tickAt) {
+		h.tickAt = next
+		h.w.schedule(next, func() {
 			if h.engine == engine {
-				h.tick = 0
+				h.tickAt = 0
 				h.handle(Tick{})
 			}
 		})
 	}
 }
 
-func (h *simHost) act(engine *Engine, a Action) {
+func (h *simHost) execute(engine *Engine, a Action) {
 	w := h.w
 	switch a := a.(type) {
 	case Send:
-		j := &simJob{host: h, engine: engine, call: a.Call, leaf: w.leafs[a.Leaf], request: a.Request, until: w.now + a.Timeout}
+		j := &simJob{host: h, engine: engine, call: a.Call, leaf: w.leaves[a.Leaf], request: a.Request, deadline: w.now + a.Timeout}
 		h.calls[a.Call] = j
-		w.at(w.now+h.way(j.leaf.region), func() { j.leaf.take(j) })
+		w.schedule(w.now+h.delay(j.leaf.region), func() { j.leaf.accept(j) })
 	case Cancel:
 		if j := h.calls[a.Call]; j != nil {
 			j.leaf.cancel(j)
-			h.end(j, Done{Call: a.Call, Kind: call.Cancelled})
+			h.endCall(j, Done{Call: a.Call, Kind: call.Cancelled})
 		}
 	case Forward:
 		h.forward(engine, a)
 	case SendLeafReports:
-		h.tell(a.List)
+		h.sendReports(a.List)
 	case Answer:
 		if answer := h.answers[a.Query]; answer != nil {
 			delete(h.answers, a.Query)
@@ -211,26 +211,27 @@
 	}
 }
 
-// simNews is how long news of leafs takes to another host of the domain.
-const simNews clock.Milli = 16
+// simReportDelay is how long a leaf report takes to another host of the domain.
+const simReportDelay clock.Milli = 16
 
-// tell carries news of leafs to the other hosts of the failure domain.
-func (h *simHost) tell(list []report.Leaf) {
+// sendReports delivers leaf reports to the other hosts of the failure domain.
+func (h *simHost) sendReports(list []report.Leaf) {
 	for _, o := range h.w.hosts {
-		if !h.w.silent && o != h && o.place.Domain == h.place.Domain {
-			h.w.at(h.w.now+simNews, func() { o.handle(LeafReports{List: list}) })
+		if !h.w.noReports && o != h && o.info.Domain == h.info.Domain {
+			h.w.schedule(h.w.now+simReportDelay, func() { o.handle(LeafReports{List: list}) })
 		}
 	}
 }
 
-func (h *simHost) way(region string) clock.Milli {
-	if region == h.place.Region {
-		return simNear
+// delay returns the one-way network delay between the host and a region.
+func (h *simHost) delay(region string) clock.Milli {
+	if region == h.info.Region {
+		return simNearDelay
 	}
-	return simFar
+	return simFarDelay
 }
 
-func (h *simHost) end(j *simJob, d Done) {
+func (h *simHost) endCall(j *simJob, d Done) {
 	if h.engine != j.engine || h.calls[j.call] == nil {
 		return
 	}
@@ -238,7 +239,7 @@
 	h.handle(d)
 }
 
-// forward carries a part of a query to another host and its answer back.
+// forward delivers a part of a query to another host, and its answer back.
 func (h *simHost) forward(engine *Engine, a Forward) {
 	w := h.w
 	var other *simHost
@@ -247,29 +248,29 @@
 			other = o
 		}
 	}
-	way := h.way(other.place.Region)
+	delay := h.delay(other.info.Region)
 	done := func(d Done) {
-		w.at(w.now+way, func() {
+		w.schedule(w.now+delay, func() {
 			if h.engine == engine {
 				h.handle(d)
 			}
 		})
 	}
-	w.at(w.now+way, func() {
+	w.schedule(w.now+delay, func() {
 		if other.engine == nil {
 			done(Done{Call: a.Call, Kind: call.NotSent})
 			return
 		}
-		came := w.now
-		arrive := Arrival{
+		arrivedAt := w.now
+		arrival := Arrival{
 			Wait: a.Timeout, Request: a.Request, Forwarded: true, Shards: a.Shards, Target: a.Target, Version: a.Version, Remote: h.address, Late: a.Late,
 		}
-		other.arrive(arrive, func(ans Answer) {
-			d := Done{Call: a.Call, Kind: call.Answered, ProcessingTime: w.now - came}
-			if ans.Merged == nil {
-				d = Done{Call: a.Call, Kind: call.Shed, Refusal: ans.Refusal}
+		other.arrive(arrival, func(answer Answer) {
+			d := Done{Call: a.Call, Kind: call.Answered, ProcessingTime: w.now - arrivedAt}
+			if answer.Merged == nil {
+				d = Done{Call: a.Call, Kind: call.Shed, Refusal: answer.Refusal}
 			} else {
-				d.Reply = &call.Reply{Status: 200, Stamp: "x", Missing: ans.Merged.Missing}
+				d.Reply = &call.Reply{Status: 200, Stamp: "x", Missing: answer.Merged.Missing}
 			}
 			done(d)
 		})
@@ -283,135 +284,135 @@
 	h.handle(a)
 }
 
-// simJob is a request at a leaf.
+// simJob is a call at a leaf.
 type simJob struct {
-	host    *simHost
-	engine  *Engine
-	call    uint64
-	leaf    *simLeaf
-	request *call.Request
-	until   clock.Milli
-	over    bool
-	running bool
-	// fresh jobs came over a new connection.
-	fresh bool
-}
-
-// simLeaf works on a few requests at once and queues some more.
+	host     *simHost
+	engine   *Engine
+	call     uint64
+	leaf     *simLeaf
+	request  *call.Request
+	deadline clock.Milli
+	ended    bool
+	running  bool
+	// newConn is set for calls on a new connection.
+	newConn bool
+}
+
+// simLeaf runs a few calls at a time and queues some more.
 type simLeaf struct {
 	w *world
 	roster.Leaf
 	region string
 	busy   int
-	line   []*simJob
-	// open and used count each host's connections, and those in use.
-	open, used map[*Engine]int
-	// paused is the end of a pause in which nothing is begun or ended.
-	paused clock.Milli
-	// slow is by how much all work takes longer; 0 is not at all.
-	slow float64
-	// down leaves accept no connection.
+	queue  []*simJob
+	// conns and connsInUse count each process's connections, and those in use.
+	conns, connsInUse map[*Engine]int
+	// pausedUntil is the end of a pause in which no call starts or ends.
+	pausedUntil clock.Milli
+	// slowdown is the factor on service times; 0 means 1.
+	slowdown float64
+	// down leaves refuse connections.
 	down bool
 }
 
 const (
-	simQueue = 18
-	// simHandshake is how long a new connection holds a slot.
-	simHandshake = 6.0
-	// Leafs pause now and then, and one request in a hundred takes longer.
-	simPause      clock.Milli = 250
-	simPauseEvery clock.Milli = 6000
-	simTail                   = 0.01
-	simTailTimes              = 5.0
+	simQueueSize = 18
+	// simHandshakeMs is how long a new connection occupies a slot.
+	simHandshakeMs = 6.0
+	// Leaves pause at regular intervals, and one request in a hundred takes longer.
+	simPause         clock.Milli = 250
+	simPauseInterval clock.Milli = 6000
+	simTailShare                 = 0.01
+	simTailFactor                = 5.0
 )
 
-// rest has the leaf pause at its own period.
-func (l *simLeaf) rest() {
-	l.paused = l.w.now + simPause
-	l.w.at(l.w.now+simPauseEvery, l.rest)
+// pause pauses the leaf at regular intervals.
+func (l *simLeaf) pause() {
+	l.pausedUntil = l.w.now + simPause
+	l.w.schedule(l.w.now+simPauseInterval, l.pause)
 }
 
-func (l *simLeaf) take(j *simJob) {
-	l.used[j.engine]++
-	if j.fresh = l.used[j.engine] > l.open[j.engine]; j.fresh {
-		l.open[j.engine]++
+func (l *simLeaf) accept(j *simJob) {
+	l.connsInUse[j.engine]++
+	if j.newConn = l.connsInUse[j.engine] > l.conns[j.engine]; j.newConn {
+		l.conns[j.engine]++
 	}
 	switch {
-	case j.over:
+	case j.ended:
 	case l.down:
 		l.reply(j, Done{Call: j.call, Kind: call.NotSent, Cause: "refused"})
 	case l.busy < l.Slots:
-		l.begin(j)
-	case len(l.line) < simQueue:
-		l.line = append(l.line, j)
+		l.start(j)
+	case len(l.queue) < simQueueSize:
+		l.queue = append(l.queue, j)
 	default:
 		l.reply(j, Done{Call: j.call, Kind: call.Shed})
 	}
 }
 
-func (l *simLeaf) begin(j *simJob) {
+func (l *simLeaf) start(j *simJob) {
 	l.busy++
 	j.running = true
-	work := l.w.kind(j.request).work * math.Exp(l.w.luck.NormFloat64()*simSpread-simSpread*simSpread/2)
-	if l.w.luck.Float64() < simTail {
-		work *= simTailTimes
+	work := l.w.kindOf(j.request).workMs * math.Exp(l.w.rng.NormFloat64()*simWorkSigma-simWorkSigma*simWorkSigma/2)
+	if l.w.rng.Float64() < simTailShare {
+		work *= simTailFactor
 	}
-	if l.slow > 0 {
-		work *= l.slow
+	if l.slowdown > 0 {
+		work *= l.slowdown
 	}
-	if j.fresh {
-		work += simHandshake
+	if j.newConn {
+		work += simHandshakeMs
 	}
-	l.w.at(max(l.w.now, l.paused)+clock.Milli(work+0.5), func() { l.finish(j) })
+	l.w.schedule(max(l.w.now, l.pausedUntil)+clock.Milli(work+0.5), func() { l.finish(j) })
 }
 
 func (l *simLeaf) finish(j *simJob) {
 	if !j.running {
 		return
 	}
-	if l.w.now < l.paused {
-		l.w.at(l.paused, func() { l.finish(j) })
+	if l.w.now < l.pausedUntil {
+		l.w.schedule(l.pausedUntil, func() { l.finish(j) })
 		return
 	}
 	j.running = false
 	l.busy--
-	if !j.over {
+	if !j.ended {
 		l.reply(j, Done{Call: j.call, Kind: call.Answered, Reply: &call.Reply{Status: 200, Stamp: l.ID}})
 	}
-	l.next()
+	l.startQueued()
 }
 
-func (l *simLeaf) next() {
-	for l.busy < l.Slots && len(l.line) > 0 {
-		j := l.line[0]
-		l.line = l.line[1:]
-		if !j.over && l.w.now < j.until {
-			l.begin(j)
+func (l *simLeaf) startQueued() {
+	for l.busy < l.Slots && len(l.queue) > 0 {
+		j := l.queue[0]
+		l.queue = l.queue[1:]
+		if !j.ended && l.w.now < j.deadline {
+			l.start(j)
 		}
 	}
 }
 
 func (l *simLeaf) cancel(j *simJob) {
-	if !j.over {
-		l.used[j.engine]--
-		l.open[j.engine]--
+	if !j.ended {
+		l.connsInUse[j.engine]--
+		l.conns[j.engine]--
 	}
-	j.over = true
+	j.ended = true
 	if j.running {
 		j.running = false
 		l.busy--
-		l.next()
+		l.startQueued()
 	}
 }
 
 func (l *simLeaf) reply(j *simJob, d Done) {
-	j.over = true
-	l.used[j.engine]--
+	j.ended = true
+	l.connsInUse[j.engine]--
 	h := j.host
-	l.w.at(l.w.now+h.way(l.region), func() { h.end(j, d) })
+	l.w.schedule(l.w.now+h.delay(l.region), func() { h.endCall(j, d) })
 }
 
-func (w *world) kind(r *call.Request) *simKind {
+func (w *world) kindOf(r *call.Request) *simKind {
 	for i := range w.kinds {
 		if len(r.Target) >= len(w.kinds[i].route.Prefix) && r.Target[:len(w.kinds[i].route.Prefix)] == w.kinds[i].route.Prefix {
 			return &w.kinds[i]
@@ -420,100 +421,99 @@
 	panic("no kind of request for " + r.Target)
 }
 
-// load has requests of all kinds arrive until the end.
-func (w *world) load(end clock.Milli) {
-	w.stopped = end
+// startLoad schedules arrivals of all kinds until the end.
+func (w *world) startLoad(end clock.Milli) {
+	w.arrivalsEnd = end
 	for i := range w.kinds {
-		w.arrivals(&w.kinds[i])
+		w.scheduleArrival(&w.kinds[i])
 	}
 }
 
-func (w *world) arrivals(k *simKind) {
+func (w *world) scheduleArrival(k *simKind) {
 	rate := k.perSecond
-	if w.crowd > 0 {
-		rate *= w.crowd
+	if w.surge > 0 {
+		rate *= w.surge
 	}
-	pause := clock.Milli(w.luck.ExpFloat64()*1000/rate + 0.5)
-	w.at(w.now+pause, func() {
-		if w.now >= w.stopped {
+	interval := clock.Milli(w.rng.ExpFloat64()*1000/rate + 0.5)
+	w.schedule(w.now+interval, func() {
+		if w.now >= w.arrivalsEnd {
 			return
 		}
-		r := &simRequest{kind: k, first: w.now, abuses: rank.Fraction("caller", strconv.Itoa(len(w.asked))) < w.abuse}
-		w.asked = append(w.asked, r)
+		r := &simRequest{kind: k, firstAt: w.now, aggressive: rank.Fraction("caller", strconv.Itoa(len(w.requests))) < w.aggressiveShare}
+		w.requests = append(w.requests, r)
 		w.attempt(r)
-		w.arrivals(k)
+		w.scheduleArrival(k)
 	})
 }
 
-// attempt sends a request to a host, over a new connection for a request that
-// is sent again.
+// attempt sends a request to a random host; a retry opens a new connection.
 func (w *world) attempt(r *simRequest) {
-	h := w.hosts[w.luck.Intn(len(w.hosts))]
-	if h.dark {
+	h := w.hosts[w.rng.Intn(len(w.hosts))]
+	if h.down {
 		// The connection is not accepted.
-		w.at(w.now+simConnect, func() { w.again(r) })
+		w.schedule(w.now+simConnectTimeout, func() { w.retry(r) })
 		return
 	}
-	r.tries++
-	opening := clock.Milli(0)
-	if r.tries > 1 || w.now-r.first > 0 {
-		opening = 2 * simWay
-	}
-	left := r.first + r.kind.deadline - w.now - opening
-	target := fmt.Sprintf("%sr%d", r.kind.route.Prefix, len(w.asked))
-	q := &call.Request{ID: fmt.Sprintf("%d.%d.%d", r.first, w.seq, r.tries), Method: "GET", Target: target, Host: "h"}
-	w.at(w.now+opening+simWay, func() {
-		if h.dark {
-			w.again(r)
+	r.attempts++
+	connectTime := clock.Milli(0)
+	if r.attempts > 1 || w.now-r.firstAt > 0 {
+		connectTime = 2 * simCallerDelay
+	}
+	left := r.firstAt + r.kind.wait - w.now - connectTime
+	target := fmt.Sprintf("%sr%d", r.kind.route.Prefix, len(w.requests))
+	request := &call.Request{ID: fmt.Sprintf("%d.%d.%d", r.firstAt, w.seq, r.attempts), Method: "GET", Target: target, Host: "h"}
+	w.schedule(w.now+connectTime+simCallerDelay, func() {
+		if h.down {
+			w.retry(r)
 			return
 		}
-		h.arrive(Arrival{Request: q, Wait: left, Remote: "caller:1"}, func(a Answer) {
-			w.at(w.now+simWay, func() { w.answered(r, a) })
+		h.arrive(Arrival{Request: request, Wait: left, Remote: "caller:1"}, func(a Answer) {
+			w.schedule(w.now+simCallerDelay, func() { w.handleAnswer(r, a) })
 		})
 	})
-	w.at(r.first+r.kind.deadline, func() { r.ended = true })
+	w.schedule(r.firstAt+r.kind.wait, func() { r.done = true })
 }
 
-func (w *world) again(r *simRequest) {
+func (w *world) retry(r *simRequest) {
 	retries := r.kind.retries
-	if r.abuses {
-		retries += abuseTimes
+	if r.aggressive {
+		retries += aggressiveRetries
 	}
-	if !r.ended && r.tries <= retries && w.now < r.first+r.kind.deadline {
+	if !r.done && r.attempts <= retries && w.now < r.firstAt+r.kind.wait {
 		w.attempt(r)
 	}
 }
 
-func (w *world) answered(r *simRequest, a Answer) {
-	if r.ended {
+func (w *world) handleAnswer(r *simRequest, a Answer) {
+	if r.done {
 		return
 	}
 	r.lastRefusal = a.Refusal
 	if a.Refusal != None {
 		wait := a.RetryAfter
-		if r.abuses {
+		if r.aggressive {
 			wait = 0
 		}
-		w.at(w.now+wait, func() { w.again(r) })
+		w.schedule(w.now+wait, func() { w.retry(r) })
 		return
 	}
-	r.ended = true
+	r.done = true
 	share := 1.0
 	if a.Merged != nil {
 		n := len(r.kind.route.Shards)
 		share = float64(n-len(a.Merged.Missing)) / float64(n)
 	}
 	r.credit = share * share
-	if w.now-r.first > r.kind.route.Target {
+	if w.now-r.firstAt > r.kind.route.Target {
 		r.credit *= simLateCredit
 	}
 }
 
-// credit is the mean credit of requests first sent in a span of time.
+// credit returns the mean credit of requests first sent in a span of time.
 func (w *world) credit(from, to clock.Milli) float64 {
 	sum, n := 0.0, 0
-	for _, r := range w.asked {
-		if r.first >= from && r.first < to {
+	for _, r := range w.requests {
+		if r.firstAt >= from && r.firstAt < to {
 			sum += r.credit
 			n++
 		}
@@ -521,27 +521,27 @@
 	return sum / float64(n)
 }
 
-// smallFleet is how many hosts a small deployment has.
-const smallFleet = 6
+// smallFleetHosts is the number of hosts of a small deployment.
+const smallFleetHosts = 6
 
-// smallShards is how many shards its index has.
-const smallShards = 30
+// smallFleetShards is the number of shards of its index.
+const smallFleetShards = 30
 
-// newWorld has six hosts in three regions, and shards with a leaf in two of
-// them; the first few have lost one of theirs.
-func newWorld(t *testing.T, seed int64, single int, kinds ...simKind) *world {
+// newWorld returns a small deployment in three regions. Its shards have a leaf in two
+// of them, except for the first few, which are unreplicated.
+func newWorld(t *testing.T, seed int64, unreplicated int, kinds ...simKind) *world {
 	t.Helper()
-	return newFleet(t, seed, smallFleet, 0, smallShards, single, kinds...)
+	return newFleet(t, seed, smallFleetHosts, 0, smallFleetShards, unreplicated, kinds...)
 }
 
-// allHosts has every host ask the leaves of its failure domain itself.
+// allHosts makes every host an aggregator.
 const allHosts = 1 << 20
 
-// newFleet is newWorld with a number of hosts, of which some ask the leaves of
-// each failure domain; 0 is the default.
-func newFleet(t *testing.T, seed int64, hosts, aggregators, shards, single int, kinds ...simKind) *world {
+// newFleet is newWorld with a number of hosts, of shards, and of aggregators in each
+// failure domain; 0 aggregators is the default.
+func newFleet(t *testing.T, seed int64, hosts, aggregators, shards, unreplicated int, kinds ...simKind) *world {
 	t.Helper()
-	w := &world{t: t, aggregators: aggregators, luck: rand.New(rand.NewSource(seed)), leafs: map[string]*simLeaf{}, kinds: kinds}
+	w := &world{t: t, aggregators: aggregators, rng: rand.New(rand.NewSource(seed)), leaves: map[string]*simLeaf{}, kinds: kinds}
 	routes := make([]route.Route, len(kinds))
 	services := map[string]route.Service{}
 	for i := range kinds {
@@ -553,16 +553,16 @@
 	for s := range shards {
 		name := fmt.Sprintf("s%d", s)
 		services[name] = route.Service{Name: name, Connections: 30}
-		w.leaf(name, name+"-e", "east-1")
-		if s >= single {
-			w.leaf(name, name+"-w", "west-1")
+		w.addLeaf(name, name+"-e", "east-1")
+		if s >= unreplicated {
+			w.addLeaf(name, name+"-w", "west-1")
 		}
 	}
 	w.table = &route.Table{Version: 1, Routes: routes, Services: services}
 	domains := []string{"east-1", "west-1", "south-1"}
 	for i := range hosts {
 		d := domains[i%3]
-		w.hosts = append(w.hosts, &simHost{w: w, address: fmt.Sprintf("10.0.0.%d:1", i), place: HostInfo{Host: fmt.Sprintf("h%d", i), Domain: d, Region: simRegions[d], Address: fmt.Sprintf("10.0.0.%d:1", i)}})
+		w.hosts = append(w.hosts, &simHost{w: w, address: fmt.Sprintf("10.0.0.%d:1", i), info: HostInfo{Host: fmt.Sprintf("h%d", i), Domain: d, Region: simRegions[d], Address: fmt.Sprintf("10.0.0.%d:1", i)}})
 	}
 	for _, h := range w.hosts {
 		h.start()
@@ -570,25 +570,25 @@
 	return w
 }
 
-func (w *world) leaf(service, id, domain string) {
+func (w *world) addLeaf(service, id, domain string) {
 	l := roster.Leaf{ID: id, Service: service, Address: id + ":1", Domain: domain, Slots: 3}
-	w.list = append(w.list, l)
-	f := &simLeaf{w: w, Leaf: l, region: simRegions[domain], open: map[*Engine]int{}, used: map[*Engine]int{}}
-	w.leafs[id] = f
-	w.at(clock.Milli(w.luck.Intn(int(simPauseEvery))), f.rest)
+	w.roster = append(w.roster, l)
+	f := &simLeaf{w: w, Leaf: l, region: simRegions[domain], conns: map[*Engine]int{}, connsInUse: map[*Engine]int{}}
+	w.leaves[id] = f
+	w.schedule(clock.Milli(w.rng.Intn(int(simPauseInterval))), f.pause)
 }
 
-// browse and peek are the two kinds of queries that people wait for.
+// browse and peek return the two kinds of queries that people wait for.
 func browse(perSecond float64) simKind {
 	return simKind{
 		route:     route.Route{Name: "browse", Host: "h", Prefix: "/browse/", Idempotent: true, Attempts: 2, Timeout: 2000, Target: 200, TopK: 20, MinShare: 0.89, Priority: 1},
-		perSecond: perSecond, deadline: 2000, work: 28, retries: 1,
+		perSecond: perSecond, wait: 2000, workMs: 28, retries: 1,
 	}
 }
 
 func peek(perSecond float64) simKind {
 	return simKind{
 		route:     route.Route{Name: "peek", Host: "h", Prefix: "/peek/", Idempotent: true, Attempts: 2, Timeout: 1200, Target: 120, TopK: 5, MinShare: 0.75, Priority: 2},
-		perSecond: perSecond, deadline: 1200, work: 9.2, retries: 1,
+		perSecond: perSecond, wait: 1200, workMs: 9.2, retries: 1,
 	}
 }
