--- a/fakes/backend.go
+++ b/fakes/backend.go
@@ -43,7 +43,7 @@
 			continue
 		}
 		s := leaf.New(spec, leaf.Model{
-			Service: c.Service, Jitter: c.Service / 2, Connect: c.Connect, Warm: c.Warm, Restart: c.Restart, Seed: 1,
+			ServiceTime: c.Service, Jitter: c.Service / 2, ConnectTime: c.Connect, WarmUp: c.Warm, RestartDelay: c.Restart, Seed: 1,
 		})
 		if _, err := s.Start(spec.Address); err != nil {
 			return err
--- a/fakes/demo/demo.go
+++ b/fakes/demo/demo.go
@@ -58,8 +58,8 @@
 	d.lab = lab.Lab{
 		Bin: d.Bin, Dir: d.Dir, Layout: lab.Kumomaru(), Rules: rules,
 		Model: leaf.Model{
-			Service: 3 * time.Millisecond, Jitter: 2 * time.Millisecond, Connect: 6 * time.Millisecond,
-			Warm: 300 * time.Millisecond, Restart: 500 * time.Millisecond, Seed: 1,
+			ServiceTime: 3 * time.Millisecond, Jitter: 2 * time.Millisecond, ConnectTime: 6 * time.Millisecond,
+			WarmUp: 300 * time.Millisecond, RestartDelay: 500 * time.Millisecond, Seed: 1,
 		},
 	}
 	defer func() {
--- a/fakes/lab/lab_test.go
+++ b/fakes/lab/lab_test.go
@@ -59,8 +59,8 @@
 		Bin: binaries, Dir: t.TempDir(), Layout: Kumomaru(),
 		Rules: "never-repeat:\n  - {service: subscription-billing, operation: status-update}\n",
 		Model: leaf.Model{
-			Service: 2 * time.Millisecond, Jitter: time.Millisecond, Connect: 2 * time.Millisecond,
-			Warm: 300 * time.Millisecond, Restart: 300 * time.Millisecond, Seed: 1,
+			ServiceTime: 2 * time.Millisecond, Jitter: time.Millisecond, ConnectTime: 2 * time.Millisecond,
+			WarmUp: 300 * time.Millisecond, RestartDelay: 300 * time.Millisecond, Seed: 1,
 		},
 	}
 	for i := range l.Layout.Services {
@@ -361,7 +361,7 @@
 	l, _ := startLab(t, nil)
 	d := startLoad(t, l, 4)
 	faults := []leaf.Fault{
-		leaf.FaultForeign, leaf.FaultTruncated, leaf.FaultEmpty, leaf.FaultFewer, leaf.FaultSnapshot, leaf.FaultError,
+		leaf.FaultWrongAttempt, leaf.FaultTruncated, leaf.FaultEmpty, leaf.FaultNoShards, leaf.FaultWrongSnapshot, leaf.FaultError,
 	}
 	for i, fault := range faults {
 		spec := l.Specs[i]
--- a/fakes/lab/leave_test.go
+++ b/fakes/lab/leave_test.go
@@ -14,7 +14,7 @@
 // Through entry and aggregators, the leafs are told to stop well before
 // they would have been done.
 func TestLeafsStopWhenTheCallerLeaves(t *testing.T) {
-	l, c := startLab(t, func(l *Lab) { l.Model.Service = 300 * time.Millisecond })
+	l, c := startLab(t, func(l *Lab) { l.Model.ServiceTime = 300 * time.Millisecond })
 	cancelled := func() int {
 		n := 0
 		for _, s := range l.Servers {
--- a/fakes/leaf/control.go
+++ b/fakes/leaf/control.go
@@ -7,7 +7,7 @@
 	"dandelionstile/share/topo"
 )
 
-// Control drives many servers over HTTP.
+// Control handles control requests for a set of servers.
 type Control struct {
 	Servers map[string]*Server
 }
@@ -26,18 +26,18 @@
 // Handler serves POST /control and GET /stats.
 func (c Control) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /control", c.command)
+	mux.HandleFunc("POST /control", c.handleCommand)
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) {
 		all := make([]Stats, 0, len(c.Servers))
 		for _, s := range c.Servers {
 			all = append(all, s.Stats())
 		}
-		_ = json.NewEncoder(w).Encode(all) // a reader that is gone needs none
+		_ = json.NewEncoder(w).Encode(all) // a client that disconnected needs no reply
 	})
 	return mux
 }
 
-func (c Control) command(w http.ResponseWriter, r *http.Request) {
+func (c Control) handleCommand(w http.ResponseWriter, r *http.Request) {
 	var cmd Command
 	if err := json.NewDecoder(r.Body).Decode(&cmd); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -47,35 +47,35 @@
 		if cmd.Server != "" && cmd.Server != name {
 			continue
 		}
-		if !apply(s, cmd) {
+		if !applyCommand(s, cmd) {
 			http.Error(w, "no such action", http.StatusBadRequest)
 			return
 		}
 	}
 }
 
-func apply(s *Server, cmd Command) bool {
+func applyCommand(s *Server, cmd Command) bool {
 	switch cmd.Action {
 	case "crash":
 		s.Crash()
 	case "chill":
-		s.Chill()
+		s.MakeCold()
 	case "drain":
 		s.Drain(cmd.On)
 	case "silence":
 		s.Silence(cmd.Factor)
 	case "straggle":
-		s.Straggle(cmd.Leaf, cmd.Factor)
+		s.SetSlowdown(cmd.Leaf, cmd.Factor)
 	case "fault":
 		s.SetFault(cmd.Leaf, cmd.Fault)
 	case "snapshots":
-		var pins []topo.SnapshotID
+		var ids []topo.SnapshotID
 		for _, text := range cmd.Snapshots {
-			if p, ok := topo.ParseSnapshotID(text); ok {
-				pins = append(pins, p)
+			if id, ok := topo.ParseSnapshotID(text); ok {
+				ids = append(ids, id)
 			}
 		}
-		s.SetSnapshots(pins...)
+		s.SetSnapshots(ids...)
 	default:
 		return false
 	}
--- a/fakes/leaf/leaf.go
+++ b/fakes/leaf/leaf.go
@@ -1,7 +1,8 @@
-// Package leaf stands in for backend servers and their leafs: slots, connection
-// limits, connect cost, cold starts, drains, stragglers, crashes, snapshots,
-// silent connections and a log of executed updates. Tests drive it by its
-// methods or over HTTP.
+// Package leaf implements fake backend servers and their leaves for tests and
+// demos. It simulates slots, connection limits, connect cost, cold starts,
+// drains, stragglers, crashes, snapshots and unresponsive connections, and counts
+// the executions of each update. Tests control it through its methods or over
+// HTTP.
 package leaf
 
 import (
@@ -14,55 +15,56 @@
 	"dandelionstile/share/topo"
 )
 
-// Model is how leafs behave.
+// Model configures how leaves behave.
 type Model struct {
-	// Service is the usual time a query takes at a leaf.
-	Service time.Duration
-	// Jitter is added at random, up to this.
+	// ServiceTime is the time that a leaf takes for a query, without jitter.
+	ServiceTime time.Duration
+	// Jitter is the maximum of the random time added to each query.
 	Jitter time.Duration
-	// Connect is what a new connection costs before its first reply.
-	Connect time.Duration
-	// Warm is how long a cold leaf takes until it bears all of its slots.
-	Warm time.Duration
-	// Restart is how long a crashed server stays away.
-	Restart time.Duration
-	// StateLag is how far the state endpoint lags behind.
+	// ConnectTime delays the first reply on a new connection.
+	ConnectTime time.Duration
+	// WarmUp is the time from a cold start until a leaf has all of its slots.
+	WarmUp time.Duration
+	// RestartDelay is the time from a crash of a server to its restart.
+	RestartDelay time.Duration
+	// StateLag is the time until a change of draining shows in Leaf-State.
 	StateLag time.Duration
 	Seed     uint64
 }
 
-// Rows is how many rows each shard has.
+// Rows is the number of rows in each shard.
 const Rows = 2
 
-// CrashText makes a server that runs a query with it go down.
+// CrashText crashes a server that runs a query or an update with this text.
 const CrashText = "crash-backend"
 
-// Fault is a wrong way to answer.
+// Fault is a kind of wrong reply.
 type Fault string
 
-// The faults.
+// The kinds of wrong replies.
 const (
-	FaultNone      Fault = ""
-	FaultForeign   Fault = "foreign"   // another attempt's reply
-	FaultTruncated Fault = "truncated" // half of the body
-	FaultEmpty     Fault = "empty"     // no body
-	FaultFewer     Fault = "fewer"     // no shard in the reply
-	FaultSnapshot  Fault = "snapshot"  // rows of another snapshot
-	FaultError     Fault = "error"     // status 500
+	FaultNone          Fault = ""
+	FaultWrongAttempt  Fault = "foreign"   // the id of another attempt
+	FaultTruncated     Fault = "truncated" // half of the body
+	FaultEmpty         Fault = "empty"     // no body
+	FaultNoShards      Fault = "fewer"     // no shards and no rows
+	FaultWrongSnapshot Fault = "snapshot"  // the id of another snapshot
+	FaultError         Fault = "error"     // status 500
 )
 
-// Leaf is one leaf's state.
+// Leaf is the state of one leaf.
 type Leaf struct {
 	spec      topo.Leaf
 	active    int
 	conns     map[string]bool
-	cold      time.Time // start of the warm-up; zero when warm
-	straggle  float64
+	coldSince time.Time // start of the warm-up; zero when warm
+	slowdown  float64
 	fault     Fault
 	snapshots []topo.SnapshotID
 
-	// Calls counts the queries that started; Excess those beyond what the leaf
-	// could bear; Refused the connections over the limit.
+	// Calls counts the requests that started, Excess and Shed those rejected
+	// because the leaf had no free slot, and Refused the connections over the
+	// limit. MaxBusy is the most requests that ran at once.
 	Calls   int
 	Excess  int
 	Shed    int
@@ -71,47 +73,48 @@
 	lastUse time.Time
 }
 
-// Server is a backend server with its leafs.
+// Server is a backend server with its leaves.
 type Server struct {
-	mu          sync.Mutex
-	spec        topo.Server
-	model       Model
-	random      *rand.Rand
-	incarnation uint64
-	draining    bool
-	drainSince  time.Time
-	started     time.Time
-	down        bool
-	silent      map[string]bool // connections that went silent
-	leafs       map[string]*Leaf
-	executed    map[string]int // update id -> executions
-	attempts    map[string]chan struct{}
-	listener    *listener
-	restartAt   *time.Timer
-	closed      bool
-	crashes     int
-	cancelled   int
+	mu           sync.Mutex
+	spec         topo.Server
+	model        Model
+	random       *rand.Rand
+	incarnation  uint64
+	draining     bool
+	drainSince   time.Time
+	started      time.Time
+	down         bool
+	silent       map[string]bool // remote addresses of unresponsive connections
+	leaves       map[string]*Leaf
+	executed     map[string]int           // update id -> executions
+	cancels      map[string]chan struct{} // by attempt; closed to cancel it
+	listener     *listener
+	restartTimer *time.Timer
+	closed       bool
+	crashes      int
+	cancelled    int
 }
 
-// New returns a server that is not listening yet. Its leafs hold the snapshot
-// with version 1 of their newest layout, and are warm.
+// New returns a server that isn't listening yet. Its leaves are warm and hold
+// version 1 of each of their layouts.
 func New(spec topo.Server, model Model) *Server {
 	s := &Server{
 		spec: spec, model: model, incarnation: 1,
 		random: rand.New(rand.NewPCG(model.Seed, hash(spec.Name))),
-		leafs:  map[string]*Leaf{}, silent: map[string]bool{}, executed: map[string]int{},
-		attempts: map[string]chan struct{}{}, started: time.Now(),
+		leaves: map[string]*Leaf{}, silent: map[string]bool{}, executed: map[string]int{},
+		cancels: map[string]chan struct{}{}, started: time.Now(),
 	}
 	for _, l := range spec.Leaves {
-		f := &Leaf{spec: l, conns: map[string]bool{}, straggle: 1}
+		f := &Leaf{spec: l, conns: map[string]bool{}, slowdown: 1}
 		for _, h := range l.Holds {
 			f.snapshots = append(f.snapshots, topo.SnapshotID{Layout: h.Layout, Version: 1})
 		}
-		s.leafs[l.Name] = f
+		s.leaves[l.Name] = f
 	}
 	return s
 }
 
+// hash returns the 64-bit FNV-1a hash of s.
 func hash(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for _, b := range []byte(s) {
@@ -120,66 +123,67 @@
 	return h
 }
 
-// Key is the row key that a shard of a service has under a snapshot.
-func Key(service string, pin topo.SnapshotID, shard, row int) string {
-	return fmt.Sprintf("%s/%s/%d/%d", service, pin, shard, row)
+// Key returns the key of a row of a shard in a snapshot.
+func Key(service string, id topo.SnapshotID, shard, row int) string {
+	return fmt.Sprintf("%s/%s/%d/%d", service, id, shard, row)
 }
 
-// bears is how many requests a leaf can have at once.
-func (s *Server) bears(f *Leaf) int {
-	if f.cold.IsZero() {
+// capacity returns how many requests a leaf can run at once.
+func (s *Server) capacity(f *Leaf) int {
+	if f.coldSince.IsZero() {
 		return f.spec.Slots
 	}
-	age := time.Since(f.cold)
-	if age >= s.model.Warm {
-		f.cold = time.Time{}
+	age := time.Since(f.coldSince)
+	if age >= s.model.WarmUp {
+		f.coldSince = time.Time{}
 		return f.spec.Slots
 	}
-	return max(1, int(float64(f.spec.Slots)*float64(age)/float64(s.model.Warm)))
+	return max(1, int(float64(f.spec.Slots)*float64(age)/float64(s.model.WarmUp)))
 }
 
-// Chill makes all leafs cold, with no visible restart.
-func (s *Server) Chill() {
+// MakeCold restarts the warm-up of all leaves without a new incarnation.
+func (s *Server) MakeCold() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, f := range s.leafs {
-		f.cold = time.Now()
+	for _, f := range s.leaves {
+		f.coldSince = time.Now()
 	}
 }
 
-// Straggle makes a leaf slower by a factor.
-func (s *Server) Straggle(leaf string, factor float64) {
+// SetSlowdown multiplies the service time of a leaf by a factor.
+func (s *Server) SetSlowdown(leaf string, factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if f := s.leafs[leaf]; f != nil {
-		f.straggle = factor
+	if f := s.leaves[leaf]; f != nil {
+		f.slowdown = factor
 	}
 }
 
-// SetFault makes a leaf answer wrongly.
+// SetFault makes a leaf send wrong replies.
 func (s *Server) SetFault(leaf string, fault Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if f := s.leafs[leaf]; f != nil {
+	if f := s.leaves[leaf]; f != nil {
 		f.fault = fault
 	}
 }
 
-// SetSnapshots changes what all leafs hold.
-func (s *Server) SetSnapshots(pins ...topo.SnapshotID) {
+// SetSnapshots replaces the snapshots that all leaves hold. Each leaf ignores
+// those of layouts that it has no shard of.
+func (s *Server) SetSnapshots(ids ...topo.SnapshotID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, f := range s.leafs {
+	for _, f := range s.leaves {
 		f.snapshots = nil
-		for _, p := range pins {
-			if _, ok := f.spec.Shard(p.Layout); ok {
-				f.snapshots = append(f.snapshots, p)
+		for _, id := range ids {
+			if _, ok := f.spec.Shard(id.Layout); ok {
+				f.snapshots = append(f.snapshots, id)
 			}
 		}
 	}
 }
 
-// Drain makes the server leave, or come back.
+// Drain starts or ends draining the server.
 func (s *Server) Drain(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,12 +191,13 @@
 	s.drainSince = time.Now()
 }
 
-// Silence makes a share of the open connections silent for good; new ones work.
+// Silence makes a random share of the open connections unresponsive for good.
+// New connections work. It returns the number of connections chosen.
 func (s *Server) Silence(share float64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, f := range s.leafs {
+	for _, f := range s.leaves {
 		for c := range f.conns {
 			if s.random.Float64() < share {
 				s.silent[c] = true
@@ -203,7 +208,7 @@
 	return n
 }
 
-// Executed returns how often each update ran.
+// Executed returns the number of executions of each update.
 func (s *Server) Executed() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,7 +219,7 @@
 	return m
 }
 
-// Stats are a server's counts.
+// Stats holds the counters of a server.
 type Stats struct {
 	Server  string `json:"server"`
 	Calls   int    `json:"calls"`
@@ -223,19 +228,19 @@
 	Refused int    `json:"refused-connections"`
 	MaxBusy int    `json:"max-busy"`
 	Crashes int    `json:"crashes"`
-	// Cancelled counts attempts that were called off while they ran.
+	// Cancelled counts attempts that were cancelled while they ran.
 	Cancelled int            `json:"cancelled"`
 	LastUse   int64          `json:"last-use-ms-ago"`
 	Executed  map[string]int `json:"executed"`
 }
 
-// Stats returns the counts of all leafs together.
+// Stats returns the counters, summed over all leaves.
 func (s *Server) Stats() Stats {
 	executed := s.Executed()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := Stats{Server: s.spec.Name, Crashes: s.crashes, Cancelled: s.cancelled, Executed: executed, LastUse: -1}
-	for _, f := range s.leafs {
+	for _, f := range s.leaves {
 		st.Calls += f.Calls
 		st.Excess += f.Excess
 		st.Shed += f.Shed
@@ -251,7 +256,7 @@
 	return st
 }
 
-// Crash takes the server down at once; it comes back cold.
+// Crash stops the server abruptly. It restarts cold after RestartDelay.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -266,8 +271,8 @@
 	s.crashes++
 	l := s.listener
 	s.listener = nil
-	go l.kill()
-	s.restartAt = time.AfterFunc(s.model.Restart, s.restart)
+	go l.abort()
+	s.restartTimer = time.AfterFunc(s.model.RestartDelay, s.restart)
 }
 
 func (s *Server) restart() {
@@ -280,8 +285,8 @@
 	s.draining = false
 	s.started = time.Now()
 	s.incarnation++
-	for _, f := range s.leafs {
-		f.cold = time.Now()
+	for _, f := range s.leaves {
+		f.coldSince = time.Now()
 		f.active = 0
 		f.conns = map[string]bool{}
 	}
@@ -295,19 +300,19 @@
 	}
 }
 
-func (s *Server) holds(f *Leaf, pin topo.SnapshotID) bool {
-	for _, p := range f.snapshots {
-		if p == pin {
+func (s *Server) holdsSnapshot(f *Leaf, id topo.SnapshotID) bool {
+	for _, held := range f.snapshots {
+		if held == id {
 			return true
 		}
 	}
 	return false
 }
 
-func (f *Leaf) snapshotText() string {
+func (f *Leaf) snapshotList() string {
 	text := make([]string, len(f.snapshots))
-	for i, p := range f.snapshots {
-		text[i] = p.String()
+	for i, id := range f.snapshots {
+		text[i] = id.String()
 	}
 	return strings.Join(text, ",")
 }
--- a/fakes/leaf/opaque.go
+++ b/fakes/leaf/opaque.go
@@ -10,13 +10,13 @@
 	"dandelionstile/share/httpc"
 )
 
-// recordBytes is the size of a record of a merged answer.
+// recordBytes is the size of a record in a merged answer.
 const recordBytes = 16
 
-// opaqueRecords is how many records an opaque reply holds.
+// opaqueRecords is the number of records in an opaque reply.
 const opaqueRecords = 4
 
-// Records are what a server answers to an opaque request with this target.
+// Records returns the body of a server's reply to an opaque request.
 func Records(server, target string) []byte {
 	var body []byte
 	for i := range opaqueRecords {
@@ -26,25 +26,25 @@
 	return body
 }
 
-// opaque answers a routed request in the project's own dialect.
-func (s *Server) opaque(w http.ResponseWriter, r *http.Request) {
+// handleOpaque answers a routed request in the product's default dialect.
+func (s *Server) handleOpaque(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(httpc.DefaultDialect.RequestID)
 	w.Header().Set(httpc.DefaultDialect.RequestID, id)
-	if want := r.Header.Get(httpc.DefaultDialect.ExpectLeaf); want != "" && want != s.spec.Name {
+	if expected := r.Header.Get(httpc.DefaultDialect.ExpectLeaf); expected != "" && expected != s.spec.Name {
 		w.Header().Set(httpc.DefaultDialect.NotRun, "another leaf is meant")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		return // the caller has broken off
+		return // the client disconnected
 	}
-	time.Sleep(s.model.Service)
+	time.Sleep(s.model.ServiceTime)
 	w.Header().Set(httpc.DefaultDialect.Stamp, s.spec.Name+"."+id)
-	_, _ = w.Write(Records(s.spec.Name, r.URL.Path)) // the caller may be gone
+	_, _ = w.Write(Records(s.spec.Name, r.URL.Path)) // the client may have disconnected
 }
 
-// health tells that the server is well.
-func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
+// handleHealth reports the server as healthy.
+func (s *Server) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(httpc.DefaultDialect.LeafID, s.spec.Name)
 	w.WriteHeader(http.StatusOK)
 }
--- a/fakes/leaf/serve.go
+++ b/fakes/leaf/serve.go
@@ -14,17 +14,17 @@
 
 type connKey struct{}
 
-// listener is one incarnation's listening socket with its connections.
+// listener is the listening socket of one incarnation, with its connections.
 type listener struct {
 	ln     net.Listener
 	server *http.Server
 	mu     sync.Mutex
 	conns  map[net.Conn]struct{}
-	wait   sync.WaitGroup
+	wg     sync.WaitGroup
 }
 
-// kill closes everything at once, with a reset, as a crash does.
-func (l *listener) kill() {
+// abort closes the listener and resets its connections, as a crash does.
+func (l *listener) abort() {
 	_ = l.ln.Close()
 	l.mu.Lock()
 	for c := range l.conns {
@@ -35,31 +35,32 @@
 	}
 	l.mu.Unlock()
 	_ = l.server.Close()
-	l.wait.Wait()
+	l.wg.Wait()
 }
 
-// Start listens on an address and serves; port 0 picks one.
+// Start listens on an address and serves in the background. It returns the
+// address; port 0 picks a free port.
 func (s *Server) Start(addr string) (string, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/leafs/{leaf}/query", s.query)
-	mux.HandleFunc("POST /v1/leafs/{leaf}/update", s.update)
-	mux.HandleFunc("GET /v1/leafs/{leaf}/state", s.state)
-	mux.HandleFunc("DELETE /v1/leafs/{leaf}/attempts/{attempt}", s.cancel)
-	mux.HandleFunc("GET /health", s.health)
-	mux.HandleFunc("/", s.opaque)
+	mux.HandleFunc("POST /v1/leafs/{leaf}/query", s.handleQuery)
+	mux.HandleFunc("POST /v1/leafs/{leaf}/update", s.handleUpdate)
+	mux.HandleFunc("GET /v1/leafs/{leaf}/state", s.handleState)
+	mux.HandleFunc("DELETE /v1/leafs/{leaf}/attempts/{attempt}", s.handleCancel)
+	mux.HandleFunc("GET /health", s.handleHealth)
+	mux.HandleFunc("/", s.handleOpaque)
 	l := &listener{ln: ln, conns: map[net.Conn]struct{}{}}
 	l.server = &http.Server{
 		Handler: mux, ReadHeaderTimeout: time.Minute,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c.RemoteAddr().String())
 		},
-		ConnState: func(c net.Conn, state http.ConnState) { s.track(l, c, state) },
+		ConnState: func(c net.Conn, state http.ConnState) { s.trackConn(l, c, state) },
 	}
-	l.wait.Go(func() { _ = l.server.Serve(ln) }) // ends with kill
+	l.wg.Go(func() { _ = l.server.Serve(ln) }) // returns after abort
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listener = l
@@ -67,22 +68,23 @@
 	return s.spec.Address, nil
 }
 
-// Close stops serving and waits.
+// Close stops the server and waits until its connections are closed.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	s.closed = true
-	if s.restartAt != nil {
-		s.restartAt.Stop()
+	if s.restartTimer != nil {
+		s.restartTimer.Stop()
 	}
 	l := s.listener
 	s.mu.Unlock()
 	if l != nil {
-		l.kill()
+		l.abort()
 	}
 	return nil
 }
 
-func (s *Server) track(l *listener, c net.Conn, state http.ConnState) {
+// trackConn records which connections of a listener are open.
+func (s *Server) trackConn(l *listener, c net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	switch state {
 	case http.StateNew:
@@ -95,47 +97,51 @@
 	if state == http.StateClosed {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		for _, f := range s.leafs {
+		for _, f := range s.leaves {
 			delete(f.conns, c.RemoteAddr().String())
 		}
 	}
 }
 
-// enter finds the leaf, counts the connection and lets silent ones hang.
-func (s *Server) enter(w http.ResponseWriter, r *http.Request) *Leaf {
-	id, _ := r.Context().Value(connKey{}).(string)
+// acceptRequest returns the leaf that a request is for. It registers the
+// connection and delays the first request on it. Requests on unresponsive
+// connections block, and new connections over the limit are closed. It replies
+// itself and returns nil if there is no such leaf.
+func (s *Server) acceptRequest(w http.ResponseWriter, r *http.Request) *Leaf {
+	conn, _ := r.Context().Value(connKey{}).(string)
 	s.mu.Lock()
-	f := s.leafs[r.PathValue("leaf")]
+	f := s.leaves[r.PathValue("leaf")]
 	if f == nil {
 		s.mu.Unlock()
 		http.Error(w, "no such leaf", http.StatusNotFound)
 		return nil
 	}
-	if s.silent[id] {
+	if s.silent[conn] {
 		s.mu.Unlock()
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
-	fresh := !f.conns[id]
-	if fresh && len(f.conns) >= f.spec.Connections {
+	newConn := !f.conns[conn]
+	if newConn && len(f.conns) >= f.spec.Connections {
 		f.Refused++
 		s.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
-	f.conns[id] = true
-	s.sign(w, f)
+	f.conns[conn] = true
+	s.setLeafHeaders(w, f)
 	s.mu.Unlock()
-	if fresh {
-		time.Sleep(s.model.Connect)
+	if newConn {
+		time.Sleep(s.model.ConnectTime)
 	}
 	return f
 }
 
-// sign sets the headers that every reply has. The state lags.
-func (s *Server) sign(w http.ResponseWriter, f *Leaf) {
+// setLeafHeaders sets the headers of every reply. Leaf-State follows a change of
+// draining after StateLag.
+func (s *Server) setLeafHeaders(w http.ResponseWriter, f *Leaf) {
 	h := w.Header()
 	h.Set("Leaf-Incarnation", strconv.FormatUint(s.incarnation, 10))
-	h.Set("Leaf-Snapshots", f.snapshotText())
+	h.Set("Leaf-Snapshots", f.snapshotList())
 	state := "ready"
 	if s.draining == (time.Since(s.drainSince) >= s.model.StateLag) {
 		state = "draining"
@@ -143,19 +149,19 @@
 	h.Set("Leaf-State", state)
 }
 
-func (s *Server) state(w http.ResponseWriter, r *http.Request) {
-	if s.enter(w, r) != nil {
+func (s *Server) handleState(w http.ResponseWriter, r *http.Request) {
+	if s.acceptRequest(w, r) != nil {
 		w.WriteHeader(http.StatusOK)
 	}
 }
 
-func (s *Server) cancel(w http.ResponseWriter, r *http.Request) {
-	if s.enter(w, r) == nil {
+func (s *Server) handleCancel(w http.ResponseWriter, r *http.Request) {
+	if s.acceptRequest(w, r) == nil {
 		return
 	}
 	s.mu.Lock()
-	if stop, ok := s.attempts[r.PathValue("attempt")]; ok {
-		delete(s.attempts, r.PathValue("attempt"))
+	if stop, ok := s.cancels[r.PathValue("attempt")]; ok {
+		delete(s.cancels, r.PathValue("attempt"))
 		close(stop)
 		s.cancelled++
 	}
@@ -191,9 +197,10 @@
 	Body      string `json:"body"`
 }
 
-// begin takes a slot, or answers why not. A leaf that is given more than it
-// bears counts the excess and sheds.
-func (s *Server) begin(w http.ResponseWriter, f *Leaf, attempt string) (chan struct{}, time.Duration, bool) {
+// acquireSlot takes a slot and returns a channel that is closed to cancel the
+// attempt, and its service time. If the server is draining or the leaf has no
+// free slot, it replies with the reason and returns false.
+func (s *Server) acquireSlot(w http.ResponseWriter, f *Leaf, attempt string) (chan struct{}, time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.draining {
@@ -201,7 +208,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return nil, 0, false
 	}
-	if f.active >= s.bears(f) {
+	if f.active >= s.capacity(f) {
 		f.Excess++
 		f.Shed++
 		w.WriteHeader(http.StatusTooManyRequests)
@@ -212,31 +219,33 @@
 	f.Calls++
 	f.lastUse = time.Now()
 	stop := make(chan struct{})
-	s.attempts[attempt] = stop
-	span := float64(s.model.Service) * f.straggle
+	s.cancels[attempt] = stop
+	duration := float64(s.model.ServiceTime) * f.slowdown
 	if s.model.Jitter > 0 {
-		span += float64(s.random.Int64N(int64(s.model.Jitter)))
+		duration += float64(s.random.Int64N(int64(s.model.Jitter)))
 	}
-	return stop, time.Duration(span), true
+	return stop, time.Duration(duration), true
 }
 
-func (s *Server) end(f *Leaf, attempt string, incarnation uint64) {
+// releaseSlot frees the slot of an attempt, unless the server has restarted
+// since.
+func (s *Server) releaseSlot(f *Leaf, attempt string, incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.attempts, attempt)
+	delete(s.cancels, attempt)
 	if incarnation == s.incarnation {
 		f.active--
 	}
 }
 
-func (s *Server) born() uint64 {
+func (s *Server) currentIncarnation() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.incarnation
 }
 
-func (s *Server) query(w http.ResponseWriter, r *http.Request) {
-	f := s.enter(w, r)
+func (s *Server) handleQuery(w http.ResponseWriter, r *http.Request) {
+	f := s.acceptRequest(w, r)
 	if f == nil {
 		return
 	}
@@ -245,38 +254,39 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	pin, _ := topo.ParseSnapshotID(q.Snapshot)
+	id, _ := topo.ParseSnapshotID(q.Snapshot)
 	s.mu.Lock()
-	held := s.holds(f, pin)
-	shard, _ := f.spec.Shard(pin.Layout)
+	held := s.holdsSnapshot(f, id)
+	shard, _ := f.spec.Shard(id.Layout)
 	s.mu.Unlock()
 	if !held || shard != q.Shard {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
-	incarnation := s.born()
-	stop, span, ok := s.begin(w, f, q.Attempt)
+	incarnation := s.currentIncarnation()
+	stop, duration, ok := s.acquireSlot(w, f, q.Attempt)
 	if !ok {
 		return
 	}
-	defer s.end(f, q.Attempt, incarnation)
+	defer s.releaseSlot(f, q.Attempt, incarnation)
 	if q.Text == CrashText {
 		s.Crash()
 		panic(http.ErrAbortHandler)
 	}
 	if q.Deadline > 0 {
-		span = min(span, time.Duration(q.Deadline)*time.Millisecond)
+		duration = min(duration, time.Duration(q.Deadline)*time.Millisecond)
 	}
-	if !s.work(r, stop, span) {
+	if !s.wait(r, stop, duration) {
 		w.WriteHeader(499)
 		return
 	}
-	s.reply(w, f, q, pin)
+	s.writeReply(w, f, q, id)
 }
 
-// work passes the time that a request takes. It tells whether it was finished.
-func (s *Server) work(r *http.Request, stop chan struct{}, span time.Duration) bool {
-	timer := time.NewTimer(span)
+// wait blocks for the duration of a request. It reports whether the request
+// completed rather than being cancelled.
+func (s *Server) wait(r *http.Request, stop chan struct{}, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -288,23 +298,23 @@
 	}
 }
 
-func (s *Server) reply(w http.ResponseWriter, f *Leaf, q wireRequest, pin topo.SnapshotID) {
+func (s *Server) writeReply(w http.ResponseWriter, f *Leaf, q wireRequest, id topo.SnapshotID) {
 	s.mu.Lock()
 	fault := f.fault
 	s.mu.Unlock()
-	out := wireReply{Attempt: q.Attempt, Snapshot: q.Snapshot, Shards: []int{q.Shard}}
+	reply := wireReply{Attempt: q.Attempt, Snapshot: q.Snapshot, Shards: []int{q.Shard}}
 	for row := range min(Rows, q.Limit) {
-		out.Rows = append(out.Rows, wireRow{
-			Key: Key(q.Service, pin, q.Shard, row), Score: 1 / float64(1+row), Text: q.Text,
+		reply.Rows = append(reply.Rows, wireRow{
+			Key: Key(q.Service, id, q.Shard, row), Score: 1 / float64(1+row), Text: q.Text,
 		})
 	}
 	switch fault {
-	case FaultForeign:
-		out.Attempt = "another"
-	case FaultFewer:
-		out.Shards, out.Rows = nil, nil
-	case FaultSnapshot:
-		out.Snapshot = topo.SnapshotID{Layout: pin.Layout, Version: pin.Version + 1}.String()
+	case FaultWrongAttempt:
+		reply.Attempt = "another"
+	case FaultNoShards:
+		reply.Shards, reply.Rows = nil, nil
+	case FaultWrongSnapshot:
+		reply.Snapshot = topo.SnapshotID{Layout: id.Layout, Version: id.Version + 1}.String()
 	case FaultEmpty:
 		w.WriteHeader(http.StatusOK)
 		return
@@ -313,7 +323,7 @@
 		return
 	case FaultNone, FaultTruncated:
 	}
-	body, err := json.Marshal(out)
+	body, err := json.Marshal(reply)
 	if err != nil {
 		return
 	}
@@ -325,8 +335,8 @@
 	_, _ = w.Write(body)
 }
 
-func (s *Server) update(w http.ResponseWriter, r *http.Request) {
-	f := s.enter(w, r)
+func (s *Server) handleUpdate(w http.ResponseWriter, r *http.Request) {
+	f := s.acceptRequest(w, r)
 	if f == nil {
 		return
 	}
@@ -335,12 +345,12 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	incarnation := s.born()
-	stop, span, ok := s.begin(w, f, u.Attempt)
+	incarnation := s.currentIncarnation()
+	stop, duration, ok := s.acquireSlot(w, f, u.Attempt)
 	if !ok {
 		return
 	}
-	defer s.end(f, u.Attempt, incarnation)
+	defer s.releaseSlot(f, u.Attempt, incarnation)
 	s.mu.Lock()
 	s.executed[u.ID]++
 	s.mu.Unlock()
@@ -348,7 +358,7 @@
 		s.Crash()
 		panic(http.ErrAbortHandler)
 	}
-	s.work(r, stop, span) // an update runs to its end, cancelled or not
+	s.wait(r, stop, duration) // an update that has started can't be cancelled
 	body, err := json.Marshal(wireReply{Attempt: u.Attempt, Body: "done " + u.Key})
 	if err != nil {
 		return
