--- a/fakes/plat/plat.go
+++ b/fakes/plat/plat.go
@@ -1,6 +1,6 @@
-// Package plat stands in for the platform: it serves configuration values and
-// host lists, counts each read, and can be down, stale or slow. Tests drive it
-// over HTTP or by its methods.
+// Package plat implements a fake platform for tests and demos. It serves
+// configuration values and host lists, counts reads, and can be unavailable,
+// stale or slow. Tests control it through its methods or over HTTP.
 package plat
 
 import (
@@ -22,34 +22,34 @@
 	Body    []byte
 }
 
-// Mode is how the platform misbehaves.
+// Mode selects the failures that the platform simulates.
 type Mode struct {
-	// Down answers every read with an error.
+	// Down fails every read.
 	Down bool `json:"down"`
-	// Stale answers with the first version that a key ever had.
+	// Stale returns the first version of each key.
 	Stale bool `json:"stale"`
-	// SlowMS delays every answer.
+	// SlowMS delays every reply by this many milliseconds.
 	SlowMS int `json:"slow-ms"`
 }
 
-// Platform is the stand-in. The zero value is ready to use.
+// Platform is the fake platform. The zero value is ready to use.
 type Platform struct {
 	mu      sync.Mutex
-	now     map[string]Value
+	latest  map[string]Value
 	first   map[string]Value
 	mode    Mode
-	cut     map[string]bool // source addresses that are cut off
+	blocked map[string]bool // source IPs whose reads fail
 	reads   int
-	changed chan struct{}
+	changed chan struct{} // closed and replaced on each change
 	server  *http.Server
-	wait    sync.WaitGroup
+	wg      sync.WaitGroup
 }
 
 func (p *Platform) init() {
-	if p.now == nil {
-		p.now = map[string]Value{}
+	if p.latest == nil {
+		p.latest = map[string]Value{}
 		p.first = map[string]Value{}
-		p.cut = map[string]bool{}
+		p.blocked = map[string]bool{}
 		p.changed = make(chan struct{})
 	}
 }
@@ -62,7 +62,7 @@
 	if _, ok := p.first[key]; !ok {
 		p.first[key] = v
 	}
-	p.now[key] = v
+	p.latest[key] = v
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -80,7 +80,7 @@
 	p.Put("hosts/"+domain, Value{Version: list.Version, Body: list.Encode()})
 }
 
-// SetMode changes how the platform misbehaves.
+// SetMode replaces the simulated failures.
 func (p *Platform) SetMode(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,22 +90,23 @@
 	p.changed = make(chan struct{})
 }
 
-// Cut cuts off readers that connect from an address, or lets them in again.
-func (p *Platform) Cut(ip string, cut bool) {
+// SetBlocked blocks or unblocks reads from a source IP.
+func (p *Platform) SetBlocked(ip string, blocked bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.init()
-	p.cut[ip] = cut
+	p.blocked[ip] = blocked
 }
 
-// Reads is how many reads were made, a watch counted as one.
+// Reads returns the number of reads. A watch counts as one.
 func (p *Platform) Reads() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reads
 }
 
-// Start serves on an address.
+// Start listens on an address and serves in the background. It returns the
+// address.
 func (p *Platform) Start(addr string) (string, error) {
 	p.mu.Lock()
 	p.init()
@@ -115,45 +116,49 @@
 		return "", err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/values/{key...}", p.read)
-	mux.HandleFunc("PUT /control/values/{key...}", p.controlPut)
-	mux.HandleFunc("POST /control/mode", p.controlMode)
+	mux.HandleFunc("GET /v1/values/{key...}", p.handleRead)
+	mux.HandleFunc("PUT /control/values/{key...}", p.handlePut)
+	mux.HandleFunc("POST /control/mode", p.handleMode)
 	mux.HandleFunc("GET /control/reads", func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, strconv.Itoa(p.Reads())+"\n")
 	})
 	p.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	p.wait.Go(func() { _ = p.server.Serve(ln) }) // ends with Close
+	p.wg.Go(func() { _ = p.server.Serve(ln) }) // returns after Close
 	return ln.Addr().String(), nil
 }
 
-// Close stops serving and waits.
+// Close stops the server and waits.
 func (p *Platform) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	if err := p.server.Shutdown(ctx); err != nil {
-		_ = p.server.Close() // watches that still wait are cut
+		_ = p.server.Close() // closes pending watches
 	}
-	p.wait.Wait()
+	p.wg.Wait()
 	return nil
 }
 
-func (p *Platform) state(key string) (Value, bool, Mode, chan struct{}) {
+// lookup returns the value of a key, whether it exists, the mode, and a channel
+// that is closed on the next change.
+func (p *Platform) lookup(key string) (Value, bool, Mode, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	v, ok := p.now[key]
+	v, ok := p.latest[key]
 	if p.mode.Stale {
 		v, ok = p.first[key]
 	}
 	return v, ok, p.mode, p.changed
 }
 
-func (p *Platform) read(w http.ResponseWriter, r *http.Request) {
+// handleRead returns a value. With the parameter after, it waits up to wait-ms
+// for a version other than that one.
+func (p *Platform) handleRead(w http.ResponseWriter, r *http.Request) {
 	source, _, _ := net.SplitHostPort(r.RemoteAddr)
 	p.mu.Lock()
 	p.reads++
-	cut := p.cut[source]
+	blocked := p.blocked[source]
 	p.mu.Unlock()
-	if cut {
+	if blocked {
 		panic(http.ErrAbortHandler)
 	}
 	key := r.PathValue("key")
@@ -161,10 +166,10 @@
 	if watching {
 		after, _ = strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	}
-	span, _ := strconv.Atoi(r.URL.Query().Get("wait-ms"))
-	end := time.After(time.Duration(span) * time.Millisecond)
+	waitMS, _ := strconv.Atoi(r.URL.Query().Get("wait-ms"))
+	timeout := time.After(time.Duration(waitMS) * time.Millisecond)
 	for {
-		v, ok, mode, changed := p.state(key)
+		v, ok, mode, changed := p.lookup(key)
 		if mode.SlowMS > 0 {
 			time.Sleep(time.Duration(mode.SlowMS) * time.Millisecond)
 		}
@@ -182,7 +187,7 @@
 		}
 		select {
 		case <-changed:
-		case <-end:
+		case <-timeout:
 			w.WriteHeader(http.StatusNotModified)
 			return
 		case <-r.Context().Done():
@@ -191,10 +196,10 @@
 	}
 }
 
-func (p *Platform) controlPut(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handlePut(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, topo.MaxPartBytes+1))
 	if err != nil || len(body) > topo.MaxPartBytes {
-		http.Error(w, "value over a megabyte", http.StatusRequestEntityTooLarge)
+		http.Error(w, "value exceeds 1 MiB", http.StatusRequestEntityTooLarge)
 		return
 	}
 	version, err := strconv.ParseUint(r.Header.Get("Version"), 10, 64)
@@ -205,7 +210,7 @@
 	p.Put(r.PathValue("key"), Value{Version: version, Body: body})
 }
 
-func (p *Platform) controlMode(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleMode(w http.ResponseWriter, r *http.Request) {
 	var m Mode
 	if err := json.NewDecoder(r.Body).Decode(&m); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
