--- a/fakes/lab/lab.go
+++ b/fakes/lab/lab.go
@@ -245,8 +245,8 @@
 	for _, from := range l.Hosts {
 		for _, to := range l.Hosts {
 			if (from.Domain == a && to.Domain == b) || (from.Domain == b && to.Domain == a) {
-				to.entryRelay.Set(from.IP, s)
-				to.aggRelay.Set(from.IP, s)
+				to.entryRelay.SetState(from.IP, s)
+				to.aggRelay.SetState(from.IP, s)
 			}
 		}
 	}
--- a/fakes/lab/lab_test.go
+++ b/fakes/lab/lab_test.go
@@ -444,7 +444,7 @@
 		return true
 	}))
 	for _, other := range l.Layout.Domains[1:] {
-		l.CutDomains(island, other, relay.Cut)
+		l.CutDomains(island, other, relay.Blocked)
 		l.CutDomains(island, other, relay.Open)
 	}
 	awaitReady(t, l, c)
--- a/fakes/relay/relay.go
+++ b/fakes/relay/relay.go
@@ -1,5 +1,6 @@
-// Package relay stands in for the network between hosts: a TCP relay in front
-// of each listener that can cut off, or silence, the hosts of some addresses.
+// Package relay simulates network failures between hosts for tests: a TCP relay
+// in front of a listener that blocks, silences or slows the connections of some
+// source IPs.
 package relay
 
 import (
@@ -8,27 +9,27 @@
 	"time"
 )
 
-// State is how the relay treats a source address.
+// State is how the relay treats connections from a source IP.
 type State uint8
 
-// The states.
+// The states of a source IP.
 const (
-	// Open passes everything on.
+	// Open forwards all bytes.
 	Open State = iota
-	// Cut refuses new connections and resets the open ones.
-	Cut
-	// Silent keeps connections open and passes nothing on.
+	// Blocked closes the open connections, and new ones at once.
+	Blocked
+	// Silent keeps connections open and forwards nothing.
 	Silent
-	// OneWay passes what the source sends and nothing back.
+	// OneWay forwards requests but no replies.
 	OneWay
-	// Slow passes everything on late.
+	// Slow forwards all bytes with a delay.
 	Slow
 )
 
-// slowBy is how much later Slow passes on what it reads.
-const slowBy = 80 * time.Millisecond
+// slowDelay is the delay of each read in state Slow.
+const slowDelay = 80 * time.Millisecond
 
-// Relay passes connections on to a target.
+// Relay forwards connections to Target.
 type Relay struct {
 	Target string
 
@@ -37,42 +38,44 @@
 	states map[string]State
 	pairs  map[*pair]struct{}
 	closed bool
-	wait   sync.WaitGroup
+	wg     sync.WaitGroup
 }
 
+// pair is a client's connection with the one to the target.
 type pair struct {
 	source  string
 	in, out net.Conn
 }
 
-// Start listens on an address.
+// Start listens on an address and forwards in the background. It returns the
+// address.
 func (r *Relay) Start(addr string) (string, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", err
 	}
 	r.ln = ln
-	r.wait.Go(func() {
+	r.wg.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			r.wait.Go(func() { r.pass(c) })
+			r.wg.Go(func() { r.forward(c) })
 		}
 	})
 	return ln.Addr().String(), nil
 }
 
-// Set changes the state of a source address.
-func (r *Relay) Set(ip string, s State) {
+// SetState sets the state of a source IP.
+func (r *Relay) SetState(ip string, s State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.states == nil {
 		r.states = map[string]State{}
 	}
 	r.states[ip] = s
-	if s != Cut {
+	if s != Blocked {
 		return
 	}
 	for p := range r.pairs {
@@ -89,13 +92,13 @@
 	return r.states[ip]
 }
 
-func (r *Relay) pass(in net.Conn) {
+func (r *Relay) forward(in net.Conn) {
 	defer func() { _ = in.Close() }()
 	source, _, _ := net.SplitHostPort(in.RemoteAddr().String())
-	if r.state(source) == Cut {
+	if r.state(source) == Blocked {
 		return
 	}
-	// The target sees the source's own address.
+	// The target sees the source's own IP.
 	d := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(source)}}
 	out, err := d.Dial("tcp", r.Target)
 	if err != nil {
@@ -113,32 +116,33 @@
 	}
 	r.pairs[p] = struct{}{}
 	r.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { r.copy(out, in, source, false) })
-	both.Go(func() { r.copy(in, out, source, true) })
-	both.Wait()
+	var copies sync.WaitGroup
+	copies.Go(func() { r.copy(out, in, source, false) })
+	copies.Go(func() { r.copy(in, out, source, true) })
+	copies.Wait()
 	r.mu.Lock()
 	delete(r.pairs, p)
 	r.mu.Unlock()
 }
 
-// copy passes bytes on until an end closes. While the source is silent, bytes
-// are read and dropped, so neither end notices.
-func (r *Relay) copy(to, from net.Conn, source string, back bool) {
+// copy forwards bytes until either end closes. Once bytes are dropped, the
+// direction stays silent even after the source is open again, since the stream
+// would have a gap. The bytes are still read, so that neither end notices.
+func (r *Relay) copy(to, from net.Conn, source string, reply bool) {
 	defer func() {
 		_ = to.Close()
 		_ = from.Close()
 	}()
 	buf := make([]byte, 32<<10)
-	lost := false
+	dropping := false
 	for {
 		n, err := from.Read(buf)
 		state := r.state(source)
-		lost = lost || state == Silent || (state == OneWay && back)
+		dropping = dropping || state == Silent || (state == OneWay && reply)
 		if state == Slow {
-			time.Sleep(slowBy)
+			time.Sleep(slowDelay)
 		}
-		if n > 0 && !lost {
+		if n > 0 && !dropping {
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
@@ -149,7 +153,7 @@
 	}
 }
 
-// Close ends all connections and waits.
+// Close closes all connections and waits.
 func (r *Relay) Close() error {
 	_ = r.ln.Close()
 	r.mu.Lock()
@@ -159,6 +163,6 @@
 		_ = p.out.Close()
 	}
 	r.mu.Unlock()
-	r.wait.Wait()
+	r.wg.Wait()
 	return nil
 }
--- a/soak/play/fault.go
+++ b/soak/play/fault.go
@@ -226,16 +226,16 @@
 }
 
 // states are the ways in which a relay treats a host.
-var states = []relay.State{relay.Cut, relay.Silent, relay.OneWay, relay.Slow}
+var states = []relay.State{relay.Blocked, relay.Silent, relay.OneWay, relay.Slow}
 
 func (w *world) cutStore(pick uint64, span time.Duration) {
 	h := w.pickHost(pick)
 	now := time.Now()
 	h.hit(now, now.Add(span))
 	h.blind(now, now.Add(span))
-	w.relay.Set(h.ip, states[pick>>8%4])
+	w.relay.SetState(h.ip, states[pick>>8%4])
 	time.Sleep(span)
-	w.relay.Set(h.ip, relay.Open)
+	w.relay.SetState(h.ip, relay.Open)
 }
 
 // cutLeafs troubles the way from one host to a third of the leafs.
@@ -248,8 +248,8 @@
 	w.mu.Unlock()
 	for i, l := range leafs {
 		if (uint64(i)+pick)%3 == 0 {
-			l.relay.Set(h.ip, states[pick>>8%4])
-			defer l.relay.Set(h.ip, relay.Open)
+			l.relay.SetState(h.ip, states[pick>>8%4])
+			defer l.relay.SetState(h.ip, relay.Open)
 		}
 	}
 	time.Sleep(span)
