--- a/fakes/ports/ports.go
+++ b/fakes/ports/ports.go
@@ -1,9 +1,9 @@
-// Package ports hands out TCP ports for programs that are started later, or that
+// Package ports allocates TCP ports for programs that are started later, or that
 // listen on the same port again after a crash.
 //
-// A port that the kernel hands out for ":0" is no good for that: once it is
-// released, any connection that is dialled from the same IP may get it as its
-// own port, and the program then fails with "address already in use".
+// A port from a listener on ":0" doesn't serve that purpose. Once the listener
+// is closed, the kernel may give the port to an outgoing connection from the
+// same IP, and the program fails with "address already in use".
 package ports
 
 import (
@@ -18,84 +18,85 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrNone says that no port is free on an IP.
-var ErrNone = errors.New("no free port")
+// ErrNoFreePort means that all ports of an IP are in use.
+var ErrNoFreePort = errors.New("no free port")
 
 const (
-	// lowest keeps away from the ports that well-known programs listen on.
-	lowest = 10000
-	// defaultEphemeral is the kernel's first port for outgoing connections where
-	// it does not say (Linux, ip(7)).
-	defaultEphemeral = 32768
-	// apart is how far the first ports of processes with neighbouring ids lie
-	// from each other: more than one of them takes in a test.
-	apart = 211
+	// minPort is above the ports that well-known programs listen on.
+	minPort = 10000
+	// defaultEphemeralStart is Linux's default for the first ephemeral port, see
+	// ip(7).
+	defaultEphemeralStart = 32768
+	// pidStride is the distance between the first ports of processes with
+	// consecutive ids. A process allocates fewer ports than that in a test.
+	pidStride = 211
 )
 
-// Pool hands out each port once in a process, below those that the kernel gives
-// to outgoing connections. The zero value works.
+// Pool allocates each port once per process, below the ephemeral ports. The zero
+// value is ready to use.
 type Pool struct {
-	mu    sync.Mutex
-	next  int
-	below int
+	mu   sync.Mutex
+	next int
+	end  int
 }
 
-// Free returns an address on an IP whose port nobody listens on.
+// Free returns an address on an IP that no program listens on.
 func (p *Pool) Free(ip string) (string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.below == 0 {
-		settleForks()
-		p.below = ephemeral()
-		p.next = lowest + os.Getpid()*apart%(p.below-lowest)
+	if p.end == 0 {
+		triggerForkProbe()
+		p.end = ephemeralStart()
+		p.next = minPort + os.Getpid()*pidStride%(p.end-minPort)
 	}
-	for range p.below - lowest {
+	for range p.end - minPort {
 		address := net.JoinHostPort(ip, strconv.Itoa(p.next))
 		p.next++
-		if p.next >= p.below {
-			p.next = lowest
+		if p.next >= p.end {
+			p.next = minPort
 		}
-		if listens(address) {
+		if canListen(address) {
 			return address, nil
 		}
 	}
-	return "", errors.Wrapf(ErrNone, "%s, ports %d to %d", ip, lowest, p.below-1)
+	return "", errors.Wrapf(ErrNoFreePort, "%s, ports %d to %d", ip, minPort, p.end-1)
 }
 
-// settleForks lets the library find out at once how it may handle processes. It
-// does so at the first start of a program or look-up of a process, once, by a
-// fork of its own that takes no lock: a probe's socket would live on in it.
-func settleForks() {
+// triggerForkProbe makes package os check how it can handle processes. It does
+// so once, when a program is started or a process is looked up, with a fork that
+// doesn't take ForkLock: the child would inherit a socket of canListen.
+func triggerForkProbe() {
 	self, err := os.FindProcess(os.Getpid())
 	if err != nil {
-		return // nothing was looked up, and nothing is held
+		return // there is no handle to release
 	}
-	_ = self.Release() // this process goes on without the handle
+	_ = self.Release() // the handle isn't needed
 }
 
-// listens tells whether an address can be listened on. No program is started
-// meanwhile: its process would hold a copy of the socket until it executes, and
-// the port would be taken for that long after the probe.
-func listens(address string) bool {
+// canListen reports whether a program can listen on an address. It holds
+// ForkLock so that no program is started in the meantime: until its exec, the
+// child would hold a copy of the socket, and the port would stay in use.
+func canListen(address string) bool {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
-		return false // taken: the next port is tried
+		return false // in use
 	}
 	_ = ln.Close() // nothing was accepted
 	return true
 }
 
-// ephemeral is the first port that the kernel gives to outgoing connections.
-func ephemeral() int {
+// ephemeralStart returns the first port that the kernel uses for outgoing
+// connections.
+func ephemeralStart() int {
 	body, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
-		return defaultEphemeral // not Linux
+		return defaultEphemeralStart // not Linux
 	}
 	var first int
-	if _, err := fmt.Sscan(strings.TrimSpace(string(body)), &first); err != nil || first <= lowest {
-		return defaultEphemeral
+	if _, err := fmt.Sscan(strings.TrimSpace(string(body)), &first); err != nil || first <= minPort {
+		return defaultEphemeralStart
 	}
 	return first
 }
--- a/fakes/ports/ports_test.go
+++ b/fakes/ports/ports_test.go
@@ -10,27 +10,26 @@
 	"gotest.tools/v3/assert"
 )
 
-// A program's port is picked now and listened on later. Meanwhile hundreds of
-// connections are dialled from the same IP, and each may get any port of the
-// kernel's range for them. The program starts last and must find its port free:
-// else it ends with "address already in use" and its host never answers.
+// Guards against "address already in use" at the start of a program. Its port is
+// allocated first; until the program starts, hundreds of outgoing connections
+// from the same IP may get any port of the kernel's ephemeral range.
 func TestPortsStayFreeBesideOutgoingConnections(t *testing.T) {
 	const ip = "127.0.251.1"
 	target, err := net.Listen("tcp", "127.0.251.2:0")
 	assert.NilError(t, err)
 	defer func() { assert.NilError(t, target.Close()) }()
 	var pool Pool
-	var picked []string
+	var addresses []string
 	for range 300 {
 		address, err := pool.Free(ip)
 		assert.NilError(t, err)
-		picked = append(picked, address)
+		addresses = append(addresses, address)
 	}
-	first := ephemeral()
-	for _, address := range picked {
-		at, err := net.ResolveTCPAddr("tcp", address)
+	first := ephemeralStart()
+	for _, address := range addresses {
+		parsed, err := net.ResolveTCPAddr("tcp", address)
 		assert.NilError(t, err)
-		assert.Assert(t, at.Port < first, "%s can be taken by an outgoing connection (from %d on)", address, first)
+		assert.Assert(t, parsed.Port < first, "%s can be taken by an outgoing connection (from %d on)", address, first)
 	}
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)}}
 	for range 300 {
@@ -38,15 +37,14 @@
 		assert.NilError(t, err)
 		defer func() { _ = c.Close() }() // nothing was sent
 	}
-	for _, address := range picked {
+	for _, address := range addresses {
 		ln, err := net.Listen("tcp", address)
-		assert.NilError(t, err, "a picked port was taken meanwhile")
+		assert.NilError(t, err, "an allocated port was taken in the meantime")
 		defer func() { assert.NilError(t, ln.Close()) }()
 	}
 }
 
-// Two programs of one host must not be given the same port: the second would
-// not start.
+// If two programs of a host got the same port, the second wouldn't start.
 func TestNoPortIsGivenTwice(t *testing.T) {
 	var pool Pool
 	seen := map[string]bool{}
@@ -58,7 +56,7 @@
 	}
 }
 
-// A port that another program listens on is passed over.
+// A port that another program listens on must be skipped.
 func TestTakenPortIsPassedOver(t *testing.T) {
 	var pool Pool
 	address, err := pool.Free("127.0.251.4")
@@ -72,9 +70,9 @@
 	assert.Assert(t, other != address)
 }
 
-// A port is found free and listened on at once, while other tests start
-// programs. Between fork and exec a child holds a copy of all of its parent's
-// sockets: a probe's socket that it got keeps the port taken after the probe.
+// Other tests start programs while a port is allocated. Between fork and exec a
+// child holds a copy of all sockets of its parent; a copy of the listener that
+// tested the port would keep the port in use.
 func TestPortIsFreeWhileProgramsStart(t *testing.T) {
 	stop := make(chan struct{})
 	var starts sync.WaitGroup
