--- a/fakes/demo/demo.go
+++ b/fakes/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo runs the whole path on loopback with real processes: queries and
-// updates through every host, a backend server and a host lost on the way, and
-// every answer checked row by row.
+// Package demo runs a deployment on loopback with real processes. It sends
+// queries and updates through every host while a backend server crashes and a
+// host is replaced, and checks every answer row by row.
 package demo
 
 import (
@@ -16,44 +16,45 @@
 	"dandelionstile/fakes/leaf"
 )
 
-// rules are the demo's rules.
+// rules are the rules of the deployment.
 const rules = `never-repeat:
   - {service: subscription-billing, operation: status-update}
   - {service: returns-desk, operation: status-update}
 `
 
-// Bounds of the demo.
+// Limits of the demo.
 const (
-	budget    = time.Second
-	readyMost = 20 * time.Second
-	rounds    = 3
+	budget            = time.Second
+	readyTimeout      = 20 * time.Second
+	queriesPerService = 3
 )
 
-// ErrWrong means that an answer or its coverage was not right.
-var ErrWrong = errors.New("wrong answers")
+// ErrWrongAnswers means that an answer or its coverage was wrong.
+var ErrWrongAnswers = errors.New("wrong answers")
 
-// Demo is one run. Fields are set before Run.
+// Demo is one run. Its exported fields are set before Run.
 type Demo struct {
 	Bin string
 	Dir string
 	Out io.Writer
 
-	lab    lab.Lab
-	client *lab.Client
-	tally  tally
-	sent   map[string]int // update id -> times it was confirmed as run
+	lab       lab.Lab
+	client    *lab.Client
+	counts    counts
+	confirmed map[string]int // update id -> number of replies that confirmed it
 }
 
-// tally counts what the closing table shows.
-type tally struct {
-	complete, partial, refused, wrong int
-	updates, unknown, notRun, twice   int
-	extra, calls                      int
+// counts holds the figures of the closing table.
+type counts struct {
+	complete, partial, refused, wrong  int
+	updates, unknown, notRun, ranTwice int
+	extra, calls                       int
 }
 
-// Run runs the demo. It returns ErrWrong when an answer was not right.
+// Run runs the demo. It returns ErrWrongAnswers if an answer was wrong, or none
+// was complete.
 func (d *Demo) Run() (err error) {
-	d.sent = map[string]int{}
+	d.confirmed = map[string]int{}
 	d.client = lab.NewClient(5 * time.Second)
 	d.lab = lab.Lab{
 		Bin: d.Bin, Dir: d.Dir, Layout: lab.Kumomaru(), Rules: rules,
@@ -70,43 +71,44 @@
 	if err := d.lab.Start(); err != nil {
 		return err
 	}
-	if err := d.ready(); err != nil {
+	if err := d.awaitReady(); err != nil {
 		return err
 	}
-	d.say("%d hosts, %d backend servers, ready after %s", len(d.lab.Hosts), len(d.lab.Specs), time.Since(started).Round(time.Millisecond))
-	d.round("all there")
-	d.say("backend server subscriber-app-0 goes down and comes back cold")
+	d.printHeading("%d hosts, %d backend servers, ready after %s", len(d.lab.Hosts), len(d.lab.Specs), time.Since(started).Round(time.Millisecond))
+	d.runRound("all running")
+	d.printHeading("backend server subscriber-app-0 goes down and comes back cold")
 	d.lab.Servers["subscriber-app-0"].Crash()
-	d.round("a backend server lost")
+	d.runRound("a backend server lost")
 	victim := d.lab.Hosts[3]
-	d.say("host %s is killed", victim.Name)
+	d.printHeading("host %s is killed", victim.Name)
 	d.lab.KillHost(victim)
-	d.round("a host lost")
-	d.say("host %s is replaced", victim.Name)
-	if err := d.lab.Run(victim); err != nil {
+	d.runRound("a host lost")
+	d.printHeading("host %s is replaced", victim.Name)
+	if err := d.lab.StartHost(victim); err != nil {
 		return err
 	}
-	if err := d.ready(); err != nil {
+	if err := d.awaitReady(); err != nil {
 		return err
 	}
-	d.round("whole again")
-	return d.close()
+	d.runRound("all running again")
+	return d.report()
 }
 
-func (d *Demo) say(format string, args ...any) { d.print("== "+format+"\n", args...) }
+func (d *Demo) printHeading(format string, args ...any) { d.print("== "+format+"\n", args...) }
 
-// print writes to Out; a reader that is gone ends nothing.
+// print writes to Out. Errors are ignored, since the demo also checks answers
+// without a reader.
 func (d *Demo) print(format string, args ...any) { _, _ = fmt.Fprintf(d.Out, format, args...) }
 
-// ready waits until every host takes callers and covers all shards.
-func (d *Demo) ready() error {
+// awaitReady waits until every host is ready and answers for all shards.
+func (d *Demo) awaitReady() error {
 	for _, h := range d.lab.Hosts {
-		err := lab.Await(readyMost, h.Name+" is ready", func() bool {
-			if !d.client.Ready(h.Callers) {
+		err := lab.Await(readyTimeout, h.Name+" is ready", func() bool {
+			if !d.client.Ready(h.CallerAddress) {
 				return false
 			}
 			for _, v := range d.lab.Layout.Services {
-				a, err := d.client.Query(h.Callers, v.Name, "warm up", budget)
+				a, err := d.client.Query(h.CallerAddress, v.Name, "warm up", budget)
 				if err != nil || !a.Complete {
 					return false
 				}
@@ -120,82 +122,82 @@
 	return nil
 }
 
-// round sends queries and updates through every host that runs.
-func (d *Demo) round(title string) {
-	d.say("%s", title)
+// runRound sends queries and updates through every ready host.
+func (d *Demo) runRound(title string) {
+	d.printHeading("%s", title)
 	for _, h := range d.lab.Hosts {
-		if !d.client.Ready(h.Callers) {
+		if !d.client.Ready(h.CallerAddress) {
 			continue
 		}
-		for i := range rounds {
+		for i := range queriesPerService {
 			for _, v := range d.lab.Layout.Services {
-				d.query(h, v.Name, fmt.Sprintf("%s %d", title, i))
+				d.sendQuery(h, v.Name, fmt.Sprintf("%s %d", title, i))
 			}
 		}
-		d.update(h)
+		d.sendUpdate(h)
 	}
 }
 
-func (d *Demo) query(h *lab.Host, service, text string) {
-	a, err := d.client.Query(h.Callers, service, text, budget)
+func (d *Demo) sendQuery(h *lab.Host, service, text string) {
+	a, err := d.client.Query(h.CallerAddress, service, text, budget)
 	line := ""
 	switch {
 	case err != nil:
-		d.tally.wrong++
+		d.counts.wrong++
 		line = "WRONG: " + err.Error()
 	case a.Status != http.StatusOK:
-		d.tally.refused++
-		line = a.Line()
+		d.counts.refused++
+		line = a.Summary()
 	default:
-		line = a.Line()
-		d.tally.extra += a.Extra
-		d.tally.calls += a.Coverage.Shards + a.Extra
+		line = a.Summary()
+		d.counts.extra += a.Extra
+		d.counts.calls += a.Coverage.Shards + a.Extra
 		if err := a.Check(service, text); err != nil {
-			d.tally.wrong++
+			d.counts.wrong++
 			line += " WRONG: " + err.Error()
 		} else if a.Complete {
-			d.tally.complete++
+			d.counts.complete++
 		} else {
-			d.tally.partial++
+			d.counts.partial++
 		}
 	}
 	d.print("%s  %-21s %s\n", h.Name, service, line)
 }
 
-// update runs one update and sends it again through another host: it must run
-// once, and both answers must say so.
-func (d *Demo) update(h *lab.Host) {
-	ids, err := d.client.IDs(h.Callers, 1)
+// sendUpdate sends an update through one host and again through another.
+func (d *Demo) sendUpdate(h *lab.Host) {
+	ids, err := d.client.IDs(h.CallerAddress, 1)
 	if err != nil {
-		d.tally.wrong++
+		d.counts.wrong++
 		d.print("%s  WRONG: %v\n", h.Name, err)
 		return
 	}
-	for _, through := range []*lab.Host{h, d.other(h)} {
-		a, err := d.client.Update(through.Callers, ids[0], "subscription-billing", "customer-7", "returned", budget)
-		d.tally.updates++
+	for _, via := range []*lab.Host{h, d.otherReadyHost(h)} {
+		a, err := d.client.Update(via.CallerAddress, ids[0], "subscription-billing", "customer-7", "returned", budget)
+		d.counts.updates++
 		switch {
 		case err != nil:
-			d.tally.wrong++
-			d.print("%s  update WRONG: %v\n", through.Name, err)
+			d.counts.wrong++
+			d.print("%s  update WRONG: %v\n", via.Name, err)
 			continue
 		case a.Status == http.StatusOK:
-			d.sent[ids[0]]++
+			d.confirmed[ids[0]]++
 		case a.Error == "not-run":
-			d.tally.notRun++
+			d.counts.notRun++
 		default:
-			d.tally.unknown++
+			d.counts.unknown++
 		}
-		d.print("%s  update %s: %s%s\n", through.Name, ids[0], a.Result, a.Error)
+		d.print("%s  update %s: %s%s\n", via.Name, ids[0], a.Result, a.Error)
 	}
 }
 
-func (d *Demo) other(h *lab.Host) *lab.Host {
-	for i, o := range d.lab.Hosts {
-		if o == h {
+// otherReadyHost returns the next ready host after h, or h if there is none.
+func (d *Demo) otherReadyHost(h *lab.Host) *lab.Host {
+	for i, candidate := range d.lab.Hosts {
+		if candidate == h {
 			for j := 1; j < len(d.lab.Hosts); j++ {
 				next := d.lab.Hosts[(i+j)%len(d.lab.Hosts)]
-				if d.client.Ready(next.Callers) {
+				if d.client.Ready(next.CallerAddress) {
 					return next
 				}
 			}
@@ -204,8 +206,10 @@
 	return h
 }
 
-// close compares the updates with the servers' logs and prints the table.
-func (d *Demo) close() error {
+// report prints the closing table. It compares the confirmed updates with the
+// executions on the servers: none may run twice, and each confirmed one must
+// have run once.
+func (d *Demo) report() error {
 	ran := map[string]int{}
 	excess := 0
 	for _, s := range d.lab.Servers {
@@ -217,26 +221,26 @@
 	}
 	for id, n := range ran {
 		if n > 1 {
-			d.tally.twice++
+			d.counts.ranTwice++
 			d.print("WRONG: update %s ran %d times\n", id, n)
 		}
 	}
-	for id := range d.sent {
+	for id := range d.confirmed {
 		if ran[id] != 1 {
-			d.tally.wrong++
+			d.counts.wrong++
 			d.print("WRONG: update %s was confirmed and ran %d times\n", id, ran[id])
 		}
 	}
-	t := d.tally
-	d.say("closing table")
-	d.print("queries   complete %d, partial (and said so) %d, refused %d\n", t.complete, t.partial, t.refused)
-	d.print("updates   sent %d, ran twice %d, unknown %d, not run %d\n", t.updates, t.twice, t.unknown, t.notRun)
+	t := d.counts
+	d.printHeading("closing table")
+	d.print("queries   complete %d, partial (marked as partial) %d, refused %d\n", t.complete, t.partial, t.refused)
+	d.print("updates   sent %d, ran twice %d, unknown %d, not run %d\n", t.updates, t.ranTwice, t.unknown, t.notRun)
 	d.print("extra     %d leaf calls beyond the first per shard, of %d\n", t.extra, t.calls)
-	d.print("excess    %d requests beyond what a leaf bore\n", excess)
-	d.print("wrong     %d\n", t.wrong+t.twice)
+	d.print("excess    %d requests beyond a leaf's capacity\n", excess)
+	d.print("wrong     %d\n", t.wrong+t.ranTwice)
 	d.print("logs      %s\n", filepath.Clean(d.Dir))
-	if t.wrong+t.twice > 0 || t.complete == 0 {
-		return ErrWrong
+	if t.wrong+t.ranTwice > 0 || t.complete == 0 {
+		return ErrWrongAnswers
 	}
 	return nil
 }
--- a/fakes/lab/client.go
+++ b/fakes/lab/client.go
@@ -16,25 +16,25 @@
 	"dandelionstile/share/topo"
 )
 
-// Client asks entries as a caller does.
+// Client sends requests to entries as a caller does.
 type Client struct {
 	http http.Client
-	// Caller goes into the Caller header.
+	// Caller is the value of the Caller header; none is sent if it is empty.
 	Caller string
 }
 
-// NewClient returns a client that waits so long for each answer.
+// NewClient returns a client with a timeout for each request.
 func NewClient(timeout time.Duration) *Client {
 	return &Client{http: http.Client{Timeout: timeout, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() error {
 	c.http.CloseIdleConnections()
 	return nil
 }
 
-// Answer is a caller's view of an answer or refusal.
+// Answer is the reply to a request: an answer, ids or an error.
 type Answer struct {
 	Status   int
 	ID       string `json:"id"`
@@ -61,10 +61,10 @@
 	IDs        []string `json:"ids"`
 }
 
-// ErrNoAnswer means that the host gave no whole answer.
+// ErrNoAnswer marks errors where the host sent no complete reply.
 var ErrNoAnswer = errors.New("no answer")
 
-// Post sends a JSON body.
+// Post sends a JSON body and decodes the reply.
 func (c *Client) Post(addr, path string, body any) (Answer, error) {
 	var a Answer
 	b, err := json.Marshal(body)
@@ -78,16 +78,16 @@
 	if c.Caller != "" {
 		r.Header.Set("Caller", c.Caller)
 	}
-	res, err := c.http.Do(r)
+	reply, err := c.http.Do(r)
 	if err != nil {
 		return a, errors.Mark(err, ErrNoAnswer)
 	}
-	defer func() { _ = res.Body.Close() }()
-	raw, err := io.ReadAll(res.Body)
+	defer func() { _ = reply.Body.Close() }()
+	raw, err := io.ReadAll(reply.Body)
 	if err != nil {
 		return a, errors.Mark(err, ErrNoAnswer)
 	}
-	a.Status = res.StatusCode
+	a.Status = reply.StatusCode
 	return a, json.Unmarshal(raw, &a)
 }
 
@@ -107,7 +107,7 @@
 	Count int `json:"count"`
 }
 
-// IDs gets ids for updates.
+// IDs requests ids for updates.
 func (c *Client) IDs(addr string, n int) ([]string, error) {
 	a, err := c.Post(addr, "/v1/ids", idsBody{n})
 	if err != nil {
@@ -135,15 +135,16 @@
 	})
 }
 
-// Check verifies an answer row by row: one snapshot, its own text, all rows of
-// each answered shard and none of a missing one, and a coverage that adds up.
+// Check verifies an answer row by row: all rows belong to the same snapshot and
+// carry the query's text, each answered shard has all of its rows, a missing
+// shard has none, and the coverage is consistent.
 func (a Answer) Check(service, text string) error {
-	pin, ok := topo.ParseSnapshotID(a.Snapshot)
+	id, ok := topo.ParseSnapshotID(a.Snapshot)
 	if !ok {
-		return errors.Newf("snapshot %q", a.Snapshot)
+		return errors.Newf("invalid snapshot id %q", a.Snapshot)
 	}
 	if a.Coverage.Answered+len(a.Coverage.Missing) != a.Coverage.Shards {
-		return errors.Newf("coverage does not add up: %+v", a.Coverage)
+		return errors.Newf("coverage is inconsistent: %+v", a.Coverage)
 	}
 	if a.Complete != (a.Coverage.Answered == a.Coverage.Shards) {
 		return errors.Newf("complete is %v with %d of %d shards", a.Complete, a.Coverage.Answered, a.Coverage.Shards)
@@ -151,20 +152,20 @@
 	want := map[string]bool{}
 	for shard := range a.Coverage.Shards {
 		for row := range leaf.Rows {
-			want[leaf.Key(service, pin, shard, row)] = true
+			want[leaf.Key(service, id, shard, row)] = true
 		}
 	}
 	for _, m := range a.Coverage.Missing {
 		for row := range leaf.Rows {
-			delete(want, leaf.Key(service, pin, m.Shard, row))
+			delete(want, leaf.Key(service, id, m.Shard, row))
 		}
 	}
 	for _, r := range a.Rows {
 		if !want[r.Key] {
-			return errors.Newf("row %s is foreign, twice there, or of a missing shard", r.Key)
+			return errors.Newf("row %s is unexpected, duplicate or of a missing shard", r.Key)
 		}
 		if r.Text != text {
-			return errors.Newf("row %s is another caller's: %q", r.Key, r.Text)
+			return errors.Newf("row %s has the text of another query: %q", r.Key, r.Text)
 		}
 		delete(want, r.Key)
 	}
@@ -174,8 +175,8 @@
 	return nil
 }
 
-// Line sums an answer up.
-func (a Answer) Line() string {
+// Summary describes an answer in one line.
+func (a Answer) Summary() string {
 	if a.Status != http.StatusOK {
 		return fmt.Sprintf("%d %s: %s", a.Status, a.Error, a.Reason)
 	}
@@ -187,29 +188,29 @@
 		a.Coverage.Shards, strings.Join(missing, " "), a.Extra)
 }
 
-// Ready asks whether a host takes callers.
+// Ready reports whether a host is ready for callers.
 func (c *Client) Ready(addr string) bool {
-	res, err := c.http.Get("http://" + addr + "/readyz")
+	reply, err := c.http.Get("http://" + addr + "/readyz")
 	if err != nil {
 		return false
 	}
-	_ = res.Body.Close()
-	return res.StatusCode == http.StatusOK
+	_ = reply.Body.Close()
+	return reply.StatusCode == http.StatusOK
 }
 
-// Await waits until a condition holds.
-func Await(most time.Duration, what string, cond func() bool) error {
-	end := time.Now().Add(most)
+// Await polls until a condition holds. The error names the condition.
+func Await(timeout time.Duration, condition string, cond func() bool) error {
+	deadline := time.Now().Add(timeout)
 	for !cond() {
-		if time.Now().After(end) {
-			return errors.Newf("still waiting after %s: %s", most, what)
+		if time.Now().After(deadline) {
+			return errors.Newf("condition not met after %s: %s", timeout, condition)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	return nil
 }
 
-// statusBody is what is read of a program's status.
+// statusBody holds the fields of a program's status that are used here.
 type statusBody struct {
 	Node struct {
 		Versions []struct {
@@ -219,16 +220,16 @@
 	} `json:"node"`
 }
 
-// Version asks a program which version of a key it has in force; 0 when it does
-// not say.
+// Version returns the version of a key that a program has in force, or 0 if
+// that is unknown.
 func (c *Client) Version(admin, key string) uint64 {
-	res, err := c.http.Get("http://" + admin + "/v1/status")
+	reply, err := c.http.Get("http://" + admin + "/v1/status")
 	if err != nil {
 		return 0
 	}
-	defer func() { _ = res.Body.Close() }()
+	defer func() { _ = reply.Body.Close() }()
 	var s statusBody
-	if json.NewDecoder(res.Body).Decode(&s) != nil {
+	if json.NewDecoder(reply.Body).Decode(&s) != nil {
 		return 0
 	}
 	for _, v := range s.Node.Versions {
--- a/fakes/lab/lab.go
+++ b/fakes/lab/lab.go
@@ -18,64 +18,65 @@
 	"dandelionstile/share/topo"
 )
 
-// Lab is a running deployment on loopback. Fields above the line are set before
-// Start.
+// Lab is a deployment that runs on loopback. The fields up to the blank line are
+// set before Start.
 type Lab struct {
-	// Bin is where the programs are; Dir takes settings and logs.
+	// Bin is the directory of the programs, Dir the one for settings and logs.
 	Bin    string
 	Dir    string
 	Layout Layout
 	Model  leaf.Model
 	Rules  string
-	// Relays puts a relay in front of each link listener, so that hosts can be
-	// cut off from each other.
-	Relays bool
-	// Routes lets the entries serve the routes of the rules.
-	Routes bool
+	// UseRelays puts a relay in front of each link listener, so that tests can
+	// break the connections between hosts.
+	UseRelays bool
+	// ServeRoutes makes the entries serve the routes in the rules.
+	ServeRoutes bool
 
-	Platform plat.Platform
-	Servers  map[string]*leaf.Server
-	Specs    []topo.Server
-	Hosts    []*Host
-	Version  uint64
-	platform string
+	Platform     plat.Platform
+	Servers      map[string]*leaf.Server
+	Specs        []topo.Server
+	Hosts        []*Host
+	Version      uint64
+	platformAddr string
 }
 
-// labs counts the labs of this process; the hosts of each have IPs of their own.
-var labs atomic.Int64
+// labCount numbers the labs of this process, since each has host IPs of its own.
+var labCount atomic.Int64
 
-// free hands out the ports of all labs of this process.
-var free ports.Pool
+// portPool allocates the ports of all labs of this process.
+var portPool ports.Pool
 
-// Host is one entry host with its two programs.
+// Host is a host with an entry and an aggregator.
 type Host struct {
 	Name   string
 	Domain string
 	IP     string
-	// Callers, and the two admin addresses, are where the programs are asked.
-	Callers string
-	// Routes is where callers of routes connect.
-	Routes     string
-	EntryAdmin string
-	AggAdmin   string
-	Entry      *Process
-	Aggregator *Process
+	// CallerAddress is where the entry accepts callers. The programs serve their
+	// status at the admin addresses.
+	CallerAddress string
+	// RouteAddress is where the entry accepts callers of routes.
+	RouteAddress      string
+	EntryAdminAddress string
+	AggAdminAddress   string
+	Entry             *Process
+	Aggregator        *Process
 
-	gossip, relay          string // where other entries reach the routes
-	entryLinks, aggLinks   string // where the programs listen
-	entryPublic, aggPublic string // where peers connect
-	entryRelay, aggRelay   *relay.Relay
-	gone                   bool
+	gossipAddress, forwardAddress    string // used by the other entries for routes
+	entryListen, aggListen           string // link listeners of the programs
+	entryPeerAddress, aggPeerAddress string // where peers connect: the relay, if there is one
+	entryRelay, aggRelay             *relay.Relay
+	removed                          bool // not in the platform's host list
 }
 
-// Ended returns the first program's fault that ended by itself.
-func (l *Lab) Ended() error {
+// UnexpectedExit returns the error of the first program that exited unexpectedly.
+func (l *Lab) UnexpectedExit() error {
 	for _, h := range l.Hosts {
 		for _, p := range []*Process{h.Entry, h.Aggregator} {
 			if p == nil {
 				continue
 			}
-			if err := p.Ended(); err != nil {
+			if err := p.UnexpectedExit(); err != nil {
 				return err
 			}
 		}
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// Start begins with the platform and the backend servers, then the hosts.
+// Start starts the platform and the backend servers, then the hosts.
 func (l *Lab) Start() error {
 	if err := os.MkdirAll(l.Dir, 0o755); err != nil {
 		return errors.Wrap(err, "make directory")
@@ -92,12 +93,12 @@
 	if err != nil {
 		return err
 	}
-	l.platform = addr
+	l.platformAddr = addr
 	l.Servers = map[string]*leaf.Server{}
-	l.Specs = l.Layout.Servers(func(string) string { return "" }) // picked below
+	l.Specs = l.Layout.Servers(func(string) string { return "" }) // addresses are set below
 	for i := range l.Specs {
 		// A server listens on the same port again after a crash.
-		if l.Specs[i].Address, err = free.Free("127.0.0.1"); err != nil {
+		if l.Specs[i].Address, err = portPool.Free("127.0.0.1"); err != nil {
 			return err
 		}
 		s := leaf.New(l.Specs[i], l.Model)
@@ -108,13 +109,13 @@
 		l.Specs[i].Address = addr
 		l.Servers[l.Specs[i].Name] = s
 	}
-	subnet := 1 + labs.Add(1)%250
+	subnet := 1 + labCount.Add(1)%250
 	for i := range l.Layout.Hosts {
 		h := &Host{
 			Name: fmt.Sprintf("host-%d", i), Domain: l.Layout.Domains[i%len(l.Layout.Domains)],
 			IP: fmt.Sprintf("127.0.%d.%d", subnet, 10+i),
 		}
-		if err := l.place(h); err != nil {
+		if err := l.assignAddresses(h); err != nil {
 			return err
 		}
 		l.Hosts = append(l.Hosts, h)
@@ -122,52 +123,52 @@
 	l.PublishHosts()
 	l.Publish(l.Rules)
 	for _, h := range l.Hosts {
-		if err := l.Run(h); err != nil {
+		if err := l.StartHost(h); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// place picks a host's addresses.
-func (l *Lab) place(h *Host) error {
-	for _, to := range []*string{&h.Callers, &h.Routes, &h.gossip, &h.relay, &h.EntryAdmin, &h.AggAdmin, &h.entryLinks, &h.aggLinks} {
-		addr, err := free.Free(h.IP)
+// assignAddresses allocates the addresses of a host and starts its relays.
+func (l *Lab) assignAddresses(h *Host) error {
+	for _, target := range []*string{&h.CallerAddress, &h.RouteAddress, &h.gossipAddress, &h.forwardAddress, &h.EntryAdminAddress, &h.AggAdminAddress, &h.entryListen, &h.aggListen} {
+		addr, err := portPool.Free(h.IP)
 		if err != nil {
 			return err
 		}
-		*to = addr
+		*target = addr
 	}
-	h.entryPublic, h.aggPublic = h.entryLinks, h.aggLinks
-	if !l.Relays {
+	h.entryPeerAddress, h.aggPeerAddress = h.entryListen, h.aggListen
+	if !l.UseRelays {
 		return nil
 	}
-	h.entryRelay = &relay.Relay{Target: h.entryLinks}
-	h.aggRelay = &relay.Relay{Target: h.aggLinks}
+	h.entryRelay = &relay.Relay{Target: h.entryListen}
+	h.aggRelay = &relay.Relay{Target: h.aggListen}
 	var err error
-	if h.entryPublic, err = h.entryRelay.Start(h.IP + ":0"); err != nil {
+	if h.entryPeerAddress, err = h.entryRelay.Start(h.IP + ":0"); err != nil {
 		return err
 	}
-	h.aggPublic, err = h.aggRelay.Start(h.IP + ":0")
+	h.aggPeerAddress, err = h.aggRelay.Start(h.IP + ":0")
 	return err
 }
 
-// Publish puts the layout with these rules on the platform as the next version.
+// Publish publishes the layout with these rules as the next version.
 func (l *Lab) Publish(rules string) {
 	l.Version++
 	l.Rules = rules
 	l.Platform.PutConfig(l.Version, l.Layout.Parts(l.Specs, rules))
 }
 
-// PublishHosts puts the hosts that have not gone on the platform's host list.
+// PublishHosts publishes the host lists, without removed hosts.
 func (l *Lab) PublishHosts() {
 	version := uint64(time.Now().UnixNano())
 	for _, d := range l.Layout.Domains {
 		list := topo.HostList{Version: version}
 		for _, h := range l.Hosts {
-			if h.Domain == d && !h.gone {
+			if h.Domain == d && !h.removed {
 				list.Hosts = append(list.Hosts, topo.Host{
-					Name: h.Name, Domain: d, Entry: h.entryPublic, Aggregator: h.aggPublic,
+					Name: h.Name, Domain: d, Entry: h.entryPeerAddress, Aggregator: h.aggPeerAddress,
 				})
 			}
 		}
@@ -175,29 +176,29 @@
 	}
 }
 
-// Run starts a host's programs, anew if they ran before.
-func (l *Lab) Run(h *Host) error {
+// StartHost starts or restarts the programs of a host.
+func (l *Lab) StartHost(h *Host) error {
 	var err error
-	if h.Aggregator, err = l.spawn(h, "aggregator", h.aggLinks, h.AggAdmin, ""); err != nil {
+	if h.Aggregator, err = l.startProgram(h, "aggregator", h.aggListen, h.AggAdminAddress, ""); err != nil {
 		return err
 	}
-	h.Entry, err = l.spawn(h, "entry", h.entryLinks, h.EntryAdmin, h.Callers)
+	h.Entry, err = l.startProgram(h, "entry", h.entryListen, h.EntryAdminAddress, h.CallerAddress)
 	return err
 }
 
-// spawn writes a settings file and starts a program with it.
-func (l *Lab) spawn(h *Host, program, links, admin, callers string) (*Process, error) {
+// startProgram writes a settings file and starts a program with it.
+func (l *Lab) startProgram(h *Host, program, links, admin, callers string) (*Process, error) {
 	text := fmt.Sprintf("host: {name: %s, failure-domain: %s}\nlisten:\n  links: %s\n  admin: %s\n", h.Name, h.Domain, links, admin)
 	if callers != "" {
 		text += "  callers: " + callers + "\n"
 	}
-	text += "platform: {address: " + l.platform + "}\npeers:\n"
+	text += "platform: {address: " + l.platformAddr + "}\npeers:\n"
 	for _, other := range l.Hosts {
-		text += "  - " + other.aggPublic + "\n"
+		text += "  - " + other.aggPeerAddress + "\n"
 	}
-	if l.Routes && callers != "" {
+	if l.ServeRoutes && callers != "" {
 		text += fmt.Sprintf("routes:\n  listen: %s\n  gossip: %s\n  relay: %s\n  seeds: [%s]\n",
-			h.Routes, h.gossip, h.relay, l.Hosts[0].gossip)
+			h.RouteAddress, h.gossipAddress, h.forwardAddress, l.Hosts[0].gossipAddress)
 	}
 	base := filepath.Join(l.Dir, h.Name+"-"+program)
 	if err := os.WriteFile(base+".yaml", []byte(text), 0o600); err != nil {
@@ -210,7 +211,7 @@
 	defer func() { _ = log.Close() }() // the child has its own descriptor
 	cmd := exec.Command(filepath.Join(l.Bin, program), "--settings", base+".yaml")
 	cmd.Stderr = log
-	// The programs end with the one that started them, however it ends.
+	// The programs exit with this process, even if it is killed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return nil, errors.Wrapf(err, "start %s", program)
@@ -223,14 +224,13 @@
 	return p, nil
 }
 
-// KillHost ends both programs of a host at once.
+// KillHost kills both programs of a host.
 func (l *Lab) KillHost(h *Host) {
 	h.Entry.Kill()
 	h.Aggregator.Kill()
 }
 
-// Freeze stops both programs of a host without their notice, or lets them go
-// on.
+// Freeze suspends both programs of a host with SIGSTOP, or resumes them.
 func (h *Host) Freeze(on bool) {
 	s := syscall.SIGCONT
 	if on {
@@ -240,8 +240,8 @@
 	h.Aggregator.Signal(s)
 }
 
-// CutDomains sets how the hosts of two failure domains reach each other.
-func (l *Lab) CutDomains(a, b string, s relay.State) {
+// SetDomainLinks sets the state of the relays between two failure domains.
+func (l *Lab) SetDomainLinks(a, b string, s relay.State) {
 	for _, from := range l.Hosts {
 		for _, to := range l.Hosts {
 			if (from.Domain == a && to.Domain == b) || (from.Domain == b && to.Domain == a) {
@@ -252,15 +252,15 @@
 	}
 }
 
-// Close stops everything. It returns the faults of programs that did not end
-// in order.
+// Close stops everything. It returns the errors of programs that exited
+// unexpectedly or with a failure.
 func (l *Lab) Close() error {
-	err := l.Ended()
-	type ended struct {
+	err := l.UnexpectedExit()
+	type result struct {
 		name string
 		err  error
 	}
-	results := make(chan ended)
+	results := make(chan result)
 	n := 0
 	for _, h := range l.Hosts {
 		for _, p := range []*Process{h.Entry, h.Aggregator} {
@@ -269,13 +269,13 @@
 			}
 			select {
 			case <-p.done:
-				continue // ended earlier
+				continue // has exited
 			default:
 			}
 			n++
 			go func() {
 				p.Signal(syscall.SIGCONT)
-				results <- ended{p.name, p.Stop()}
+				results <- result{p.name, p.Stop()}
 			}()
 		}
 	}
--- a/fakes/lab/lab_test.go
+++ b/fakes/lab/lab_test.go
@@ -18,14 +18,14 @@
 	"dandelionstile/share/topo"
 )
 
-// binaries is where TestMain built the programs.
+// binaries is the directory of the programs that TestMain builds.
 var binaries string
 
-// TestMain builds the programs once. The tests below run real processes; they
-// wait for conditions and assert what happened, not how fast.
-func TestMain(m *testing.M) { os.Exit(run(m)) }
+// TestMain builds the programs once. The tests run real processes; they wait for
+// conditions and assert outcomes rather than timing.
+func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
 
-func run(m *testing.M) int {
+func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "dandelionstile-bin-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -45,11 +45,11 @@
 	return m.Run()
 }
 
-// patient is how long a test waits for a condition that must come.
-const patient = 30 * time.Second
+// waitTimeout bounds the wait for a condition that is expected to hold.
+const waitTimeout = 30 * time.Second
 
-// budget is a query's time budget in these tests: ample, so that a slow machine
-// gives no partial answers.
+// budget is the time budget of queries in these tests. It is ample, so that a
+// slow machine gives no partial answers.
 const budget = 5 * time.Second
 
 func startLab(t *testing.T, change func(*Lab)) (*Lab, *Client) {
@@ -75,7 +75,7 @@
 	t.Cleanup(func() {
 		err := l.Close()
 		if err != nil || t.Failed() {
-			keepLogs(t, l.Dir)
+			printLogs(t, l.Dir)
 		}
 		assert.NilError(t, err)
 		assert.NilError(t, c.Close())
@@ -84,8 +84,8 @@
 	return l, c
 }
 
-// keepLogs prints the ends of the programs' logs.
-func keepLogs(t *testing.T, dir string) {
+// printLogs logs the last 2000 bytes of each program's log.
+func printLogs(t *testing.T, dir string) {
 	logs, _ := filepath.Glob(filepath.Join(dir, "*.log"))
 	for _, f := range logs {
 		body, err := os.ReadFile(f)
@@ -95,30 +95,30 @@
 	}
 }
 
-// awaitReady waits until every running host covers everything.
+// awaitReady waits until every host is ready and answers completely.
 func awaitReady(t *testing.T, l *Lab, c *Client) {
 	t.Helper()
 	for _, h := range l.Hosts {
-		if h.gone {
+		if h.removed {
 			continue
 		}
-		assert.NilError(t, Await(patient, h.Name+" answers completely", func() bool {
-			if l.Ended() != nil {
-				return true // said below
+		assert.NilError(t, Await(waitTimeout, h.Name+" answers completely", func() bool {
+			if l.UnexpectedExit() != nil {
+				return true // reported below
 			}
 			for _, v := range l.Layout.Services {
-				a, err := c.Query(h.Callers, v.Name, "ready", budget)
+				a, err := c.Query(h.CallerAddress, v.Name, "ready", budget)
 				if err != nil || !a.Complete {
 					return false
 				}
 			}
-			return c.Ready(h.Callers)
+			return c.Ready(h.CallerAddress)
 		}))
-		assert.NilError(t, l.Ended())
+		assert.NilError(t, l.UnexpectedExit())
 	}
 }
 
-// excess sums what the leafs got beyond what they bore.
+// excess sums the requests beyond the leaves' capacity.
 func excess(l *Lab) int {
 	n := 0
 	for _, s := range l.Servers {
@@ -138,51 +138,51 @@
 	return all
 }
 
-// A caller's request is cut off in the middle although the operator only
-// replaces hosts. Each host in turn gets the signal, fails its readiness check
-// first, serves until the balancer has noticed, and hands its leafs over.
+// Guards against requests that fail while hosts are replaced one by one. A host
+// that gets SIGTERM must fail its readiness check first, serve until the
+// balancer has noticed, and hand its leaves over.
 func TestRollingReplacementCutsNothing(t *testing.T) {
 	l, c := startLab(t, nil)
 	d := startLoad(t, l, 4)
 	for _, h := range l.Hosts[:3] {
 		assert.NilError(t, h.Entry.Stop())
 		assert.NilError(t, h.Aggregator.Stop())
-		assert.NilError(t, l.Run(h))
-		assert.NilError(t, Await(patient, h.Name+" is back", func() bool { return c.Ready(h.Callers) }))
+		assert.NilError(t, l.StartHost(h))
+		assert.NilError(t, Await(waitTimeout, h.Name+" is ready again", func() bool { return c.Ready(h.CallerAddress) }))
 	}
-	d.end()
+	d.finish()
 	assert.Equal(t, d.failed.Load(), int64(0))
 	assert.Assert(t, d.complete.Load() > 100)
 	assert.Equal(t, excess(l), 0)
 }
 
-// The same update is billed twice. Its caller sends it again through other
-// hosts, at the same instant through two, and after the host that minted its
-// id was killed and came back without memory.
+// Guards against an update that runs twice. Callers resend it through other
+// hosts, through two at the same time, and after the host that issued its id was
+// killed and restarted with empty memory.
 func TestUpdatesRunAtMostOnce(t *testing.T) {
 	l, c := startLab(t, nil)
 	confirmed := map[string]bool{}
 	var mu sync.Mutex
 	send := func(h *Host, id string) {
-		a, err := c.Update(h.Callers, id, "subscription-billing", "customer-"+id, "charge", budget)
+		a, err := c.Update(h.CallerAddress, id, "subscription-billing", "customer-"+id, "charge", budget)
 		mu.Lock()
 		defer mu.Unlock()
 		if err == nil && a.Status == http.StatusOK {
 			confirmed[id] = true
 		}
 		if err == nil && a.Error == "not-run" && executions(l)[id] > 0 && !confirmed[id] {
-			t.Errorf("update %s was said not to have run, and ran", id)
+			t.Errorf("update %s was reported as not run, but ran", id)
 		}
 	}
 	var all []string
 	for round := range 3 {
 		owner := l.Hosts[round]
-		ids, err := c.IDs(owner.Callers, 20)
+		ids, err := c.IDs(owner.CallerAddress, 20)
 		assert.NilError(t, err)
 		all = append(all, ids...)
 		sendTwice(l, ids[:10], send, nil)
 		sendTwice(l, ids[10:], send, func() { l.KillHost(owner) })
-		assert.NilError(t, l.Run(owner))
+		assert.NilError(t, l.StartHost(owner))
 		awaitReady(t, l, c)
 		for i, id := range ids {
 			send(l.Hosts[(i+1)%len(l.Hosts)], id)
@@ -198,22 +198,22 @@
 	assert.Assert(t, len(confirmed) >= 30, "%d confirmed", len(confirmed))
 }
 
-// sendTwice sends each update through two hosts at the same instant, with
-// something happening in the middle.
-func sendTwice(l *Lab, ids []string, send func(*Host, string), amid func()) {
+// sendTwice sends each update through two hosts at the same time. It calls the
+// function during, if any, halfway through.
+func sendTwice(l *Lab, ids []string, send func(*Host, string), during func()) {
 	var wait sync.WaitGroup
 	for i, id := range ids {
 		wait.Go(func() { send(l.Hosts[i%len(l.Hosts)], id) })
 		wait.Go(func() { send(l.Hosts[(i+3)%len(l.Hosts)], id) })
-		if i == len(ids)/2 && amid != nil {
-			wait.Go(amid)
+		if i == len(ids)/2 && during != nil {
+			wait.Go(during)
 		}
 	}
 	wait.Wait()
 }
 
-// A failure domain that operators took out still gets work, because a host was
-// frozen across the change and wakes up with the old rules.
+// Guards against a failure domain that gets work although it is out of service:
+// a host is frozen during the change and resumes with the old rules.
 func TestDomainOutWithFrozenHost(t *testing.T) {
 	l, c := startLab(t, nil)
 	domain := l.Layout.Domains[0]
@@ -224,68 +224,68 @@
 	time.Sleep(3 * time.Second)
 	frozen.Freeze(false)
 	time.Sleep(2 * time.Second)
-	d.end()
+	d.finish()
 	for _, spec := range l.Specs {
 		if spec.Domain != domain {
 			continue
 		}
 		last := time.Duration(l.Servers[spec.Name].Stats().LastUse) * time.Millisecond
 		assert.Assert(t, last < 0 || last >= 2*time.Second,
-			"%s got work %s ago, more than 3 s after the rule", spec.Name, last)
+			"%s got work %s ago, more than 3 s after it was taken out of service", spec.Name, last)
 	}
 	assert.Assert(t, d.complete.Load() > 50)
 	l.Publish("never-repeat: []\n")
 	awaitReady(t, l, c)
 	before := l.Servers[l.Specs[0].Name].Stats().Calls
 	d = startLoad(t, l, 3)
-	assert.NilError(t, Await(patient, "the domain gets work again", func() bool {
+	assert.NilError(t, Await(waitTimeout, "the domain gets work again", func() bool {
 		return l.Servers[l.Specs[0].Name].Stats().Calls > before
 	}))
-	d.end()
+	d.finish()
 	assert.Equal(t, excess(l), 0)
 }
 
-// A leaving backend server gets new work for as long as the host list lags. Its
-// own word must do.
+// Guards against new work for a draining backend server. The host list lags, so
+// that the state in its replies must suffice.
 func TestDrainingServerGetsNoNewWork(t *testing.T) {
 	l, _ := startLab(t, nil)
 	name := "subscriber-app-4"
 	d := startLoad(t, l, 3)
-	assert.NilError(t, Await(patient, "the server has work", func() bool { return l.Servers[name].Stats().Calls > 5 }))
+	assert.NilError(t, Await(waitTimeout, "the server has work", func() bool { return l.Servers[name].Stats().Calls > 5 }))
 	l.Servers[name].Drain(true)
 	time.Sleep(3 * time.Second)
-	at := l.Servers[name].Stats().Calls
+	calls := l.Servers[name].Stats().Calls
 	time.Sleep(time.Second)
-	assert.Equal(t, l.Servers[name].Stats().Calls, at)
+	assert.Equal(t, l.Servers[name].Stats().Calls, calls)
 	l.Servers[name].Drain(false)
-	assert.NilError(t, Await(patient, "the server gets work again", func() bool { return l.Servers[name].Stats().Calls > at }))
-	d.end()
+	assert.NilError(t, Await(waitTimeout, "the server gets work again", func() bool { return l.Servers[name].Stats().Calls > calls }))
+	d.finish()
 	assert.Equal(t, d.failed.Load(), int64(0))
 }
 
-// The platform goes down for good and a diskless host is replaced meanwhile. It
-// can read nothing, and must learn all from its peers; queries go on.
+// The platform stays down while a host without stored state is restarted. The
+// host must get the configuration from its peers, and queries must continue.
 func TestPlatformOutage(t *testing.T) {
 	l, c := startLab(t, nil)
 	l.Publish("carry:\n  - {server: returns-desk-0, slots: 2}\n")
 	d := startLoad(t, l, 3)
 	h := l.Hosts[2]
-	assert.NilError(t, Await(patient, "the version is in force elsewhere", func() bool {
-		return c.Version(l.Hosts[3].EntryAdmin, "config") == l.Version
+	assert.NilError(t, Await(waitTimeout, "the version is in force elsewhere", func() bool {
+		return c.Version(l.Hosts[3].EntryAdminAddress, "config") == l.Version
 	}))
-	setMode(l, func(m *modeOf) { m.Down = true })
+	setMode(l, func(m *platformMode) { m.Down = true })
 	l.KillHost(h)
-	assert.NilError(t, l.Run(h))
-	assert.NilError(t, Await(patient, "the host learns from its peers", func() bool {
-		return c.Ready(h.Callers) && c.Version(h.EntryAdmin, "config") == l.Version
+	assert.NilError(t, l.StartHost(h))
+	assert.NilError(t, Await(waitTimeout, "the host has the version of its peers", func() bool {
+		return c.Ready(h.CallerAddress) && c.Version(h.EntryAdminAddress, "config") == l.Version
 	}))
 	d.awaitMore(50)
-	d.end()
+	d.finish()
 }
 
-// Two versions are published at once, an invalid one between two good ones, and
-// the platform then answers with the first for a while. No host may go back, and
-// all must end on the newest good one.
+// Guards against a return to an older configuration. An invalid version is
+// published between two valid ones, and the platform then returns the first
+// version of each key. All hosts must end with the newest valid version.
 func TestConfigurationNeverReverts(t *testing.T) {
 	l, c := startLab(t, nil)
 	stop := make(chan struct{})
@@ -299,7 +299,7 @@
 					return
 				case <-time.After(20 * time.Millisecond):
 				}
-				v := c.Version(h.EntryAdmin, "config")
+				v := c.Version(h.EntryAdminAddress, "config")
 				if v != 0 && v < highest {
 					t.Errorf("%s went from version %d back to %d", h.Name, highest, v)
 				}
@@ -312,29 +312,29 @@
 	invalid := l.Version
 	time.Sleep(time.Second)
 	for _, h := range l.Hosts {
-		assert.Assert(t, c.Version(h.EntryAdmin, "config") != invalid)
+		assert.Assert(t, c.Version(h.EntryAdminAddress, "config") != invalid)
 	}
 	l.Publish("carry:\n  - {server: returns-desk-0, slots: 4}\n")
 	everywhere := func() bool {
 		for _, h := range l.Hosts {
-			if c.Version(h.EntryAdmin, "config") != l.Version || c.Version(h.AggAdmin, "config") != l.Version {
+			if c.Version(h.EntryAdminAddress, "config") != l.Version || c.Version(h.AggAdminAddress, "config") != l.Version {
 				return false
 			}
 		}
 		return true
 	}
-	assert.NilError(t, Await(patient, "the newest version is in force", everywhere))
-	setMode(l, func(m *modeOf) { m.Stale = true })
+	assert.NilError(t, Await(waitTimeout, "the newest version is in force", everywhere))
+	setMode(l, func(m *platformMode) { m.Stale = true })
 	assert.NilError(t, l.Hosts[1].Entry.Stop())
 	assert.NilError(t, l.Hosts[1].Aggregator.Stop())
-	assert.NilError(t, l.Run(l.Hosts[1]))
-	assert.NilError(t, Await(patient, "the restarted host has the newest version too", everywhere))
+	assert.NilError(t, l.StartHost(l.Hosts[1]))
+	assert.NilError(t, Await(waitTimeout, "the restarted host has the newest version too", everywhere))
 	close(stop)
 	wait.Wait()
 }
 
-// One answer mixes rows of two index versions. The index is switched server by
-// server, and its partitions are reshaped, while queries run.
+// Guards against an answer with rows of two snapshots. The servers switch to a
+// new snapshot one by one while queries run.
 func TestOneSnapshotWhileTheIndexSwitches(t *testing.T) {
 	l, _ := startLab(t, nil)
 	d := startLoad(t, l, 4)
@@ -349,14 +349,14 @@
 		}
 	}
 	d.awaitMore(200)
-	d.end()
+	d.finish()
 	assert.Assert(t, d.complete.Load() > 100)
 	assert.Equal(t, d.failed.Load(), int64(0))
 }
 
-// Leafs answer with another's reply, half a reply, nothing, fewer shards than
-// asked, rows of another snapshot, or an error. None of it may enter an answer;
-// other replicas stand in.
+// Leaves reply with another attempt's id, half a body, no body, no shards,
+// another snapshot, or an error. Such replies must not enter an answer; other
+// replicas must be asked instead.
 func TestWrongRepliesEnterNoAnswer(t *testing.T) {
 	l, _ := startLab(t, nil)
 	d := startLoad(t, l, 4)
@@ -371,7 +371,7 @@
 	for i := range faults {
 		before[i] = l.Servers[l.Specs[i].Name].Stats().Calls
 	}
-	assert.NilError(t, Await(patient, "each faulty leaf's server has been asked", func() bool {
+	assert.NilError(t, Await(waitTimeout, "each faulty leaf's server has been asked", func() bool {
 		for i := range faults {
 			if l.Servers[l.Specs[i].Name].Stats().Calls < before[i]+20 {
 				return false
@@ -380,13 +380,13 @@
 		return true
 	}))
 	d.awaitMore(200)
-	d.end()
+	d.finish()
 	assert.Assert(t, d.complete.Load() > 50)
 	assert.Equal(t, d.failed.Load(), int64(0))
 }
 
-// One query crashes every server that runs it, and its caller sends it again and
-// again through all hosts, while an aggregator is killed and comes back.
+// Guards against a query that crashes one server after the other: its caller
+// resends it through all hosts while an aggregator is killed.
 func TestCrashingRequestStopsAtTwo(t *testing.T) {
 	l, c := startLab(t, nil)
 	d := startLoad(t, l, 2)
@@ -401,16 +401,16 @@
 		if i == 10 {
 			l.Hosts[4].Aggregator.Kill()
 		}
-		_, _ = c.Query(l.Hosts[i%len(l.Hosts)].Callers, "subscriber-app", leaf.CrashText, budget)
+		_, _ = c.Query(l.Hosts[i%len(l.Hosts)].CallerAddress, "subscriber-app", leaf.CrashText, budget)
 	}
 	assert.Assert(t, crashes() >= 1)
-	assert.NilError(t, Await(patient, "other queries go on", func() bool { return d.complete.Load() > 50 }))
-	d.end()
+	assert.NilError(t, Await(waitTimeout, "other queries continue", func() bool { return d.complete.Load() > 50 }))
+	d.finish()
 	assert.Assert(t, crashes() <= 2, "%d servers crashed", crashes())
 }
 
-// All open connections to the leafs go silent while new ones work. Queries must
-// find new connections, and no healthy server may be given up.
+// All open connections to the leaves become unresponsive while new ones work.
+// Queries must use new connections, and no healthy server may be excluded.
 func TestSilentConnections(t *testing.T) {
 	l, c := startLab(t, nil)
 	d := startLoad(t, l, 3)
@@ -420,23 +420,23 @@
 	}
 	assert.Assert(t, silenced > 20)
 	d.awaitMore(200)
-	d.end()
+	d.finish()
 	awaitReady(t, l, c)
 }
 
-// A failure domain is cut off from the others without a word: connections stay
-// open and carry nothing. Each side must go on with what it reaches, say truly
-// what it lacks, and be whole again after the heal.
+// Guards against an outage when a failure domain is cut off silently:
+// connections stay open and carry nothing. Both sides must serve the shards that
+// they reach, report the missing ones, and recover with the network.
 func TestCutDomainServesWhatItCan(t *testing.T) {
-	l, c := startLab(t, func(l *Lab) { l.Relays = true })
+	l, c := startLab(t, func(l *Lab) { l.UseRelays = true })
 	d := startLoad(t, l, 3)
-	island := l.Layout.Domains[0]
+	isolated := l.Layout.Domains[0]
 	for _, other := range l.Layout.Domains[1:] {
-		l.CutDomains(island, other, relay.Silent)
+		l.SetDomainLinks(isolated, other, relay.Silent)
 	}
-	assert.NilError(t, Await(patient, "both sides answer again", func() bool {
+	assert.NilError(t, Await(waitTimeout, "both sides answer again", func() bool {
 		for _, h := range []*Host{l.Hosts[0], l.Hosts[1]} {
-			a, err := c.Query(h.Callers, "subscriber-app", "cut", budget)
+			a, err := c.Query(h.CallerAddress, "subscriber-app", "cut", budget)
 			if err != nil || a.Status != http.StatusOK || a.Check("subscriber-app", "cut") != nil {
 				return false
 			}
@@ -444,17 +444,17 @@
 		return true
 	}))
 	for _, other := range l.Layout.Domains[1:] {
-		l.CutDomains(island, other, relay.Blocked)
-		l.CutDomains(island, other, relay.Open)
+		l.SetDomainLinks(isolated, other, relay.Blocked)
+		l.SetDomainLinks(isolated, other, relay.Open)
 	}
 	awaitReady(t, l, c)
-	d.end()
+	d.finish()
 }
 
-type modeOf = plat.Mode
+type platformMode = plat.Mode
 
-func setMode(l *Lab, change func(*modeOf)) {
-	var m modeOf
+func setMode(l *Lab, change func(*platformMode)) {
+	var m platformMode
 	change(&m)
 	l.Platform.SetMode(m)
 }
--- a/fakes/lab/layout.go
+++ b/fakes/lab/layout.go
@@ -1,5 +1,5 @@
-// Package lab starts the programs and the stand-ins on loopback, for the demo
-// and the tests with real processes. It is scaffolding: no program of the
+// Package lab starts the programs and the fakes on loopback, for the demo and
+// for tests with real processes. It is test infrastructure: no program of the
 // product starts another.
 package lab
 
@@ -10,19 +10,19 @@
 	"dandelionstile/share/topo"
 )
 
-// Service describes one service of a layout.
+// Service describes a service of a layout.
 type Service struct {
 	Name string
-	// Servers is how many backend servers it has, in turn over the domains.
+	// Servers is the number of backend servers, spread over the domains in turn.
 	Servers int
-	// LeafsPer is how many leafs each server has.
-	LeafsPer    int
-	Shards      int
-	Slots       int
-	Connections int
-	WarmMS      int
-	DeadlineMS  int
-	Patience    int
+	// LeavesPerServer is the number of leaves of each server.
+	LeavesPerServer int
+	Shards          int
+	Slots           int
+	Connections     int
+	WarmUpMS        int
+	DeadlineMS      int
+	Patience        int // percent; 0 leaves the default
 }
 
 // Layout is a small deployment.
@@ -33,23 +33,24 @@
 	Services []Service
 }
 
-// Kumomaru is the deployment of that name in small: three failure domains in
-// three regions, seven hosts, 32 leafs.
+// Kumomaru returns a small copy of the deployment of that name: three failure
+// domains in three regions, seven hosts, 32 leaves.
 func Kumomaru() Layout {
 	return Layout{
 		Domains: []string{"sapporo-a", "sendai-b", "osaka-c"},
 		Regions: []string{"sapporo", "sendai", "osaka"},
 		Hosts:   7,
 		Services: []Service{
-			{Name: "subscriber-app", Servers: 12, LeafsPer: 2, Shards: 8, Slots: 3, Connections: 30, WarmMS: 300, DeadlineMS: 1000, Patience: 80},
-			{Name: "subscription-billing", Servers: 6, LeafsPer: 1, Shards: 2, Slots: 3, Connections: 30, WarmMS: 300, DeadlineMS: 1000},
-			{Name: "returns-desk", Servers: 2, LeafsPer: 1, Shards: 1, Slots: 6, Connections: 50, WarmMS: 300, DeadlineMS: 1000},
+			{Name: "subscriber-app", Servers: 12, LeavesPerServer: 2, Shards: 8, Slots: 3, Connections: 30, WarmUpMS: 300, DeadlineMS: 1000, Patience: 80},
+			{Name: "subscription-billing", Servers: 6, LeavesPerServer: 1, Shards: 2, Slots: 3, Connections: 30, WarmUpMS: 300, DeadlineMS: 1000},
+			{Name: "returns-desk", Servers: 2, LeavesPerServer: 1, Shards: 1, Slots: 6, Connections: 50, WarmUpMS: 300, DeadlineMS: 1000},
 		},
 	}
 }
 
-// Servers lists the backend servers of a layout. Address gives each its IP and
-// port. The leafs of one shard lie in different domains as far as they go.
+// Servers returns the backend servers of a layout. The function address returns
+// the IP and port of each. The replicas of a shard are in different domains as
+// far as there are enough.
 func (l Layout) Servers(address func(name string) string) []topo.Server {
 	var list []topo.Server
 	for _, v := range l.Services {
@@ -59,9 +60,9 @@
 				Name: fmt.Sprintf("%s-%d", v.Name, i), Service: v.Name, Domain: l.Domains[i%len(l.Domains)],
 			}
 			s.Address = address(s.Name)
-			for j := range v.LeafsPer {
-				// Replicas of one shard follow each other over the domains.
-				shard := (i/len(l.Domains)*v.LeafsPer + j) % v.Shards
+			for j := range v.LeavesPerServer {
+				// Consecutive servers, which are in different domains, share shards.
+				shard := (i/len(l.Domains)*v.LeavesPerServer + j) % v.Shards
 				s.Leaves = append(s.Leaves, topo.Leaf{
 					Name: fmt.Sprintf("%s-%d-%d", v.Name, i, j), Slots: v.Slots, Connections: v.Connections,
 					Holds: []topo.Hold{{Layout: 1, Shard: shard}},
@@ -74,8 +75,8 @@
 	return list
 }
 
-// Parts writes a layout as the operators' files: one for the domains and
-// services, one for each service's servers, one for the rules.
+// Parts encodes a layout as the operators' files: one for the domains and
+// services, one for the servers of each service, and one for the rules.
 func (l Layout) Parts(servers []topo.Server, rules string) []topo.Part {
 	var b strings.Builder
 	b.WriteString("failure-domains:\n")
@@ -85,7 +86,7 @@
 	b.WriteString("services:\n")
 	for _, v := range l.Services {
 		fmt.Fprintf(&b, "  - name: %s\n    layouts: [{id: 1, shards: %d}]\n    warm-ms: %d\n    deadline-ms: %d\n",
-			v.Name, v.Shards, v.WarmMS, v.DeadlineMS)
+			v.Name, v.Shards, v.WarmUpMS, v.DeadlineMS)
 		if v.Patience > 0 {
 			fmt.Fprintf(&b, "    patience-percent: %d\n", v.Patience)
 		}
--- a/fakes/lab/leave_test.go
+++ b/fakes/lab/leave_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A caller closes its connection while the leafs work on its query for 300 ms.
-// Through entry and aggregators, the leafs are told to stop well before
-// they would have been done.
+// A caller disconnects while the leaves work on its query for 300 ms. The
+// cancellation must reach the leaves through entry and aggregators well before
+// they would have finished.
 func TestLeafsStopWhenTheCallerLeaves(t *testing.T) {
 	l, c := startLab(t, func(l *Lab) { l.Model.ServiceTime = 300 * time.Millisecond })
 	cancelled := func() int {
@@ -22,19 +22,19 @@
 		}
 		return n
 	}
-	// Proven first, so that all shards are asked at once.
-	_, err := c.Query(l.Hosts[0].Callers, "subscriber-app", "leaves", budget)
+	// An unproven query would go to a canary before it goes to all shards.
+	_, err := c.Query(l.Hosts[0].CallerAddress, "subscriber-app", "leaves", budget)
 	assert.NilError(t, err)
 	before := cancelled()
-	ctx, leave := context.WithCancel(t.Context())
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.Hosts[0].Callers+"/v1/query",
+	ctx, disconnect := context.WithCancel(t.Context())
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.Hosts[0].CallerAddress+"/v1/query",
 		strings.NewReader(`{"service":"subscriber-app","text":"leaves"}`))
 	assert.NilError(t, err)
-	time.AfterFunc(80*time.Millisecond, leave)
+	time.AfterFunc(80*time.Millisecond, disconnect)
 	res, err := http.DefaultClient.Do(r)
 	if err == nil {
 		assert.NilError(t, res.Body.Close())
 	}
 	assert.ErrorIs(t, err, context.Canceled)
-	assert.NilError(t, Await(150*time.Millisecond, "the leafs are told to stop", func() bool { return cancelled() > before }))
+	assert.NilError(t, Await(150*time.Millisecond, "the leaves get cancellations", func() bool { return cancelled() > before }))
 }
--- a/fakes/lab/load_test.go
+++ b/fakes/lab/load_test.go
@@ -11,40 +11,40 @@
 	"gotest.tools/v3/assert"
 )
 
-// load asks all ready hosts again and again until stopped, and checks every
+// load sends queries to all ready hosts until it is stopped, and checks every
 // answer.
 type load struct {
 	t        *testing.T
 	l        *Lab
 	stop     chan struct{}
-	wait     sync.WaitGroup
+	wg       sync.WaitGroup
 	complete atomic.Int64
 	partial  atomic.Int64
 	refused  atomic.Int64
 	failed   atomic.Int64
 	mu       sync.Mutex
-	why      map[string]int
+	reasons  map[string]int
 	ready    map[string]readiness
 }
 
-// readiness is what the balancer last saw of a host.
+// readiness is the result of the balancer's last readiness check of a host.
 type readiness struct {
-	at    time.Time
-	ready bool
+	checked time.Time
+	ready   bool
 }
 
-// balancerLag is how old the balancer's view of a host may be.
+// balancerLag is the maximum age of the balancer's view of a host.
 const balancerLag = time.Second
 
-// serves tells whether the balancer sends queries to a host.
-func (d *load) serves(c *Client, h *Host) bool {
+// balancerSends reports whether the balancer sends queries to a host.
+func (d *load) balancerSends(c *Client, h *Host) bool {
 	d.mu.Lock()
 	seen := d.ready[h.Name]
 	d.mu.Unlock()
-	if time.Since(seen.at) < balancerLag {
+	if time.Since(seen.checked) < balancerLag {
 		return seen.ready
 	}
-	now := readiness{time.Now(), c.Ready(h.Callers)}
+	now := readiness{time.Now(), c.Ready(h.CallerAddress)}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ready[h.Name] = now
@@ -52,9 +52,9 @@
 }
 
 func startLoad(t *testing.T, l *Lab, workers int) *load {
-	d := &load{t: t, l: l, stop: make(chan struct{}), why: map[string]int{}, ready: map[string]readiness{}}
+	d := &load{t: t, l: l, stop: make(chan struct{}), reasons: map[string]int{}, ready: map[string]readiness{}}
 	for w := range workers {
-		d.wait.Go(func() {
+		d.wg.Go(func() {
 			c := NewClient(15 * time.Second)
 			defer func() { _ = c.Close() }()
 			for n := w; ; n++ {
@@ -62,7 +62,7 @@
 				case <-d.stop:
 					return
 				default:
-					d.one(c, l.Hosts[n%len(l.Hosts)], n)
+					d.sendQuery(c, l.Hosts[n%len(l.Hosts)], n)
 				}
 			}
 		})
@@ -70,22 +70,22 @@
 	return d
 }
 
-// one asks a host that is ready, as the balancer would.
-func (d *load) one(c *Client, h *Host, n int) {
-	if h.gone || !d.serves(c, h) {
+// sendQuery sends a query to a host if the balancer would.
+func (d *load) sendQuery(c *Client, h *Host, n int) {
+	if h.removed || !d.balancerSends(c, h) {
 		time.Sleep(time.Millisecond)
 		return
 	}
 	service := d.l.Layout.Services[n%len(d.l.Layout.Services)].Name
 	text := fmt.Sprintf("load %d", n%50)
-	a, err := c.Query(h.Callers, service, text, budget)
+	a, err := c.Query(h.CallerAddress, service, text, budget)
 	switch {
 	case err != nil:
 		d.failed.Add(1)
-		d.note(h.Name + ": " + err.Error())
+		d.countReason(h.Name + ": " + err.Error())
 	case a.Status != http.StatusOK:
 		d.refused.Add(1)
-		d.note(h.Name + ": " + a.Line())
+		d.countReason(h.Name + ": " + a.Summary())
 	default:
 		if err := a.Check(service, text); err != nil {
 			d.t.Errorf("answer of %s: %v", h.Name, err)
@@ -94,28 +94,28 @@
 			d.complete.Add(1)
 		} else {
 			d.partial.Add(1)
-			d.note(h.Name + ": " + a.Line())
+			d.countReason(h.Name + ": " + a.Summary())
 		}
 	}
 }
 
-func (d *load) note(what string) {
+func (d *load) countReason(reason string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.why[what]++
+	d.reasons[reason]++
 }
 
-// awaitMore waits for so many more complete answers.
+// awaitMore waits for n more complete answers.
 func (d *load) awaitMore(n int64) {
 	d.t.Helper()
 	until := d.complete.Load() + n
-	assert.NilError(d.t, Await(patient, "queries go on", func() bool { return d.complete.Load() >= until }))
+	assert.NilError(d.t, Await(waitTimeout, "queries continue", func() bool { return d.complete.Load() >= until }))
 }
 
-// end stops the load and says what happened.
-func (d *load) end() {
+// finish stops the load and logs the counts.
+func (d *load) finish() {
 	close(d.stop)
-	d.wait.Wait()
+	d.wg.Wait()
 	d.t.Logf("complete %d, partial %d, refused %d, failed %d: %v",
-		d.complete.Load(), d.partial.Load(), d.refused.Load(), d.failed.Load(), d.why)
+		d.complete.Load(), d.partial.Load(), d.refused.Load(), d.failed.Load(), d.reasons)
 }
--- a/fakes/lab/routes_test.go
+++ b/fakes/lab/routes_test.go
@@ -22,7 +22,7 @@
   - {name: book, host: find.example, prefix: /book/, service: returns-desk}
 `
 
-// routedAnswer is what a caller of a route got.
+// routedAnswer is the reply to a routed request.
 type routedAnswer struct {
 	status  int
 	body    []byte
@@ -31,11 +31,11 @@
 	missing string
 }
 
-func askRoute(t *testing.T, at, path, id string) routedAnswer {
+func askRoute(t *testing.T, address, path, id string) routedAnswer {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+path, nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	assert.NilError(t, err)
 	r.Host = "find.example"
 	r.Header.Set(httpc.DefaultDialect.RequestID, id)
@@ -52,7 +52,7 @@
 	return a
 }
 
-// servers are the servers that a merged answer says it is made of.
+// servers returns the servers whose records a merged answer contains.
 func (a routedAnswer) servers() []string {
 	var list []string
 	for _, p := range a.parts {
@@ -61,8 +61,8 @@
 	return list
 }
 
-// greatest are the records that a merged answer of these servers must hold.
-func greatest(servers []string, path string, top int) []byte {
+// topRecords returns the records that a merged answer of these servers must have.
+func topRecords(servers []string, path string, top int) []byte {
 	var records [][]byte
 	for _, s := range servers {
 		for part := range slices.Chunk(leaf.Records(s, path), 16) {
@@ -73,50 +73,49 @@
 	return bytes.Join(records[:top], nil)
 }
 
-// Operators of the product's own format name routes in their rules. Callers of
-// any host get whole answers; a failure domain that is taken out gets no new
-// request, and a route that is dropped is refused, both once the version is in
-// force and without a restart.
+// Routes in the rules of the product's own format must be served by every host.
+// Once a new version is in force, without a restart, a failure domain out of
+// service must get no requests, and requests for a removed route must get 404.
 func TestRoutesOfTheRulesAreServed(t *testing.T) {
 	l, c := startLab(t, func(l *Lab) {
-		l.Routes = true
+		l.ServeRoutes = true
 		l.Rules += routeRules
 	})
 	for i, h := range l.Hosts {
 		id := fmt.Sprintf("find-%d", i)
-		a := askRoute(t, h.Routes, "/find/"+id, id)
+		a := askRoute(t, h.RouteAddress, "/find/"+id, id)
 		assert.Equal(t, a.status, http.StatusOK, "%s: %s", h.Name, a.body)
 		assert.Equal(t, len(a.parts), 2)
-		assert.DeepEqual(t, a.body, greatest(a.servers(), "/find/"+id, 6))
-		single := askRoute(t, h.Routes, "/book/"+id, id)
+		assert.DeepEqual(t, a.body, topRecords(a.servers(), "/find/"+id, 6))
+		single := askRoute(t, h.RouteAddress, "/book/"+id, id)
 		assert.Equal(t, single.status, http.StatusOK)
 		server, _, _ := strings.Cut(single.stamp, ".")
 		assert.DeepEqual(t, single.body, leaf.Records(server, "/book/"+id))
-		assert.Equal(t, askRoute(t, h.Routes, "/other/", id).status, http.StatusNotFound)
+		assert.Equal(t, askRoute(t, h.RouteAddress, "/other/", id).status, http.StatusNotFound)
 	}
 	inForce := func() bool {
 		for _, h := range l.Hosts {
-			if c.Version(h.EntryAdmin, "config") != l.Version {
+			if c.Version(h.EntryAdminAddress, "config") != l.Version {
 				return false
 			}
 		}
 		return true
 	}
 	l.Publish(l.Rules + "out-of-service: [" + l.Layout.Domains[0] + "]\n")
-	assert.NilError(t, Await(patient, "the domain is out", inForce))
+	assert.NilError(t, Await(waitTimeout, "the domain is out of service", inForce))
 	for i, h := range l.Hosts {
 		for n := range 6 {
 			id := fmt.Sprintf("out-%d-%d", i, n)
-			a := askRoute(t, h.Routes, "/find/"+id, id)
+			a := askRoute(t, h.RouteAddress, "/find/"+id, id)
 			assert.Equal(t, a.status, http.StatusOK)
 			for _, s := range a.servers() {
-				assert.Assert(t, l.domainOf(s) != l.Layout.Domains[0], "%s of a domain that is out has answered", s)
+				assert.Assert(t, l.domainOf(s) != l.Layout.Domains[0], "%s answered although its domain is out of service", s)
 			}
 		}
 	}
 	l.Publish("")
-	assert.NilError(t, Await(patient, "the routes are dropped", inForce))
-	assert.Equal(t, askRoute(t, l.Hosts[1].Routes, "/find/x", "x").status, http.StatusNotFound)
+	assert.NilError(t, Await(waitTimeout, "the routes are removed", inForce))
+	assert.Equal(t, askRoute(t, l.Hosts[1].RouteAddress, "/find/x", "x").status, http.StatusNotFound)
 }
 
 func (l *Lab) domainOf(server string) string {
