--- a/fakes/backend.go
+++ b/fakes/backend.go
@@ -15,12 +15,12 @@
 
 // backendCommand serves the backend servers of an inventory at their addresses.
 type backendCommand struct {
-	Control   string        `arg:"--control" default:"127.0.0.1:6001" help:"address that failures are switched on at"`
+	Control   string        `arg:"--control" default:"127.0.0.1:6001" help:"address of the control endpoint that injects failures"`
 	Only      []string      `arg:"--only,separate" placeholder:"SERVER" help:"serve only these"`
-	Service   time.Duration `arg:"--service-time" default:"3ms" help:"usual time of a query"`
-	Connect   time.Duration `arg:"--connect-time" default:"6ms" help:"cost of a new connection"`
-	Warm      time.Duration `arg:"--warm" default:"10s" help:"time from a cold start to full load"`
-	Restart   time.Duration `arg:"--restart" default:"1s" help:"time that a crashed server stays away"`
+	Service   time.Duration `arg:"--service-time" default:"3ms" help:"time of a query without jitter"`
+	Connect   time.Duration `arg:"--connect-time" default:"6ms" help:"delay of the first reply on a new connection"`
+	Warm      time.Duration `arg:"--warm" default:"10s" help:"time from a cold start to full capacity"`
+	Restart   time.Duration `arg:"--restart" default:"1s" help:"time from a crash to the restart"`
 	Inventory []string      `arg:"positional,required" help:"inventory files"`
 }
 
@@ -52,10 +52,11 @@
 		control.Servers[spec.Name] = s
 	}
 	server := http.Server{Addr: c.Control, Handler: control.Handler(), ReadHeaderTimeout: time.Second}
-	go func() { _ = server.ListenAndServe() }() // ends with the process
+	go func() { _ = server.ListenAndServe() }() // returns after Close
 	fmt.Println("serving", len(control.Servers), "backend servers; control on", c.Control)
 	awaitSignal()
 	return server.Close()
 }
 
-func cut(s string) (before, after string, ok bool) { return strings.Cut(s, "=") }
+// splitPair splits KEY=VALUE.
+func splitPair(s string) (before, after string, ok bool) { return strings.Cut(s, "=") }
--- a/fakes/main.go
+++ b/fakes/main.go
@@ -1,5 +1,5 @@
-// Command fakes runs the stand-ins: the platform, backend servers, and a demo
-// of the whole path on loopback.
+// Command fakes runs the fake platform, fake backend servers, and a demo of a
+// whole deployment on loopback.
 package main
 
 import (
@@ -11,15 +11,15 @@
 
 // arguments is the command line.
 type arguments struct {
-	Demo     *demoCommand     `arg:"subcommand:demo" help:"run the whole path on loopback and check every answer"`
+	Demo     *demoCommand     `arg:"subcommand:demo" help:"run a deployment on loopback and check every answer"`
 	Platform *platformCommand `arg:"subcommand:platform" help:"serve a configuration and host lists"`
 	Backend  *backendCommand  `arg:"subcommand:backend" help:"serve the backend servers of an inventory"`
 }
 
 // Description is shown by --help.
-func (arguments) Description() string { return "fakes runs small stand-ins for tests and demos" }
+func (arguments) Description() string { return "fakes runs fake services for tests and demos" }
 
-// command is one subcommand.
+// command is a subcommand.
 type command interface{ run() error }
 
 func main() {
--- a/fakes/platform.go
+++ b/fakes/platform.go
@@ -46,7 +46,7 @@
 
 func (c *platformCommand) putHosts(p *plat.Platform) error {
 	for _, h := range c.Hosts {
-		domain, file, ok := cut(h)
+		domain, file, ok := splitPair(h)
 		if !ok {
 			return fmt.Errorf("--hosts %s: want DOMAIN=FILE", h)
 		}
@@ -63,6 +63,7 @@
 	return nil
 }
 
+// awaitSignal blocks until SIGTERM or SIGINT arrives.
 func awaitSignal() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
