--- a/soak/main.go
+++ b/soak/main.go
@@ -1,7 +1,7 @@
-// Command soak runs the real program as many processes on loopback, troubles
-// them from outside by a random schedule, and checks its promises from what
-// callers and leafs see. A seed repeats a schedule, but not the processes'
-// timing.
+// Command soak runs the real program as many processes on loopback, injects faults
+// on a random schedule, and checks the system's guarantees from what callers and
+// leaves observe. A seed repeats the schedule, but not the timing of the
+// processes.
 package main
 
 import (
@@ -14,39 +14,39 @@
 	"dandelionstile/soak/play"
 )
 
-type common struct {
-	Bin   string        `arg:"--bin" default:"bin/platform" placeholder:"FILE" help:"the program"`
-	Dir   string        `arg:"--dir" placeholder:"DIR" help:"where settings and logs go; a new one if empty"`
-	For   time.Duration `arg:"--for" default:"20s" help:"how long faults come"`
-	Hosts int           `arg:"--hosts" default:"6" help:"how many hosts"`
-	Rate  int           `arg:"--rate" default:"60" help:"requests a second"`
+type sharedFlags struct {
+	Bin       string        `arg:"--bin" default:"bin/platform" placeholder:"FILE" help:"path of the platform program"`
+	Dir       string        `arg:"--dir" placeholder:"DIR" help:"parent of the run's directory for settings and logs; the system's temporary directory if empty"`
+	FaultTime time.Duration `arg:"--for" default:"20s" help:"time during which faults are injected"`
+	Hosts     int           `arg:"--hosts" default:"6" help:"number of hosts"`
+	Rate      int           `arg:"--rate" default:"60" help:"requests per second"`
 }
 
 type runCommand struct {
-	common
-	Seed uint64 `arg:"--seed,required" help:"seed of the schedule"`
+	sharedFlags
+	Seed uint64 `arg:"--seed,required" help:"seed of the fault schedule"`
 }
 
 type huntCommand struct {
-	common
-	First uint64 `arg:"--first" default:"0" help:"first seed; by the clock if 0"`
-	Count int    `arg:"--count" default:"10" help:"how many seeds"`
+	sharedFlags
+	First uint64 `arg:"--first" default:"0" help:"first seed; taken from the current time if 0"`
+	Count int    `arg:"--count" default:"10" help:"number of seeds"`
 }
 
 type replayCommand struct {
-	common
-	Seeds string `arg:"--seeds" default:"soak/seeds.txt" placeholder:"FILE" help:"seeds that have failed, one a line with the cause"`
+	sharedFlags
+	Seeds string `arg:"--seeds" default:"soak/seeds.txt" placeholder:"FILE" help:"seeds that failed before, one per line with the cause"`
 }
 
 type arguments struct {
-	Run    *runCommand    `arg:"subcommand:run" help:"one seed"`
-	Hunt   *huntCommand   `arg:"subcommand:hunt" help:"many seeds, to find what breaks"`
-	Replay *replayCommand `arg:"subcommand:replay" help:"the seeds that have failed"`
+	Run    *runCommand    `arg:"subcommand:run" help:"run one seed"`
+	Hunt   *huntCommand   `arg:"subcommand:hunt" help:"run many seeds to find failures"`
+	Replay *replayCommand `arg:"subcommand:replay" help:"run the seeds that failed before"`
 }
 
-// Description is shown by --help.
+// Description returns the text at the head of the help.
 func (arguments) Description() string {
-	return "soak troubles real processes by a random schedule and checks their promises"
+	return "soak injects faults into real processes on a random schedule and checks the system's guarantees"
 }
 
 func main() {
@@ -54,16 +54,16 @@
 	p := arg.MustParse(&a)
 	switch {
 	case a.Run != nil:
-		os.Exit(all(a.Run.common, []uint64{a.Run.Seed}))
+		os.Exit(runSeeds(a.Run.sharedFlags, []uint64{a.Run.Seed}))
 	case a.Hunt != nil:
-		os.Exit(all(a.Hunt.common, a.Hunt.seeds()))
+		os.Exit(runSeeds(a.Hunt.sharedFlags, a.Hunt.seeds()))
 	case a.Replay != nil:
 		seeds, err := play.ReadSeeds(a.Replay.Seeds)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "soak:", err)
 			os.Exit(1)
 		}
-		os.Exit(all(a.Replay.common, seeds))
+		os.Exit(runSeeds(a.Replay.sharedFlags, seeds))
 	}
 	p.WriteHelp(os.Stdout)
 	os.Exit(2)
@@ -81,18 +81,18 @@
 	return seeds
 }
 
-// all plays seeds one after the other and returns the exit code.
-func all(c common, seeds []uint64) int {
+// runSeeds runs seeds one after the other and returns the exit code.
+func runSeeds(c sharedFlags, seeds []uint64) int {
 	failed := 0
 	for _, seed := range seeds {
-		s := play.Settings{Bin: c.Bin, Dir: c.Dir, Seed: seed, For: c.For, Hosts: c.Hosts, Rate: c.Rate}
+		s := play.Settings{Bin: c.Bin, Dir: c.Dir, Seed: seed, FaultTime: c.FaultTime, Hosts: c.Hosts, Rate: c.Rate}
 		report, err := play.Run(s)
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "soak: seed %d: %v\n", seed, err)
 			return 1
 		}
 		fmt.Println(report)
-		if len(report.Broken) > 0 {
+		if len(report.Violations) > 0 {
 			failed++
 		}
 	}
--- a/soak/play/check.go
+++ b/soak/play/check.go
@@ -18,166 +18,176 @@
 	"dandelionstile/platform/fake"
 )
 
-// checks collects requests and broken promises.
-type checks struct {
-	mu       sync.Mutex
-	requests []*request
-	broken   []string
+// results collects the requests of a run and the guarantees that it violated.
+type results struct {
+	mu         sync.Mutex
+	requests   []*request
+	violations []string
 }
 
-func (c *checks) fault(format string, args ...any) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.broken = append(c.broken, fmt.Sprintf(format, args...))
+func (rs *results) addViolation(format string, args ...any) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	rs.violations = append(rs.violations, fmt.Sprintf(format, args...))
 }
 
-func (c *checks) add(r *request) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.requests = append(c.requests, r)
+func (rs *results) addRequest(r *request) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	rs.requests = append(rs.requests, r)
 }
 
-// seen is what leafs saw of one request.
-type seen struct {
-	runs     int
-	arrivals map[string]int // by service
-	reached  []fake.RequestRecord
-	worked   []fake.RequestRecord
+// requestTrace is what the leaves recorded of one request.
+type requestTrace struct {
+	runCount          int
+	arrivalsByService map[string]int
+	arrivals          []fake.RequestRecord
+	runs              []fake.RequestRecord
 }
 
-// evaluate checks what can be told only at the end.
-func (w *world) evaluate() {
-	all := map[string]*seen{}
-	at := func(id string) *seen {
-		s := all[id]
-		if s == nil {
-			s = &seen{arrivals: map[string]int{}}
-			all[id] = s
+// checkRun runs the checks that need the records of the whole run.
+func (t *testbed) checkRun() {
+	traces := map[string]*requestTrace{}
+	traceOf := func(id string) *requestTrace {
+		trace := traces[id]
+		if trace == nil {
+			trace = &requestTrace{arrivalsByService: map[string]int{}}
+			traces[id] = trace
 		}
-		return s
+		return trace
 	}
-	extra := map[string][]time.Time{}
-	for _, l := range w.leafs {
+	repeats := map[string][]time.Time{}
+	for _, l := range t.leaves {
 		arrivals, runs := l.Requests()
 		for _, a := range arrivals {
-			s := at(a.RequestID)
-			s.arrivals[l.Service]++
-			s.reached = append(s.reached, a)
+			trace := traceOf(a.RequestID)
+			trace.arrivalsByService[l.Service]++
+			trace.arrivals = append(trace.arrivals, a)
 		}
 		for _, r := range runs {
-			s := at(r.RequestID)
-			s.runs++
-			s.worked = append(s.worked, r)
+			trace := traceOf(r.RequestID)
+			trace.runCount++
+			trace.runs = append(trace.runs, r)
 		}
-		w.checkDrain(l, arrivals)
+		t.checkDrain(l, arrivals)
 	}
-	for _, l := range w.leafs {
-		w.secondCalls(l, all, extra)
+	for _, l := range t.leaves {
+		t.collectRepeats(l, traces, repeats)
 	}
-	for _, r := range w.checks.requests {
-		w.checkRequest(r, at(r.id))
+	for _, r := range t.results.requests {
+		t.checkRequest(r, traceOf(r.id))
 	}
-	w.checkGone(all)
-	w.checkHarmful(all)
-	w.checkBudget(extra)
-	w.checkRecovery()
+	t.checkCanceled(traces)
+	t.checkHarmful(traces)
+	t.checkBudget(repeats)
+	t.checkRecovery()
 }
 
-func (w *world) checkRequest(r *request, s *seen) {
+// checkRequest checks that an update runs at most once, that no update runs after
+// a 503, and that requests without an answer are explained by a fault of the host.
+func (t *testbed) checkRequest(r *request, trace *requestTrace) {
 	unsafe := strings.HasPrefix(r.path, "/set/")
-	if unsafe && s.runs > 1 {
-		w.checks.fault("TWICE: %s ran %d times", r.id, s.runs)
+	if unsafe && trace.runCount > 1 {
+		t.results.addViolation("TWICE: %s ran %d times", r.id, trace.runCount)
 	}
-	if unsafe && r.status == http.StatusServiceUnavailable && s.runs > 0 {
-		w.checks.fault("REFUSED: %s was said not to have run", r.id)
+	if unsafe && r.status == http.StatusServiceUnavailable && trace.runCount > 0 {
+		t.results.addViolation("REFUSED: %s got status 503 but ran", r.id)
 	}
-	if r.status != 0 || r.left || r.host.otherwise(r) {
+	if r.status != 0 || r.canceled || r.host.hadFaultDuring(r) {
 		return
 	}
-	took := r.ended.Sub(r.sent)
-	if took > callerWait+late/2 {
-		w.checks.fault("HUNG: %s at %s got no answer in %s", r.id, r.host.name, took)
+	elapsed := r.ended.Sub(r.sent)
+	if elapsed > callerTimeout+lateTolerance/2 {
+		t.results.addViolation("HUNG: %s at %s got no answer in %s", r.id, r.host.name, elapsed)
 		return
 	}
-	if s.runs > 0 && r.host.leaving(r.sent, r.ended) {
-		w.checks.fault("LOST: %s was passed on by %s, which was leaving, and cut after %s", r.id, r.host.name, took)
+	if trace.runCount > 0 && r.host.wasTerminating(r.sent, r.ended) {
+		t.results.addViolation("LOST: %s was forwarded by %s, which was shutting down, and closed without an answer after %s", r.id, r.host.name, elapsed)
 	}
 }
 
-// otherwise tells whether a fault explains that a request got no answer.
-func (h *host) otherwise(r *request) bool {
+// hadFaultDuring reports whether a fault of the host explains that a request got
+// no answer.
+func (h *host) hadFaultDuring(r *request) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return overlaps(h.hits, r.sent.Add(-time.Second), r.ended.Add(time.Second))
+	return overlaps(h.faults, r.sent.Add(-time.Second), r.ended.Add(time.Second))
 }
 
-func (h *host) leaving(from, to time.Time) bool {
+// wasTerminating reports whether the host was shutting down after SIGTERM within
+// an interval.
+func (h *host) wasTerminating(from, to time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return overlaps(h.terms, from, to)
+	return overlaps(h.terminations, from, to)
 }
 
-// checkDrain: a leaf that drains gets nothing from hosts that must know.
-func (w *world) checkDrain(l *leaf, arrivals []fake.RequestRecord) {
+// checkDrain checks that a draining leaf receives no requests from hosts that must
+// have learned of the drain.
+func (t *testbed) checkDrain(l *leaf, arrivals []fake.RequestRecord) {
 	if l.drained.IsZero() {
 		return
 	}
-	due := l.drained.Add(bound)
-	if overlaps(w.storeHit, l.drained.Add(-touch), due) {
+	deadline := l.drained.Add(applyBound)
+	if overlaps(t.storeFaults, l.drained.Add(-settleTime), deadline) {
 		return
 	}
 	for _, a := range arrivals {
-		if a.At.After(due) && !w.excused(a.SourceIP, l.drained.Add(-touch), a.At) {
-			w.checks.fault("DRAIN: %s reached %s from %s %s after it had begun to leave", a.RequestID, l.ID, a.SourceIP, a.At.Sub(l.drained))
+		if a.At.After(deadline) && !t.mayHaveMissedChange(a.SourceIP, l.drained.Add(-settleTime), a.At) {
+			t.results.addViolation("DRAIN: %s reached %s from %s %s after it began to drain", a.RequestID, l.ID, a.SourceIP, a.At.Sub(l.drained))
 			return
 		}
 	}
 }
 
-// excused tells whether a fault on a host explains what it did not know.
-func (w *world) excused(ip string, from, to time.Time) bool {
-	for _, h := range w.hosts {
+// mayHaveMissedChange reports whether a fault kept the host with an IP address
+// from receiving changes within an interval.
+func (t *testbed) mayHaveMissedChange(ip string, from, to time.Time) bool {
+	for _, h := range t.hosts {
 		if h.ip == ip {
-			return h.blinded(from, to)
+			return h.wasStale(from, to)
 		}
 	}
-	return true // nobody's request: a probe of the soak itself
+	return true // not from a host: a probe of the soak
 }
 
-// secondCalls finds the arrivals at a service beyond the first of a request.
-func (w *world) secondCalls(l *leaf, all map[string]*seen, extra map[string][]time.Time) {
+// collectRepeats adds the arrivals of each request at a service beyond the first:
+// retries and hedges. It reduces the counts in arrivalsByService to 1.
+func (t *testbed) collectRepeats(l *leaf, traces map[string]*requestTrace, repeats map[string][]time.Time) {
 	arrivals, _ := l.Requests()
 	for _, a := range arrivals {
-		s := all[a.RequestID]
-		if s.arrivals[l.Service] > 1 {
-			s.arrivals[l.Service]--
-			extra[l.Service] = append(extra[l.Service], a.At)
+		trace := traces[a.RequestID]
+		if trace.arrivalsByService[l.Service] > 1 {
+			trace.arrivalsByService[l.Service]--
+			repeats[l.Service] = append(repeats[l.Service], a.At)
 		}
 	}
 }
 
-const window = 10 * time.Second
+// budgetWindow is the interval over which checkBudget counts requests.
+const budgetWindow = 10 * time.Second
 
-// checkBudget: in no ten seconds does a service get more second calls than its
-// requests allow, counted in that window, in the one before it or in the one half
-// a window before it, whichever has most.
-func (w *world) checkBudget(extra map[string][]time.Time) {
+// checkBudget checks that no service gets more retries and hedges within a
+// budgetWindow than its requests allow. The requests are counted in the same
+// window, the one before it and the one that starts half a window earlier; the
+// highest count applies.
+func (t *testbed) checkBudget(repeats map[string][]time.Time) {
 	sent := map[bool][]time.Time{}
-	for _, r := range w.checks.requests {
-		merged := strings.HasPrefix(r.path, "/all/")
-		sent[merged] = append(sent[merged], r.sent)
+	for _, r := range t.results.requests {
+		sharded := strings.HasPrefix(r.path, "/all/")
+		sent[sharded] = append(sent[sharded], r.sent)
 	}
 	for _, times := range sent {
 		sortTimes(times)
 	}
-	for service, times := range extra {
+	for service, times := range repeats {
 		sortTimes(times)
-		asked := sent[service != "one"]
+		requests := sent[service != "one"]
 		for i, from := range times {
-			n := within(times[i:], from)
-			most := max(within(asked, from), within(asked, from.Add(-window)), within(asked, from.Add(-window/2)))
-			if float64(n) > ratio*float64(most)+slack {
-				w.checks.fault("BUDGET: %s got %d second calls in %s for %d requests", service, n, window, most)
+			n := countInWindow(times[i:], from)
+			maxRequests := max(countInWindow(requests, from), countInWindow(requests, from.Add(-budgetWindow)), countInWindow(requests, from.Add(-budgetWindow/2)))
+			if float64(n) > retryRatio*float64(maxRequests)+retryReserve {
+				t.results.addViolation("BUDGET: %s got %d retries and hedges in %s for %d requests", service, n, budgetWindow, maxRequests)
 				break
 			}
 		}
@@ -188,126 +198,129 @@
 	sort.Slice(times, func(i, j int) bool { return times[i].Before(times[j]) })
 }
 
-// within counts the times of a window, in a sorted list.
-func within(times []time.Time, from time.Time) int {
+// countInWindow returns the number of times within the budgetWindow that starts at
+// from. The times must be sorted.
+func countInWindow(times []time.Time, from time.Time) int {
 	before := func(at time.Time) int {
 		return sort.Search(len(times), func(i int) bool { return !times[i].Before(at) })
 	}
-	return before(from.Add(window)) - before(from)
+	return before(from.Add(budgetWindow)) - before(from)
 }
 
-// calmShare is how many requests in a hundred succeed once all is well again.
-const calmShare = 95
+// minRecoveredPercent is the success rate required once all faults have healed.
+const minRecoveredPercent = 95
 
-// checkRecovery: after the last fault has healed, all is well.
-func (w *world) checkRecovery() {
-	good, all := 0, 0
-	from := w.begin.Add(warmUp + w.For + heal)
-	for _, r := range w.checks.requests {
+// checkRecovery checks that requests succeed again after the last fault has healed.
+func (t *testbed) checkRecovery() {
+	succeeded, total := 0, 0
+	from := t.startedAt.Add(warmUpTime + t.FaultTime + recoveryTime)
+	for _, r := range t.results.requests {
 		if r.sent.Before(from) {
 			continue
 		}
-		if r.left {
+		if r.canceled {
 			continue
 		}
-		all++
+		total++
 		if r.status == http.StatusOK {
-			good++
+			succeeded++
 		}
 	}
-	if all == 0 || good*100 < all*calmShare {
-		w.checks.fault("RECOVER: %d of %d requests succeeded after all faults", good, all)
+	if total == 0 || succeeded*100 < total*minRecoveredPercent {
+		t.results.addViolation("RECOVER: %d of %d requests succeeded after all faults", succeeded, total)
 	}
 }
 
-// probe asks a host for the route that came last and one that went, and holds
-// it to the bound while it is left alone.
-func (w *world) probe(h *host) {
-	c := caller{world: w, host: h, name: "probe-" + h.name}
+// probe requests the route that was added last and the one that was removed with
+// it, and checks that the host applies a change within applyBound while no fault
+// keeps it from receiving changes.
+func (t *testbed) probe(h *host) {
+	c := caller{testbed: t, host: h, name: "probe-" + h.name}
 	for {
 		select {
-		case <-w.stop:
+		case <-t.stop:
 			return
 		case <-time.After(400 * time.Millisecond):
 		}
-		w.mu.Lock()
-		extra, former, since := w.extra, w.former, w.changedAt
-		w.mu.Unlock()
+		t.mu.Lock()
+		added, removed, changedAt := t.addedPrefix, t.removedPrefix, t.changedAt
+		t.mu.Unlock()
 		now := time.Now()
-		if now.Sub(since) < bound || h.blinded(now.Add(-touch), now) || overlaps(w.storeSpans(), now.Add(-touch), now) {
+		if now.Sub(changedAt) < applyBound || h.wasStale(now.Add(-settleTime), now) || overlaps(t.copyStoreFaults(), now.Add(-settleTime), now) {
 			continue
 		}
 		c.host = h
-		status := c.status(extra + "x")
-		old := c.status(former + "x")
-		w.mu.Lock()
-		same := extra == w.extra
-		w.mu.Unlock()
-		if !same || h.blinded(now, time.Now()) {
+		status := c.fetchStatus(added + "x")
+		removedStatus := c.fetchStatus(removed + "x")
+		t.mu.Lock()
+		unchanged := added == t.addedPrefix
+		t.mu.Unlock()
+		if !unchanged || h.wasStale(now, time.Now()) {
 			continue
 		}
 		if status == http.StatusNotFound {
-			w.checks.fault("CONFIG: %s does not know %s %s after it came", h.name, extra, now.Sub(since))
+			t.results.addViolation("CONFIG: %s does not serve %s %s after it was added", h.name, added, now.Sub(changedAt))
 		}
-		if old != http.StatusNotFound && old != 0 {
-			w.checks.fault("CONFIG: %s answered %d for %s, which is gone", h.name, old, former)
+		if removedStatus != http.StatusNotFound && removedStatus != 0 {
+			t.results.addViolation("CONFIG: %s answered %d for %s, which was removed", h.name, removedStatus, removed)
 		}
 	}
 }
 
-func (w *world) storeSpans() []span {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return append([]span(nil), w.storeHit...)
+func (t *testbed) copyStoreFaults() []interval {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return append([]interval(nil), t.storeFaults...)
 }
 
-// status is the status of one request; 0 if it got no answer.
-func (c *caller) status(path string) int {
+// fetchStatus sends one request on its own connection and returns the status of
+// the answer, or 0 if there is none.
+func (c *caller) fetchStatus(path string) int {
 	conn, err := net.DialTimeout("tcp", c.host.ip+fake.CallerPort, time.Second)
 	if err != nil {
 		return 0
 	}
-	defer func() { _ = conn.Close() }() // it was used once
+	defer func() { _ = conn.Close() }() // the connection serves one request
 	c.count++
-	_ = conn.SetDeadline(time.Now().Add(2 * time.Second)) // an open connection takes it
+	_ = conn.SetDeadline(time.Now().Add(2 * time.Second)) // cannot fail on an open connection
 	id := fmt.Sprintf("%s-%d", c.name, c.count)
 	if _, err := io.WriteString(conn, fake.RequestText(hostName, path, id, time.Second)); err != nil {
 		return 0
 	}
-	got, err := hear(bufio.NewReader(conn))
+	got, err := readReply(bufio.NewReader(conn))
 	if err != nil {
 		return 0
 	}
 	return got.status
 }
 
-// Report is what a run found.
+// Report is the result of a run.
 type Report struct {
-	Seed     uint64
-	Dir      string
-	Requests int
-	Good     int
-	Faults   int
-	Broken   []string
+	Seed       uint64
+	Dir        string
+	Requests   int
+	Succeeded  int
+	Faults     int
+	Violations []string
 }
 
-// String tells it in a few lines.
+// String returns a summary line, followed by the first violations.
 func (r Report) String() string {
-	text := fmt.Sprintf("seed %d: %d requests, %d successes, %d faults", r.Seed, r.Requests, r.Good, r.Faults)
-	if len(r.Broken) == 0 {
+	text := fmt.Sprintf("seed %d: %d requests, %d successes, %d faults", r.Seed, r.Requests, r.Succeeded, r.Faults)
+	if len(r.Violations) == 0 {
 		return text + ", all promises kept"
 	}
-	return text + ", logs in " + r.Dir + "\n  " + strings.Join(r.Broken[:min(len(r.Broken), 12)], "\n  ")
+	return text + ", logs in " + r.Dir + "\n  " + strings.Join(r.Violations[:min(len(r.Violations), 12)], "\n  ")
 }
 
-// ReadSeeds reads seeds from a file, one a line; what follows on the line is
-// the cause.
+// ReadSeeds reads a file of seeds, one per line. The rest of a line is the cause of
+// the failure and is ignored.
 func ReadSeeds(file string) ([]uint64, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, errors.Wrap(err, "open seeds")
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // read only
 	var seeds []uint64
 	s := bufio.NewScanner(f)
 	for line := 1; s.Scan(); line++ {
@@ -317,7 +330,7 @@
 		}
 		seed, err := strconv.ParseUint(words[0], 10, 64)
 		if err != nil {
-			return nil, errors.Newf("%s:%d: %q is no seed", file, line, words[0])
+			return nil, errors.Newf("%s:%d: invalid seed %q", file, line, words[0])
 		}
 		seeds = append(seeds, seed)
 	}
--- a/soak/play/client.go
+++ b/soak/play/client.go
@@ -16,144 +16,149 @@
 )
 
 const (
-	hostName   = "soak.example"
-	topK       = 5
-	leastShare = 0.6
-	callerWait = 3 * time.Second
-	// late is how long after its deadline a request may still be unanswered.
-	late = 1500 * time.Millisecond
-	// attempts is how often a caller tries, as callers of the platform do.
-	attempts = 2
-	// One request in so many has a large body, and is answered with one.
-	largeOneIn = 8
-	// One request in so many is left by its caller, within leaveMost.
-	leaveOneIn = 12
-	leaveMost  = 150 * time.Millisecond
+	hostName      = "soak.example"
+	topK          = 5
+	minShare      = 0.6
+	callerTimeout = 3 * time.Second
+	// lateTolerance is the time after its deadline for which a request may remain
+	// unanswered.
+	lateTolerance = 1500 * time.Millisecond
+	// maxAttempts matches the number of attempts of the platform's callers.
+	maxAttempts = 2
+	// One in largeBodyOneIn requests has a large body and a large answer.
+	largeBodyOneIn = 8
+	// One in cancelOneIn requests is canceled within maxCancelDelay.
+	cancelOneIn    = 12
+	maxCancelDelay = 150 * time.Millisecond
 )
 
-// caller keeps a connection to one host, as long as that lasts.
+// caller sends requests to one host over a persistent connection, and to another
+// host after the connection has closed.
 type caller struct {
-	world *world
-	rand  *rand.Rand
-	host  *host
-	conn  net.Conn
-	in    *bufio.Reader
-	name  string
-	count int
+	testbed *testbed
+	rand    *rand.Rand
+	host    *host
+	conn    net.Conn
+	in      *bufio.Reader
+	name    string
+	count   int
 }
 
-// request is one attempt and what became of it.
+// request is one attempt and its result.
 type request struct {
 	id, path string
 	host     *host
 	sent     time.Time
 	ended    time.Time
-	status   int // 0: closed without an answer
+	status   int // 0: the connection closed without an answer
 	reused   bool
-	left     bool // the caller closed the connection at ended, without waiting
+	canceled bool // the caller closed the connection at ended without waiting for the answer
 }
 
-func (c *caller) run(gap time.Duration) {
+// run sends requests until the testbed stops, with random pauses of meanPause on
+// average.
+func (c *caller) run(meanPause time.Duration) {
 	for {
-		c.ask()
+		c.sendRequest()
 		select {
-		case <-c.world.stop:
-			c.drop()
+		case <-c.testbed.stop:
+			c.disconnect()
 			return
-		case <-time.After(gap/2 + time.Duration(c.rand.Int64N(int64(gap)))):
+		case <-time.After(meanPause/2 + time.Duration(c.rand.Int64N(int64(meanPause)))):
 		}
 	}
 }
 
-// ask makes a request, again elsewhere if it was refused or lost.
-func (c *caller) ask() {
+// sendRequest sends a random request, and retries it on another connection if it
+// was rejected or lost.
+func (c *caller) sendRequest() {
 	path := []string{"/all/x", "/all/y", "/one/x", "/set/x"}[c.rand.IntN(4)]
-	if c.rand.IntN(largeOneIn) == 0 {
+	if c.rand.IntN(largeBodyOneIn) == 0 {
 		path = "/one" + fake.LargePath
 	}
-	if c.rand.IntN(leaveOneIn) == 0 {
-		c.leave(path)
+	if c.rand.IntN(cancelOneIn) == 0 {
+		c.sendCanceled(path)
 		return
 	}
-	for range attempts {
-		r := c.try(path)
+	for range maxAttempts {
+		r := c.sendOnce(path)
 		if r == nil {
 			continue
 		}
-		c.world.checks.add(r)
+		c.testbed.results.addRequest(r)
 		if r.status == http.StatusOK {
 			return
 		}
-		again := strings.HasPrefix(path, "/set/") && r.status != http.StatusServiceUnavailable
-		if again {
-			return // it may have run
+		mayHaveRun := strings.HasPrefix(path, "/set/") && r.status != http.StatusServiceUnavailable
+		if mayHaveRun {
+			return // a retry could run it twice
 		}
-		c.drop()
+		c.disconnect()
 	}
 }
 
-// leave makes a request and closes the connection before its answer.
-func (c *caller) leave(path string) {
+// sendCanceled sends a request and closes the connection before the answer.
+func (c *caller) sendCanceled(path string) {
 	if c.conn == nil && !c.connect() {
 		return
 	}
-	r := c.next(path)
-	if _, err := io.WriteString(c.conn, fake.RequestText(hostName, path, r.id, callerWait)); err != nil {
-		c.drop()
-		return // the host was gone
+	r := c.newRequest(path)
+	if _, err := io.WriteString(c.conn, fake.RequestText(hostName, path, r.id, callerTimeout)); err != nil {
+		c.disconnect()
+		return // the host closed the connection
 	}
-	time.Sleep(time.Duration(c.rand.Int64N(int64(leaveMost))))
-	c.drop()
-	r.ended, r.left = time.Now(), true
-	c.world.checks.add(r)
+	time.Sleep(time.Duration(c.rand.Int64N(int64(maxCancelDelay))))
+	c.disconnect()
+	r.ended, r.canceled = time.Now(), true
+	c.testbed.results.addRequest(r)
 }
 
-// next is the next attempt.
-func (c *caller) next(path string) *request {
+// newRequest returns the next request, with a unique ID.
+func (c *caller) newRequest(path string) *request {
 	c.count++
 	return &request{id: fmt.Sprintf("%s-%d", c.name, c.count), path: path, host: c.host, sent: time.Now()}
 }
 
-func (c *caller) drop() {
+func (c *caller) disconnect() {
 	if c.conn != nil {
-		_ = c.conn.Close() // its end is told by the next read
+		_ = c.conn.Close() // the connection is not used again
 		c.conn = nil
 	}
 }
 
-// try makes one attempt; nil if no host could be connected to.
-func (c *caller) try(path string) *request {
+// sendOnce makes one attempt. It returns nil if it could not connect.
+func (c *caller) sendOnce(path string) *request {
 	reused := c.conn != nil
 	if !reused && !c.connect() {
 		return nil
 	}
-	r := c.next(path)
+	r := c.newRequest(path)
 	r.reused = reused
-	_ = c.conn.SetDeadline(r.sent.Add(callerWait + late)) // an open connection takes it
-	_, err := io.WriteString(c.conn, fake.RequestText(hostName, path, r.id, callerWait))
+	_ = c.conn.SetDeadline(r.sent.Add(callerTimeout + lateTolerance)) // cannot fail on an open connection
+	_, err := io.WriteString(c.conn, fake.RequestText(hostName, path, r.id, callerTimeout))
 	var got reply
 	if err == nil {
-		got, err = hear(c.in)
+		got, err = readReply(c.in)
 	}
 	r.ended = time.Now()
 	if err != nil {
-		c.drop()
+		c.disconnect()
 		return r
 	}
 	r.status = got.status
 	if r.status == http.StatusOK {
-		c.world.checks.answer(r, got)
+		c.testbed.results.checkReply(r, got)
 	}
 	if c.in.Buffered() > 0 {
-		c.world.checks.fault("MIXED: bytes after the answer to %s", r.id)
+		c.testbed.results.addViolation("MIXED: bytes after the answer to %s", r.id)
 	}
 	if got.closes {
-		c.drop()
+		c.disconnect()
 	}
 	return r
 }
 
-// reply is a whole answer.
+// reply is an answer that was read to its end.
 type reply struct {
 	status int
 	header http.Header
@@ -161,21 +166,22 @@
 	closes bool
 }
 
-func hear(in *bufio.Reader) (reply, error) {
+func readReply(in *bufio.Reader) (reply, error) {
 	res, err := http.ReadResponse(in, nil)
 	if err != nil {
 		return reply{}, err
 	}
-	defer func() { _ = res.Body.Close() }() // it was read to its end
+	defer func() { _ = res.Body.Close() }() // the body was read to its end
 	body, err := io.ReadAll(res.Body)
 	return reply{res.StatusCode, res.Header, body, res.Close}, err
 }
 
-// connect opens a connection to a host in rotation, as the balancer would.
+// connect opens a connection to a random host in rotation, as the load balancer
+// would, or to any host if none is in rotation.
 func (c *caller) connect() bool {
-	hosts := c.world.rotation()
+	hosts := c.testbed.readyHosts()
 	if len(hosts) == 0 {
-		hosts = c.world.hosts
+		hosts = c.testbed.hosts
 	}
 	h := hosts[c.rand.IntN(len(hosts))]
 	conn, err := net.DialTimeout("tcp", h.ip+fake.CallerPort, time.Second)
@@ -187,10 +193,10 @@
 	return true
 }
 
-// rotation is the hosts that were ready when last asked.
-func (w *world) rotation() []*host {
+// readyHosts returns the hosts that are in rotation.
+func (t *testbed) readyHosts() []*host {
 	var list []*host
-	for _, h := range w.hosts {
+	for _, h := range t.hosts {
 		h.mu.Lock()
 		if h.ready {
 			list = append(list, h)
@@ -200,8 +206,9 @@
 	return list
 }
 
-// balance asks a host for its readiness; two misses take it out of rotation.
-func (w *world) balance(h *host) {
+// pollReadiness polls the readiness of a host. Two failed polls in a row take it out of
+// rotation.
+func (t *testbed) pollReadiness(h *host) {
 	client := &http.Client{Timeout: 300 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 	misses := 0
 	for {
@@ -218,40 +225,41 @@
 		h.ready = misses < 2 && (h.ready || misses == 0)
 		h.mu.Unlock()
 		select {
-		case <-w.stop:
+		case <-t.stop:
 			return
 		case <-time.After(500 * time.Millisecond):
 		}
 	}
 }
 
-// answer checks a success: all stamps are good answers to this request, the
-// parts make up the set, and the body is theirs.
-func (c *checks) answer(r *request, got reply) {
-	stamped := fake.ReadStamps(got.header)
+// checkReply checks a successful answer: all stamps are valid for this request, the
+// parts and the missing shards add up to all shards, and the body is made of
+// the parts.
+func (rs *results) checkReply(r *request, got reply) {
+	stamps := fake.ReadStamps(got.header)
 	if !strings.HasPrefix(r.path, "/all/") {
-		if service, ok := fake.VerifyStamp(stamped.Stamp, r.id); !ok || service != "one" {
-			c.fault("MIXED: %s got stamp %q", r.id, stamped.Stamp)
+		if service, ok := fake.VerifyStamp(stamps.Stamp, r.id); !ok || service != "one" {
+			rs.addViolation("MIXED: %s got stamp %q", r.id, stamps.Stamp)
 		}
 		if !bytes.Equal(got.body, fake.AnswerBody("one", r.path, r.id)) {
-			c.fault("MIXED: %s got another body", r.id)
+			rs.addViolation("MIXED: %s got another body", r.id)
 		}
 		return
 	}
 	seen := map[string]bool{}
 	var lists [][]byte
-	for _, stamp := range stamped.Parts {
+	for _, stamp := range stamps.Parts {
 		service, ok := fake.VerifyStamp(stamp, r.id)
 		if !ok || seen[service] {
-			c.fault("MIXED: %s got part %q", r.id, stamp)
+			rs.addViolation("MIXED: %s got part %q", r.id, stamp)
 		}
 		seen[service] = true
 		lists = append(lists, fake.SmallBody(service, r.id))
 	}
-	if len(seen)+stamped.Missing != shards || float64(len(seen)) < leastShare*shards {
-		c.fault("MIXED: %s got %d parts, %d missing", r.id, len(seen), stamped.Missing)
+	if len(seen)+stamps.Missing != shardCount || float64(len(seen)) < minShare*shardCount {
+		rs.addViolation("MIXED: %s got %d parts, %d missing", r.id, len(seen), stamps.Missing)
 	}
 	if !bytes.Equal(got.body, topk.Merge(topK, lists)) {
-		c.fault("MIXED: %s got a body that is not its parts' greatest records", r.id)
+		rs.addViolation("MIXED: %s got a body that is not its parts' greatest records", r.id)
 	}
 }
--- a/soak/play/fault.go
+++ b/soak/play/fault.go
@@ -13,346 +13,355 @@
 )
 
 const (
-	// warmUp is how long the processes run before the first fault, and heal
-	// how long after the last one all must be well; calm is how long that is
-	// watched.
-	warmUp = 4 * time.Second
-	heal   = 7 * time.Second
-	calm   = 4 * time.Second
-	// meanGap is the mean pause between two faults: several overlap. Every
-	// other seed is calmer, since hosts are held to bounds only while faults
-	// leave them alone for a while.
-	meanGap  = 400 * time.Millisecond
-	calmGaps = 4
-	longest  = 4 * time.Second
+	// warmUpTime is how long the processes run before the first fault. The system
+	// must have recovered recoveryTime after the last fault, and is then observed for
+	// recoveryWatchTime.
+	warmUpTime        = 4 * time.Second
+	recoveryTime      = 7 * time.Second
+	recoveryWatchTime = 4 * time.Second
+	// meanFaultPause is the mean pause between two faults; it is short enough that
+	// several faults overlap. Even seeds multiply it by calmPauseFactor, since bounds
+	// apply only to hosts that had no fault for a while.
+	meanFaultPause  = 400 * time.Millisecond
+	calmPauseFactor = 4
+	maxFaultTime    = 4 * time.Second
 )
 
-// Run plays one seed.
+// Run runs one seed.
 func Run(s Settings) (Report, error) {
-	w := &world{Settings: s}
-	defer w.close()
-	if err := w.start(); err != nil {
+	t := &testbed{Settings: s}
+	defer t.close()
+	if err := t.start(); err != nil {
 		return Report{}, err
 	}
-	for _, h := range w.hosts {
-		w.wait.Go(func() { w.balance(h) })
-		w.wait.Go(func() { w.probe(h) })
+	for _, h := range t.hosts {
+		t.wait.Go(func() { t.pollReadiness(h) })
+		t.wait.Go(func() { t.probe(h) })
 	}
-	callers := max(4, w.Rate/4)
+	callers := max(4, t.Rate/4)
 	for i := range callers {
-		c := &caller{world: w, rand: rand.New(rand.NewPCG(w.Seed, uint64(100+i))), name: "c" + string(rune('a'+i%26)) + string(rune('a'+i/26))}
-		w.wait.Go(func() {
-			time.Sleep(warmUp / 2)
-			c.run(time.Second * time.Duration(callers) / time.Duration(w.Rate))
+		c := &caller{testbed: t, rand: rand.New(rand.NewPCG(t.Seed, uint64(100+i))), name: "c" + string(rune('a'+i%26)) + string(rune('a'+i/26))}
+		t.wait.Go(func() {
+			time.Sleep(warmUpTime / 2)
+			c.run(time.Second * time.Duration(callers) / time.Duration(t.Rate))
 		})
 	}
-	time.Sleep(time.Until(w.begin.Add(warmUp)))
-	if w.Seed%3 == 0 {
-		w.wait.Go(w.harm)
+	time.Sleep(time.Until(t.startedAt.Add(warmUpTime)))
+	if t.Seed%3 == 0 {
+		t.wait.Go(t.sendHarmful)
 	}
-	faults := w.trouble()
-	time.Sleep(heal + calm)
-	close(w.stop)
-	time.Sleep(callerWait / 2)
-	w.evaluate()
-	return w.report(faults), nil
+	faults := t.injectFaults()
+	time.Sleep(recoveryTime + recoveryWatchTime)
+	close(t.stop)
+	time.Sleep(callerTimeout / 2)
+	t.checkRun()
+	return t.report(faults), nil
 }
 
-func (w *world) report(faults int) Report {
-	r := Report{Seed: w.Seed, Dir: w.dir, Requests: len(w.checks.requests), Faults: faults, Broken: w.checks.broken}
-	for _, q := range w.checks.requests {
+// report returns the result of the run, and removes its directory if no guarantee
+// was violated.
+func (t *testbed) report(faults int) Report {
+	r := Report{Seed: t.Seed, Dir: t.dir, Requests: len(t.results.requests), Faults: faults, Violations: t.results.violations}
+	for _, q := range t.results.requests {
 		if q.status == 200 {
-			r.Good++
+			r.Succeeded++
 		}
 	}
-	if len(r.Broken) == 0 {
-		_ = os.RemoveAll(w.dir) // what stays is only in the way
+	if len(r.Violations) == 0 {
+		_ = os.RemoveAll(t.dir) // best effort: leftover files do no harm
 	}
 	return r
 }
 
-// trouble makes faults until the time is over; each heals by itself.
-func (w *world) trouble() int {
-	end := w.begin.Add(warmUp + w.For)
-	gap := float64(meanGap)
-	if w.Seed%2 == 0 {
-		gap *= calmGaps
+// injectFaults starts random faults until the time is over and returns their
+// number. Each fault ends by itself.
+func (t *testbed) injectFaults() int {
+	end := t.startedAt.Add(warmUpTime + t.FaultTime)
+	meanPause := float64(meanFaultPause)
+	if t.Seed%2 == 0 {
+		meanPause *= calmPauseFactor
 	}
 	n := 0
 	for time.Now().Before(end) {
-		span := 300*time.Millisecond + time.Duration(w.rand.Int64N(int64(longest)))
-		span = min(span, time.Until(end)+time.Second)
-		kind, pick := w.rand.IntN(len(kinds)), w.rand.Uint64()
-		w.wait.Go(func() { kinds[kind](w, pick, span) })
+		duration := 300*time.Millisecond + time.Duration(t.rand.Int64N(int64(maxFaultTime)))
+		duration = min(duration, time.Until(end)+time.Second)
+		kind, draw := t.rand.IntN(len(faultKinds)), t.rand.Uint64()
+		t.wait.Go(func() { faultKinds[kind](t, draw, duration) })
 		n++
-		time.Sleep(time.Duration(w.rand.ExpFloat64() * gap))
+		time.Sleep(time.Duration(t.rand.ExpFloat64() * meanPause))
 	}
 	return n
 }
 
-// kinds are the faults; pick chooses what they meet.
-var kinds = []func(w *world, pick uint64, span time.Duration){
-	(*world).kill, (*world).term, (*world).term, (*world).pause, (*world).hup,
-	(*world).storeMode, (*world).forget, (*world).cutStore, (*world).cutStore,
-	(*world).leafMode, (*world).leafMode, (*world).leafMode, (*world).cutLeafs, (*world).cutLeafs,
-	(*world).crashLeaf, (*world).drainLeaf, (*world).drainLeaf, (*world).slowSome, (*world).slowSome,
-	(*world).change, (*world).change, (*world).stall, (*world).stall,
+// faultKinds are the kinds of faults; draw is a random number that chooses the
+// target.
+var faultKinds = []func(t *testbed, draw uint64, duration time.Duration){
+	(*testbed).kill, (*testbed).term, (*testbed).term, (*testbed).pause, (*testbed).hup,
+	(*testbed).failStore, (*testbed).compactStore, (*testbed).impairStoreLink, (*testbed).impairStoreLink,
+	(*testbed).degradeLeaves, (*testbed).degradeLeaves, (*testbed).degradeLeaves, (*testbed).impairLeafLinks, (*testbed).impairLeafLinks,
+	(*testbed).crashLeaf, (*testbed).drainLeaf, (*testbed).drainLeaf, (*testbed).slowLeafPerService, (*testbed).slowLeafPerService,
+	(*testbed).changeConfig, (*testbed).changeConfig, (*testbed).stallLeaves, (*testbed).stallLeaves,
 }
 
-func (w *world) pickHost(pick uint64) *host { return w.hosts[pick%uint64(len(w.hosts))] }
+func (t *testbed) chooseHost(draw uint64) *host { return t.hosts[draw%uint64(len(t.hosts))] }
 
-func (w *world) pickLeaf(pick uint64) *leaf {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for i := range w.leafs {
-		l := w.leafs[(pick+uint64(i))%uint64(len(w.leafs))]
-		if !l.gone && l.drained.IsZero() {
+// chooseLeaf returns a leaf that is neither closed nor draining, if there is one.
+func (t *testbed) chooseLeaf(draw uint64) *leaf {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for i := range t.leaves {
+		l := t.leaves[(draw+uint64(i))%uint64(len(t.leaves))]
+		if !l.closed && l.drained.IsZero() {
 			return l
 		}
 	}
-	return w.leafs[0]
+	return t.leaves[0]
 }
 
-func (w *world) kill(pick uint64, span time.Duration) {
-	h := w.pickHost(pick)
+// kill ends a host's process with SIGKILL and starts it again.
+func (t *testbed) kill(draw uint64, duration time.Duration) {
+	h := t.chooseHost(draw)
 	if !h.claim() {
 		return
 	}
 	now := time.Now()
-	h.hit(now, now.Add(span+time.Second))
-	h.blind(now, now.Add(span+time.Second))
+	h.addFault(now, now.Add(duration+time.Second))
+	h.addStale(now, now.Add(duration+time.Second))
 	<-h.signal(syscall.SIGKILL, true)
-	time.Sleep(span / 2)
-	w.again(h)
+	time.Sleep(duration / 2)
+	t.restart(h)
 }
 
-// again starts a host's process once more.
-func (w *world) again(h *host) {
-	if err := w.run(h); err != nil {
-		w.checks.fault("START: %s: %v", h.name, err)
+// restart starts a host's process again and releases the host.
+func (t *testbed) restart(h *host) {
+	if err := t.startProcess(h); err != nil {
+		t.results.addViolation("START: %s: %v", h.name, err)
 	}
 	h.release()
 }
 
-// claim takes a host for a fault that ends its process; one at a time.
+// claim reserves a host for a fault that ends its process, and reports whether it
+// succeeded. Only one such fault runs at a time.
 func (h *host) claim() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.wanted {
+	if !h.shouldRun {
 		return false
 	}
-	h.wanted = false
+	h.shouldRun = false
 	return true
 }
 
 func (h *host) release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.wanted = true
+	h.shouldRun = true
 }
 
-// term stops a host in order and starts it again.
-func (w *world) term(pick uint64, span time.Duration) {
-	h := w.pickHost(pick)
+// term shuts a host down gracefully with SIGTERM and starts it again.
+func (t *testbed) term(draw uint64, duration time.Duration) {
+	h := t.chooseHost(draw)
 	if !h.claim() {
 		return
 	}
 	h.mu.Lock()
-	h.terms = append(h.terms, span2(time.Now()))
-	at := len(h.terms) - 1
+	h.terminations = append(h.terminations, openInterval(time.Now()))
+	index := len(h.terminations) - 1
 	cmd := h.cmd
 	h.mu.Unlock()
 	ended := h.signal(syscall.SIGTERM, true)
 	select {
 	case <-ended:
 		if code := cmd.ProcessState.ExitCode(); code != 0 {
-			w.checks.fault("EXIT: %s ended with %d after SIGTERM", h.name, code)
+			t.results.addViolation("EXIT: %s exited with status %d after SIGTERM", h.name, code)
 		}
-	case <-time.After(grace):
-		if !h.touched0() {
-			w.checks.fault("EXIT: %s was still there %s after SIGTERM", h.name, grace)
+	case <-time.After(shutdownTimeout):
+		if !h.hadRecentFault() {
+			t.results.addViolation("EXIT: %s was still running %s after SIGTERM", h.name, shutdownTimeout)
 		}
 		now := time.Now()
-		h.hit(now, now.Add(time.Second))
+		h.addFault(now, now.Add(time.Second))
 		<-h.signal(syscall.SIGKILL, true)
 	}
 	h.mu.Lock()
-	h.terms[at].to = time.Now()
+	h.terminations[index].to = time.Now()
 	h.mu.Unlock()
-	time.Sleep(span / 4)
-	w.again(h)
+	time.Sleep(duration / 4)
+	t.restart(h)
 }
 
-func span2(from time.Time) span { return span{from: from} }
+func openInterval(from time.Time) interval { return interval{from: from} }
 
-// touched0 tells whether another fault met the host within the last grace.
-func (h *host) touched0() bool {
+// hadRecentFault reports whether another fault affected the host within the last
+// shutdownTimeout.
+func (h *host) hadRecentFault() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	return overlaps(h.hits, now.Add(-grace), now)
+	return overlaps(h.faults, now.Add(-shutdownTimeout), now)
 }
 
-// pause stops a process for a while; it wakes up with old beliefs.
-func (w *world) pause(pick uint64, span time.Duration) {
-	h := w.pickHost(pick)
+// pause stops a process for a while. It resumes with outdated state.
+func (t *testbed) pause(draw uint64, duration time.Duration) {
+	h := t.chooseHost(draw)
 	now := time.Now()
-	h.hit(now, now.Add(span))
-	h.blind(now, now.Add(span))
+	h.addFault(now, now.Add(duration))
+	h.addStale(now, now.Add(duration))
 	h.signal(syscall.SIGSTOP, false)
-	time.Sleep(span)
+	time.Sleep(duration)
 	h.signal(syscall.SIGCONT, false)
 }
 
-func (w *world) hup(pick uint64, _ time.Duration) { w.pickHost(pick).signal(syscall.SIGHUP, false) }
+func (t *testbed) hup(draw uint64, _ time.Duration) { t.chooseHost(draw).signal(syscall.SIGHUP, false) }
 
-func (w *world) hitStore(span2 time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (t *testbed) addStoreFault(duration time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	now := time.Now()
-	w.storeHit = append(w.storeHit, span{now, now.Add(span2)})
+	t.storeFaults = append(t.storeFaults, interval{now, now.Add(duration)})
 }
 
-func (w *world) storeMode(pick uint64, span time.Duration) {
-	w.hitStore(span)
-	w.store.SetMode([]fake.StoreMode{fake.StoreUnavailable, fake.StoreSilent, fake.StoreSlow}[pick%3])
-	time.Sleep(span)
-	w.store.SetMode(fake.StoreHealthy)
+func (t *testbed) failStore(draw uint64, duration time.Duration) {
+	t.addStoreFault(duration)
+	t.store.SetMode([]fake.StoreMode{fake.StoreUnavailable, fake.StoreSilent, fake.StoreSlow}[draw%3])
+	time.Sleep(duration)
+	t.store.SetMode(fake.StoreHealthy)
 }
 
-func (w *world) forget(uint64, time.Duration) {
-	w.hitStore(0)
-	w.store.Compact()
+func (t *testbed) compactStore(uint64, time.Duration) {
+	t.addStoreFault(0)
+	t.store.Compact()
 }
 
-// states are the ways in which a relay treats a host.
-var states = []relay.State{relay.Cut, relay.Silent, relay.OneWay, relay.Slow}
+// relayFaults are the faults that a relay can apply to the connections of a host.
+var relayFaults = []relay.State{relay.Cut, relay.Silent, relay.OneWay, relay.Slow}
 
-func (w *world) cutStore(pick uint64, span time.Duration) {
-	h := w.pickHost(pick)
+func (t *testbed) impairStoreLink(draw uint64, duration time.Duration) {
+	h := t.chooseHost(draw)
 	now := time.Now()
-	h.hit(now, now.Add(span))
-	h.blind(now, now.Add(span))
-	w.relay.Set(h.ip, states[pick>>8%4])
-	time.Sleep(span)
-	w.relay.Set(h.ip, relay.Open)
+	h.addFault(now, now.Add(duration))
+	h.addStale(now, now.Add(duration))
+	t.relay.Set(h.ip, relayFaults[draw>>8%4])
+	time.Sleep(duration)
+	t.relay.Set(h.ip, relay.Open)
 }
 
-// cutLeafs troubles the way from one host to a third of the leafs.
-func (w *world) cutLeafs(pick uint64, span time.Duration) {
-	h := w.pickHost(pick)
+// impairLeafLinks impairs the connections from one host to a third of the leaves.
+func (t *testbed) impairLeafLinks(draw uint64, duration time.Duration) {
+	h := t.chooseHost(draw)
 	now := time.Now()
-	h.hit(now, now.Add(span))
-	w.mu.Lock()
-	leafs := append([]*leaf(nil), w.leafs...)
-	w.mu.Unlock()
-	for i, l := range leafs {
-		if (uint64(i)+pick)%3 == 0 {
-			l.relay.Set(h.ip, states[pick>>8%4])
+	h.addFault(now, now.Add(duration))
+	t.mu.Lock()
+	leaves := append([]*leaf(nil), t.leaves...)
+	t.mu.Unlock()
+	for i, l := range leaves {
+		if (uint64(i)+draw)%3 == 0 {
+			l.relay.Set(h.ip, relayFaults[draw>>8%4])
 			defer l.relay.Set(h.ip, relay.Open)
 		}
 	}
-	time.Sleep(span)
+	time.Sleep(duration)
 }
 
-// leafModes are how leafs misbehave; lost answers are the hardest to tell from
-// work that was not done, and come more often.
+// leafModes are the faults of leaves. Lost answers are more frequent than the
+// others, as hosts can hardly distinguish them from requests that did not run.
 var leafModes = []fake.LeafMode{
 	{Frozen: true}, {ServiceTime: 250 * time.Millisecond}, {ShedShare: 0.5}, {LossShare: 0.3}, {LossShare: 0.5}, {LossShare: 0.2, ServiceTime: 60 * time.Millisecond},
 }
 
-// leafMode has a leaf misbehave, or all leafs of its service or of the single
-// one.
-func (w *world) leafMode(pick uint64, span time.Duration) {
-	met := []*leaf{w.pickLeaf(pick)}
-	switch pick >> 16 % 3 {
+// degradeLeaves applies a fault to one leaf, to all leaves of its service, or to
+// all leaves of the service "one".
+func (t *testbed) degradeLeaves(draw uint64, duration time.Duration) {
+	affected := []*leaf{t.chooseLeaf(draw)}
+	switch draw >> 16 % 3 {
 	case 0:
-		met = w.leafsOf("one")
+		affected = t.leavesOf("one")
 	case 1:
-		met = w.leafsOf(met[0].Service)
+		affected = t.leavesOf(affected[0].Service)
 	}
-	w.mode(met, leafModes[pick>>8%uint64(len(leafModes))], span)
+	t.setLeafMode(affected, leafModes[draw>>8%uint64(len(leafModes))], duration)
 }
 
-// slowSome makes one leaf of each service slow at once: hosts want a second call
-// for a part of every query, and the budget has to hold them back.
-func (w *world) slowSome(_ uint64, span time.Duration) {
-	w.mu.Lock()
-	met := map[string]*leaf{}
-	for _, l := range w.leafs {
-		if !l.gone {
-			met[l.Service] = l
+// slowLeafPerService slows down one leaf of each service at once. Hosts then want
+// to retry or hedge a part of every query, and the budget has to limit them.
+func (t *testbed) slowLeafPerService(_ uint64, duration time.Duration) {
+	t.mu.Lock()
+	affected := map[string]*leaf{}
+	for _, l := range t.leaves {
+		if !l.closed {
+			affected[l.Service] = l
 		}
 	}
-	w.mu.Unlock()
-	w.mode(slices.Collect(maps.Values(met)), fake.LeafMode{ServiceTime: 250 * time.Millisecond}, span)
+	t.mu.Unlock()
+	t.setLeafMode(slices.Collect(maps.Values(affected)), fake.LeafMode{ServiceTime: 250 * time.Millisecond}, duration)
 }
 
-// stall makes every second request at every leaf of the shards slow, until the
-// faults end or for longest twice over: second calls are wanted for half of all
-// calls, at whatever leaf, and only the budget holds them back.
-func (w *world) stall(uint64, time.Duration) {
-	w.mu.Lock()
-	leafs := append([]*leaf(nil), w.leafs...)
-	w.mu.Unlock()
-	w.mode(leafs, fake.LeafMode{StallShare: 0.5}, min(2*longest, time.Until(w.begin.Add(warmUp+w.For))))
+// stallLeaves slows down half of the requests at every leaf, until the fault phase
+// ends or for at most twice maxFaultTime. Hosts then want to hedge half of all
+// calls, on whichever leaf, and only the budget limits them.
+func (t *testbed) stallLeaves(uint64, time.Duration) {
+	t.mu.Lock()
+	leaves := append([]*leaf(nil), t.leaves...)
+	t.mu.Unlock()
+	t.setLeafMode(leaves, fake.LeafMode{StallShare: 0.5}, min(2*maxFaultTime, time.Until(t.startedAt.Add(warmUpTime+t.FaultTime))))
 }
 
-// mode has leafs misbehave for a while.
-func (w *world) mode(met []*leaf, m fake.LeafMode, span1 time.Duration) {
+// setLeafMode applies a fault to leaves for a while.
+func (t *testbed) setLeafMode(affected []*leaf, mode fake.LeafMode, duration time.Duration) {
 	now := time.Now()
-	w.mu.Lock()
-	w.stalls = append(w.stalls, span{now, now.Add(span1)})
-	w.mu.Unlock()
-	for _, l := range met {
-		l.SetMode(m)
+	t.mu.Lock()
+	t.leafFaults = append(t.leafFaults, interval{now, now.Add(duration)})
+	t.mu.Unlock()
+	for _, l := range affected {
+		l.SetMode(mode)
 	}
-	time.Sleep(span1)
-	for _, l := range met {
+	time.Sleep(duration)
+	for _, l := range affected {
 		l.SetMode(fake.LeafMode{})
 	}
 }
 
-func (w *world) leafsOf(service string) []*leaf {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (t *testbed) leavesOf(service string) []*leaf {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var list []*leaf
-	for _, l := range w.leafs {
-		if l.Service == service && !l.gone {
+	for _, l := range t.leaves {
+		if l.Service == service && !l.closed {
 			list = append(list, l)
 		}
 	}
 	return list
 }
 
-// crashLeaf ends a leaf without a word; another takes its place.
-func (w *world) crashLeaf(pick uint64, span time.Duration) {
-	l := w.pickLeaf(pick)
-	w.mu.Lock()
-	l.gone = true
-	w.mu.Unlock()
-	w.end(l)
-	time.Sleep(span)
-	w.store.Delete(fake.KeyLeaf(l.ID))
-	w.replace(l)
+// crashLeaf closes a leaf without a drain, and later starts a replacement.
+func (t *testbed) crashLeaf(draw uint64, duration time.Duration) {
+	l := t.chooseLeaf(draw)
+	t.mu.Lock()
+	l.closed = true
+	t.mu.Unlock()
+	t.closeLeaf(l)
+	time.Sleep(duration)
+	t.store.Delete(fake.KeyLeaf(l.ID))
+	t.startReplacement(l)
 }
 
-func (w *world) replace(l *leaf) {
-	if err := w.addLeaf(l.Service, l.Domain); err != nil {
-		w.checks.fault("START: a leaf: %v", err)
+// startReplacement starts a leaf with the service and failure domain of another.
+func (t *testbed) startReplacement(l *leaf) {
+	if err := t.addLeaf(l.Service, l.Domain); err != nil {
+		t.results.addViolation("START: replacement leaf: %v", err)
 	}
 }
 
-// drainLeaf takes a leaf out in order, after another has taken its place.
-func (w *world) drainLeaf(pick uint64, _ time.Duration) {
-	l := w.pickLeaf(pick)
-	w.replace(l)
-	w.mu.Lock()
+// drainLeaf starts a replacement of a leaf, then drains and unregisters the leaf.
+func (t *testbed) drainLeaf(draw uint64, _ time.Duration) {
+	l := t.chooseLeaf(draw)
+	t.startReplacement(l)
+	t.mu.Lock()
 	l.drained = time.Now()
-	w.mu.Unlock()
-	w.store.Put(fake.KeyLeaf(l.ID), l.Entry(l.public, "draining"))
-	time.Sleep(bound + 2*time.Second)
-	w.store.Delete(fake.KeyLeaf(l.ID))
+	t.mu.Unlock()
+	t.store.Put(fake.KeyLeaf(l.ID), l.Entry(l.public, "draining"))
+	time.Sleep(applyBound + 2*time.Second)
+	t.store.Delete(fake.KeyLeaf(l.ID))
 }
 
-func (w *world) change(uint64, time.Duration) { w.publish() }
+func (t *testbed) changeConfig(uint64, time.Duration) { t.publishConfig() }
