--- a/share/mirror/peer.go
+++ b/share/mirror/peer.go
@@ -99,11 +99,11 @@
 	var packed bytes.Buffer
 	z, err := flate.NewWriter(&packed, flate.BestSpeed)
 	if err != nil {
-		return nil, errors.Wrap(err, "compress page")
+		return nil, errors.Wrap(err, "pack page")
 	}
 	if _, err := z.Write(body); err != nil {
-		return nil, errors.Wrap(err, "compress page")
+		return nil, errors.Wrap(err, "pack page")
 	}
 	err = z.Close()
-	return packed.Bytes(), errors.Wrap(err, "compress page")
+	return packed.Bytes(), errors.Wrap(err, "pack page")
 }
--- a/share/mirror/serve.go
+++ b/share/mirror/serve.go
@@ -16,12 +16,12 @@
 func (m *Mirror) Serve(c clock.Clock, stop <-chan struct{}, w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.Header.Get(headerAfter), 10, 64)
 	if err != nil {
-		http.Error(w, "invalid or missing header "+headerAfter, http.StatusBadRequest)
+		http.Error(w, "no proper "+headerAfter, http.StatusBadRequest)
 		return
 	}
 	wait, err := strconv.ParseInt(r.Header.Get(headerWait), 10, 64)
 	if err != nil || wait < 0 {
-		http.Error(w, "invalid or missing header "+headerWait, http.StatusBadRequest)
+		http.Error(w, "no proper "+headerWait, http.StatusBadRequest)
 		return
 	}
 	page, changed, ok := m.Since(c.Now(), after)
@@ -36,7 +36,7 @@
 		page, _, ok = m.Since(c.Now(), after)
 	}
 	if !ok {
-		http.Error(w, "mirror has no data yet", http.StatusServiceUnavailable)
+		http.Error(w, "nothing is known here", http.StatusServiceUnavailable)
 		return
 	}
 	body, err := m.encoded(after, page)
--- a/share/proxy/callers.go
+++ b/share/proxy/callers.go
@@ -77,12 +77,12 @@
 	}
 	target, err := strconv.ParseInt(r.Header.Get(httpc.HeaderForwardTarget), 10, 64)
 	if err != nil {
-		s.writeText(w, http.StatusBadRequest, "missing or invalid "+httpc.HeaderForwardTarget)
+		s.writeText(w, http.StatusBadRequest, "no proper "+httpc.HeaderForwardTarget)
 		return
 	}
 	version, err := strconv.ParseUint(r.Header.Get(httpc.HeaderForwardVersion), 10, 64)
 	if err != nil {
-		s.writeText(w, http.StatusBadRequest, "missing or invalid "+httpc.HeaderForwardVersion)
+		s.writeText(w, http.StatusBadRequest, "no proper "+httpc.HeaderForwardVersion)
 		return
 	}
 	shards := strings.Split(r.Header.Get(httpc.HeaderForwardShards), ",")
@@ -106,11 +106,11 @@
 	if err != nil {
 		// The caller has closed the connection, or the body is malformed.
 		s.Log.Warn().Err(err).Str("remote", r.RemoteAddr).Msg("request-unreadable")
-		s.writeText(w, http.StatusBadRequest, "cannot read the request body")
+		s.writeText(w, http.StatusBadRequest, "the body cannot be read")
 		return
 	}
 	if limit := s.server.BodyLimit(); !a.Forwarded && len(body) > limit {
-		s.writeText(w, http.StatusRequestEntityTooLarge, "the request body exceeds "+strconv.Itoa(limit)+" bytes")
+		s.writeText(w, http.StatusRequestEntityTooLarge, "the body is over "+strconv.Itoa(limit)+" bytes")
 		return
 	}
 	request := s.leafRequest(r, body)
@@ -225,7 +225,7 @@
 func (s *Server) writeReply(w http.ResponseWriter, reply *call.Reply) {
 	if http.StatusText(reply.Status) == "" {
 		// nbhttp cannot write a status without a text and would send 200 instead.
-		s.writeText(w, http.StatusBadGateway, "the leaf replied with an unknown status")
+		s.writeText(w, http.StatusBadGateway, "the leaf answered with an unknown status")
 		return
 	}
 	h := w.Header()
@@ -269,7 +269,7 @@
 	case router.Late:
 		s.writeText(w, http.StatusGatewayTimeout, "no answer in time")
 	default:
-		s.writeText(w, http.StatusBadGateway, "no valid reply from the leaves")
+		s.writeText(w, http.StatusBadGateway, "no proper answer from the leafs")
 	}
 }
 
--- a/share/route/check.go
+++ b/share/route/check.go
@@ -95,7 +95,7 @@
 	}
 	switch {
 	case r.Sharded() && len(r.Services) > 0:
-		c.fault(FieldRoute, "both services and shards are set")
+		c.fault(FieldRoute, "it names both a service and shards")
 	case r.Sharded():
 		c.merged(r)
 	default:
--- a/share/topo/parse.go
+++ b/share/topo/parse.go
@@ -207,7 +207,7 @@
 func (b *builder) define(src conf.Source, kind, name, key string) {
 	id := entity{kind, name}
 	if first, ok := b.seen[id]; ok {
-		b.fault(src, key, fmt.Sprintf("%s %s is defined twice", kind, name),
+		b.fault(src, key, fmt.Sprintf("%s %s is given twice", kind, name),
 			fmt.Sprintf("first at %s:%d", first.src.File, first.src.Line(first.key)))
 		return
 	}
@@ -239,7 +239,7 @@
 		}
 		for j, l := range s.Layouts {
 			if _, twice := service.Layout(l.ID); twice {
-				b.fault(src, fmt.Sprintf("%s.layouts[%d].id", key, j), fmt.Sprintf("layout %d is defined twice", l.ID), "")
+				b.fault(src, fmt.Sprintf("%s.layouts[%d].id", key, j), fmt.Sprintf("layout %d is given twice", l.ID), "")
 			}
 			service.Layouts = append(service.Layouts, Layout(l))
 		}
@@ -290,7 +290,7 @@
 			case !ok:
 				b.fault(src, at+".layout", fmt.Sprintf("service %s has no layout %d", s.Service, h.Layout), "")
 			case h.Shard >= layout.Shards:
-				b.fault(src, at+".shard", fmt.Sprintf("shard %d is outside layout %d, which has %d shards", h.Shard, h.Layout, layout.Shards), "shards are numbered from 0")
+				b.fault(src, at+".shard", fmt.Sprintf("shard %d is outside layout %d, which has %d shards", h.Shard, h.Layout, layout.Shards), "shards count from 0")
 			}
 		}
 	}
@@ -308,7 +308,7 @@
 		b.define(src, "carry rule for", c.Server, key+".server")
 		b.reference(src, key+".server", "server", c.Server)
 		if c.Slots == 0 && !c.Out {
-			b.fault(src, key, "neither slots nor out is set", "to take the server out of service, set out: true")
+			b.fault(src, key, "neither slots nor out is given", "slots: 0 would carry nothing; say out: true")
 		}
 	}
 	for i, n := range f.Never {
--- a/share/topo/routes.go
+++ b/share/topo/routes.go
@@ -76,7 +76,7 @@
 		b.config.Routes = append(b.config.Routes, r.route())
 		b.routePositions = append(b.routePositions, position{src, key})
 		if r.Service != "" && len(r.Services) > 0 {
-			b.fault(src, key+".service", "service and services are both set", "add the service to services")
+			b.fault(src, key+".service", "both service and services are given", "list it among the services")
 		}
 		if r.Service != "" {
 			b.reference(src, key+".service", "service", r.Service)
