--- a/bench/deploy/deploy.go
+++ b/bench/deploy/deploy.go
@@ -1,5 +1,5 @@
-// Package deploy holds the two deployments of the brief at their sizes, as
-// inventories for the bench.
+// Package deploy describes the two deployments of the users' brief at full size
+// and builds their inventories.
 package deploy
 
 import (
@@ -9,19 +9,20 @@
 	"dandelionstile/share/topo"
 )
 
-// Service describes one service at its size.
+// Service describes a service and its size.
 type Service struct {
 	Name string
-	// Instances times Leafs is how many leafs there are.
+	// Instances is the number of backend servers, Leaves the leaves on each.
 	Instances   int
-	Leafs       int
+	Leaves      int
 	Slots       int
 	Connections int
-	// Connect is what a new connection costs, in ms.
-	Connect clock.Milli
-	// Replicas is how many leafs hold each shard.
+	// ConnectTime is the time to open a connection.
+	ConnectTime clock.Milli
+	// Replicas is how many leaves hold each shard.
 	Replicas int
-	// Patience is the service's trade of coverage against tail latency.
+	// Patience is the service's trade-off of coverage against tail latency: the
+	// share of the deadline to wait, in percent.
 	Patience int
 }
 
@@ -29,49 +30,51 @@
 type Deployment struct {
 	Name    string
 	Domains []topo.Domain
-	// Region and Caller are one-way latencies between regions, and to callers,
-	// in ms.
-	Region   clock.Milli
-	Caller   clock.Milli
-	Hosts    int
-	Services []Service
+	// RegionLatency and CallerLatency are one-way latencies between regions, and
+	// between callers and hosts.
+	RegionLatency clock.Milli
+	CallerLatency clock.Milli
+	Hosts         int
+	Services      []Service
 }
 
-// Himal is Himal Anodic Franchise Services. It weighs coverage most.
+// Himal is the deployment of Himal Anodic Franchise Services, which prefers
+// coverage.
 func Himal() Deployment {
 	return Deployment{
 		Name: "himal",
 		Domains: []topo.Domain{
 			{Name: "kathmandu", Region: "bagmati"}, {Name: "pokhara", Region: "gandaki"}, {Name: "biratnagar", Region: "koshi"},
 		},
-		Region: 20, Caller: 1, Hosts: 7,
+		RegionLatency: 20, CallerLatency: 1, Hosts: 7,
 		Services: []Service{
-			{Name: "counter-search", Instances: 20, Leafs: 2, Slots: 2, Connections: 25, Connect: 6, Replicas: 4, Patience: 100},
-			{Name: "dispatch-board", Instances: 30, Leafs: 2, Slots: 2, Connections: 25, Connect: 6, Replicas: 6, Patience: 100},
-			{Name: "dealer-billing", Instances: 20, Leafs: 1, Slots: 2, Connections: 100, Connect: 1, Replicas: 4, Patience: 100},
-			{Name: "phone-enquiries", Instances: 10, Leafs: 1, Slots: 2, Connections: 100, Connect: 1, Replicas: 5, Patience: 100},
+			{Name: "counter-search", Instances: 20, Leaves: 2, Slots: 2, Connections: 25, ConnectTime: 6, Replicas: 4, Patience: 100},
+			{Name: "dispatch-board", Instances: 30, Leaves: 2, Slots: 2, Connections: 25, ConnectTime: 6, Replicas: 6, Patience: 100},
+			{Name: "dealer-billing", Instances: 20, Leaves: 1, Slots: 2, Connections: 100, ConnectTime: 1, Replicas: 4, Patience: 100},
+			{Name: "phone-enquiries", Instances: 10, Leaves: 1, Slots: 2, Connections: 100, ConnectTime: 1, Replicas: 5, Patience: 100},
 		},
 	}
 }
 
-// Kumomaru is Kumomaru Maternity Closet. It weighs tail latency most.
+// Kumomaru is the deployment of Kumomaru Maternity Closet, which prefers low
+// tail latency.
 func Kumomaru() Deployment {
 	return Deployment{
 		Name: "kumomaru",
 		Domains: []topo.Domain{
 			{Name: "sapporo", Region: "hokkaido"}, {Name: "sendai", Region: "tohoku"}, {Name: "osaka", Region: "kansai"},
 		},
-		Region: 8, Caller: 3, Hosts: 7,
+		RegionLatency: 8, CallerLatency: 3, Hosts: 7,
 		Services: []Service{
-			{Name: "subscriber-app", Instances: 20, Leafs: 2, Slots: 3, Connections: 30, Connect: 6, Replicas: 4, Patience: 80},
-			{Name: "subscription-billing", Instances: 30, Leafs: 2, Slots: 3, Connections: 30, Connect: 6, Replicas: 6, Patience: 80},
-			{Name: "returns-desk", Instances: 10, Leafs: 1, Slots: 6, Connections: 50, Connect: 1, Replicas: 5, Patience: 80},
-			{Name: "warehouse-picking", Instances: 4, Leafs: 1, Slots: 6, Connections: 50, Connect: 1, Replicas: 2, Patience: 80},
+			{Name: "subscriber-app", Instances: 20, Leaves: 2, Slots: 3, Connections: 30, ConnectTime: 6, Replicas: 4, Patience: 80},
+			{Name: "subscription-billing", Instances: 30, Leaves: 2, Slots: 3, Connections: 30, ConnectTime: 6, Replicas: 6, Patience: 80},
+			{Name: "returns-desk", Instances: 10, Leaves: 1, Slots: 6, Connections: 50, ConnectTime: 1, Replicas: 5, Patience: 80},
+			{Name: "warehouse-picking", Instances: 4, Leaves: 1, Slots: 6, Connections: 50, ConnectTime: 1, Replicas: 2, Patience: 80},
 		},
 	}
 }
 
-// ByName returns a deployment.
+// ByName returns the deployment with a name.
 func ByName(name string) (Deployment, bool) {
 	for _, d := range []Deployment{Himal(), Kumomaru()} {
 		if d.Name == name {
@@ -81,41 +84,42 @@
 	return Deployment{}, false
 }
 
-// Shards is how many shards a service is cut into: its leafs by its replicas.
-func (s Service) Shards() int { return max(1, s.Instances*s.Leafs/s.Replicas) }
+// Shards is the number of shards of a service: its leaves divided by its
+// replicas.
+func (s Service) Shards() int { return max(1, s.Instances*s.Leaves/s.Replicas) }
 
-// reshaped is how many shards the second layout has: two are joined into one.
-func (s Service) reshaped() int { return max(1, s.Shards()/2) }
+// mergedShards is the number of shards in the second layout, which merges pairs.
+func (s Service) mergedShards() int { return max(1, s.Shards()/2) }
 
-// Timing that the bench gives every service.
+// Times that apply to every service.
 const (
-	Warm     = 5 * clock.Second
+	WarmUp   = 5 * clock.Second
 	Deadline = clock.Second
 )
 
-// Config builds the inventory. The replicas of a shard lie in different failure
-// domains as far as they go.
+// Config builds the inventory. The replicas of a shard are in different failure
+// domains where possible.
 func (d Deployment) Config(version uint64, rules topo.Rules) *topo.Config {
 	cfg := &topo.Config{Version: version, Rules: rules}
 	cfg.Inventory.Domains = d.Domains
 	for _, v := range d.Services {
 		cfg.Inventory.Services = append(cfg.Inventory.Services, topo.Service{
-			Name: v.Name, Layouts: []topo.Layout{{ID: 1, Shards: v.Shards()}, {ID: 2, Shards: v.reshaped()}},
-			WarmUp: Warm, Deadline: Deadline, Patience: v.Patience,
+			Name: v.Name, Layouts: []topo.Layout{{ID: 1, Shards: v.Shards()}, {ID: 2, Shards: v.mergedShards()}},
+			WarmUp: WarmUp, Deadline: Deadline, Patience: v.Patience,
 		})
 		for i := range v.Instances {
 			s := topo.Server{
 				Name: fmt.Sprintf("%s-%d", v.Name, i), Service: v.Name,
 				Domain: d.Domains[i%len(d.Domains)].Name, Address: "127.0.0.1:1",
 			}
-			for j := range v.Leafs {
-				// Neighbouring instances lie in different domains; an instance's
-				// leafs hold different shards.
+			for j := range v.Leaves {
+				// Consecutive instances are in different domains; the leaves of an
+				// instance hold different shards.
 				slot := j*v.Instances + i
 				shard := slot / v.Replicas % v.Shards()
 				s.Leaves = append(s.Leaves, topo.Leaf{
 					Name: fmt.Sprintf("%s-%d-%d", v.Name, i, j), Slots: v.Slots, Connections: v.Connections,
-					Holds: []topo.Hold{{Layout: 1, Shard: shard}, {Layout: 2, Shard: shard % v.reshaped()}},
+					Holds: []topo.Hold{{Layout: 1, Shard: shard}, {Layout: 2, Shard: shard % v.mergedShards()}},
 				})
 			}
 			cfg.Inventory.Servers = append(cfg.Inventory.Servers, s)
@@ -133,7 +137,7 @@
 	return hosts
 }
 
-// Service returns a service by name.
+// Service returns the service with a name.
 func (d Deployment) Service(name string) (Service, bool) {
 	for _, s := range d.Services {
 		if s.Name == name {
--- a/bench/scene/clairvoyant.go
+++ b/bench/scene/clairvoyant.go
@@ -35,7 +35,7 @@
 func clairvoyant(w *virt.World, d deploy.Deployment, share float64, span clock.Milli) float64 {
 	all := hdrhistogram.New(1, 60000, 3)
 	for i, v := range d.Services {
-		slots := v.Instances * v.Leafs * v.Slots / v.Shards()
+		slots := v.Instances * v.Leaves * v.Slots / v.Shards()
 		queues := make([]freeHeap, v.Shards())
 		for s := range queues {
 			queues[s] = make(freeHeap, slots)
@@ -53,7 +53,7 @@
 				end = max(end, done)
 			}
 			// The way from the caller and back, and to the leaf and back.
-			_ = all.RecordValue(int64(end - at + float64(2*d.Caller) + 2)) // bounded by the span
+			_ = all.RecordValue(int64(end - at + float64(2*d.CallerLatency) + 2)) // bounded by the span
 		}
 	}
 	return float64(all.ValueAtQuantile(99))
@@ -88,7 +88,7 @@
 				work := max(1, virt.ServiceTime(w.Model, w.Seed+uint64(i), n, s))
 				end = max(end, first(slots[s], from, at, work, d))
 			}
-			_ = all.RecordValue(int64(end - at + float64(2*d.Caller))) // bounded by the span
+			_ = all.RecordValue(int64(end - at + float64(2*d.CallerLatency))) // bounded by the span
 		}
 	}
 	return float64(all.ValueAtQuantile(99))
@@ -105,7 +105,7 @@
 	for i := range slots {
 		way := 1.0
 		if slots[i].domain != from {
-			way = float64(d.Region)
+			way = float64(d.RegionLatency)
 		}
 		end := max(at+way, slots[i].free) + work + way
 		if i == 0 || end < when {
@@ -114,7 +114,7 @@
 	}
 	way := 1.0
 	if slots[best].domain != from {
-		way = float64(d.Region)
+		way = float64(d.RegionLatency)
 	}
 	slots[best].free = when - way
 	return when
--- a/bench/scene/cold.go
+++ b/bench/scene/cold.go
@@ -31,10 +31,10 @@
 			r.settled(steadyLoad * 2 / 3)
 			for i, s := range r.W.Config.Inventory.Servers {
 				if i%10 == 0 {
-					r.W.ChillUnseen(s.Name)
+					r.W.DropCaches(s.Name)
 				}
 			}
-			r.run(2 * deploy.Warm)
+			r.run(2 * deploy.WarmUp)
 			r.common()
 		},
 	})
@@ -49,7 +49,7 @@
 		r.W.Crash(n)
 	}
 	back := r.W.Now() + 2*clock.Second // when they restart
-	r.run(2*clock.Second + 2*deploy.Warm)
+	r.run(2*clock.Second + 2*deploy.WarmUp)
 	r.set("steady-calls-per-s", before)
 	r.set("full-after-over-ramp", r.full(back, before))
 	r.set("worst-complete-share", r.worstSecond())
@@ -68,15 +68,15 @@
 // full is how long after a time all queries were answered completely again, as
 // a multiple of the ramp.
 func (r *Run) full(since clock.Milli, _ float64) float64 {
-	return r.recovery(since) * float64(clock.Second) / float64(deploy.Warm)
+	return r.recovery(since) * float64(clock.Second) / float64(deploy.WarmUp)
 }
 
 // worstSecond is the lowest share of complete answers in any second.
 func (r *Run) worstSecond() float64 {
 	worst := 1.0
 	for i, s := range r.W.Stats.Seconds {
-		if s.Asked > 0 && i < len(r.W.Stats.Seconds)-2 {
-			worst = min(worst, float64(s.Complete)/float64(s.Asked))
+		if s.Queries > 0 && i < len(r.W.Stats.Seconds)-2 {
+			worst = min(worst, float64(s.Complete)/float64(s.Queries))
 		}
 	}
 	return worst
--- a/bench/scene/domains.go
+++ b/bench/scene/domains.go
@@ -36,7 +36,7 @@
 	r.set("worst-complete-share-out", r.worstSecond())
 	r.W.Publish(topo.Rules{}, spreadTime)
 	back := r.W.Now()
-	r.run(2*deploy.Warm + 2*clock.Second)
+	r.run(2*deploy.WarmUp + 2*clock.Second)
 	r.set("peak-over-steady", r.peak(back)/steady)
 	r.set("worst-complete-share", r.worstSecond())
 	r.set("connections-over-limit", r.W.MaxConns())
@@ -59,17 +59,17 @@
 	r.settled(load)
 	r.run(4 * clock.Second)
 	steady := r.calls(r.W.Now()-4*clock.Second, 4)
-	r.W.Cut(r.D.Domains[0].Name, true)
+	r.W.SetPartitioned(r.D.Domains[0].Name, true)
 	r.run(12 * clock.Second)
 	s := &r.W.Stats
 	answered := 0
 	asked := 0
 	for _, sec := range s.Seconds[int((r.W.Now()-8*clock.Second)/clock.Second):int(r.W.Now()/clock.Second)] {
 		answered += sec.Complete + sec.Partial
-		asked += sec.Asked
+		asked += sec.Queries
 	}
 	r.set("answered-share-in-cut", float64(answered)/float64(asked))
-	r.W.Cut(r.D.Domains[0].Name, false)
+	r.W.SetPartitioned(r.D.Domains[0].Name, false)
 	heal := r.W.Now()
 	r.run(8 * clock.Second)
 	r.set("peak-over-steady-at-heal", r.peak(heal)/steady)
--- a/bench/scene/faults.go
+++ b/bench/scene/faults.go
@@ -43,7 +43,7 @@
 	resend = func() {
 		h := r.W.Hosts[n%len(r.W.Hosts)]
 		n++
-		r.W.Ask(h, service, virt.CrashText, "stubborn", deploy.Deadline, func(query.Answer) {
+		r.W.SendQuery(h, service, virt.CrashText, "stubborn", deploy.Deadline, func(query.Answer) {
 			r.W.Clock.After(20, resend)
 		})
 	}
@@ -56,7 +56,7 @@
 	r.set("servers-crashed", float64(servers))
 	r.set("resends", float64(n))
 	s := &r.W.Stats
-	others := s.Asked - n
+	others := s.Queries - n
 	r.set("others-complete-share", float64(s.Complete)/float64(others))
 	r.common()
 }
@@ -70,21 +70,21 @@
 	r.W.Stats.Reset()
 	r.run(6 * clock.Second)
 	r.set("p999-over-steady", r.W.Stats.Quantile(99.9)/steady)
-	r.set("ejected", float64(r.W.Stats.Notes["closed: silent"]+r.W.Stats.Notes["closed: unreachable"]))
+	r.set("ejected", float64(r.W.Stats.LeafEvents["closed: silent"]+r.W.Stats.LeafEvents["closed: unreachable"]))
 	r.common()
 }
 
 func (r *Run) greedy() {
 	r.settled(steadyLoad * 2 / 3)
 	r.run(6 * clock.Second)
-	steady := float64(r.W.Stats.Others.ValueAtQuantile(99))
+	steady := float64(r.W.Stats.OthersLatency.ValueAtQuantile(99))
 	r.W.Stats.Reset()
 	for _, v := range r.D.Services {
 		rate := 10 * steadyLoad * 2 / 3 * r.W.Capacity(v) / people
-		r.W.Run(virt.Load{Service: v.Name, Rate: rate * 4, Texts: texts, Caller: virt.Greedy})
+		r.W.StartLoad(virt.Load{Service: v.Name, Rate: rate * 4, Texts: texts, Caller: virt.GreedyCaller})
 	}
 	r.run(8 * clock.Second)
-	r.set("others-p99-over-steady", float64(r.W.Stats.Others.ValueAtQuantile(99))/steady)
+	r.set("others-p99-over-steady", float64(r.W.Stats.OthersLatency.ValueAtQuantile(99))/steady)
 	r.common()
 }
 
@@ -92,7 +92,7 @@
 	r.settled(0.4)
 	r.W.Hosts[0].Pause()
 	r.run(30 * clock.Second)
-	r.W.Hosts[0].Wake()
+	r.W.Hosts[0].Resume()
 	r.run(5 * clock.Second)
 	r.set("unanswered", float64(r.W.Pending()-r.inFlight()))
 	r.common()
@@ -118,4 +118,4 @@
 }
 
 // inFlight is how many queries are younger than their deadline.
-func (r *Run) inFlight() int { return r.W.Young(deploy.Deadline) }
+func (r *Run) inFlight() int { return r.W.PendingWithin(deploy.Deadline) }
--- a/bench/scene/overload.go
+++ b/bench/scene/overload.go
@@ -27,7 +27,7 @@
 	capacity := 0.0
 	for _, v := range r.D.Services {
 		capacity += r.W.Capacity(v)
-		r.W.Run(virt.Load{
+		r.W.StartLoad(virt.Load{
 			Service: v.Name, Rate: (factor - light) * r.W.Capacity(v), Texts: texts, Callers: people, Until: begin + span,
 		})
 	}
@@ -52,7 +52,7 @@
 	first := int(since / clock.Second)
 	last := first
 	for i := first; i < len(seconds)-2; i++ {
-		if s := seconds[i]; s.Asked > 0 && float64(s.Complete) < 0.97*float64(s.Asked) {
+		if s := seconds[i]; s.Queries > 0 && float64(s.Complete) < 0.97*float64(s.Queries) {
 			last = i + 1
 		}
 	}
--- a/bench/scene/scene.go
+++ b/bench/scene/scene.go
@@ -65,9 +65,9 @@
 		{Name: "no-hedge", Policies: virt.Policies{Fanout: fanout.Policy{NoHedge: true}}},
 		{Name: "hedge-99", Policies: virt.Policies{Fanout: fanout.Policy{HedgeQuantile: 99}}},
 		{Name: "budget-10", Policies: virt.Policies{Fanout: fanout.Policy{BudgetPercent: 10}}},
-		{Name: "oldest-first", Policies: virt.Policies{Gate: sched.Policy{Order: sched.OrderOldest}}},
-		{Name: "newest-first", Policies: virt.Policies{Gate: sched.Policy{Order: sched.OrderNewest}}},
-		{Name: "long-queue", Policies: virt.Policies{Gate: sched.Policy{QueuePerSlot: 32}}},
+		{Name: "oldest-first", Policies: virt.Policies{Sched: sched.Policy{Order: sched.OrderOldest}}},
+		{Name: "newest-first", Policies: virt.Policies{Sched: sched.Policy{Order: sched.OrderNewest}}},
+		{Name: "long-queue", Policies: virt.Policies{Sched: sched.Policy{QueuePerSlot: 32}}},
 		{Name: "open-door", Policies: virt.Policies{Fanout: fanout.Policy{NoBackpressure: true}}},
 	}
 }
@@ -140,7 +140,7 @@
 // load starts a stream on every service at a share of its capacity.
 func (r *Run) load(share float64) {
 	for _, v := range r.D.Services {
-		r.W.Run(virt.Load{Service: v.Name, Rate: share * r.W.Capacity(v), Texts: texts, Callers: people})
+		r.W.StartLoad(virt.Load{Service: v.Name, Rate: share * r.W.Capacity(v), Texts: texts, Callers: people})
 	}
 }
 
@@ -148,7 +148,7 @@
 // seconds before, load is light.
 func (r *Run) settled(share float64) {
 	for _, v := range r.D.Services {
-		r.W.Run(virt.Load{Service: v.Name, Rate: 0.1 * r.W.Capacity(v), Texts: texts, Callers: people, Until: settle - 2*clock.Second})
+		r.W.StartLoad(virt.Load{Service: v.Name, Rate: 0.1 * r.W.Capacity(v), Texts: texts, Callers: people, Until: settle - 2*clock.Second})
 	}
 	r.W.Clock.Run(settle - 2*clock.Second)
 	r.load(share)
--- a/bench/scene/stragglers.go
+++ b/bench/scene/stragglers.go
@@ -9,7 +9,7 @@
 		run: func(r *Run) {
 			r.settled(steadyLoad * 2 / 3)
 			for range 6 {
-				r.W.Straggle(0.05, 20)
+				r.W.SetStragglers(0.05, 20)
 				r.run(3 * clock.Second)
 			}
 			r.common()
--- a/bench/virt/host.go
+++ b/bench/virt/host.go
@@ -10,43 +10,45 @@
 	"dandelionstile/share/topo"
 )
 
-// Host is one entry host: its entry's and its aggregator's decisions.
+// Host is a machine with one entry and one aggregator; it holds the decision
+// engines of both.
 type Host struct {
 	World  *World
 	Index  int
 	Name   string
 	Domain string
 
-	Fan  *fanout.Engine
-	Gate *sched.Engine
-	cfg  *topo.Config
+	Fanout *fanout.Engine
+	Sched  *sched.Engine
+	cfg    *topo.Config
 
 	incarnation uint64
 	down        bool
 	leaving     bool
 	paused      bool
-	frozen      bool // paused for so long that its peers have noticed
+	frozen      bool // paused longer than detectionTime: the peers dropped the links
 	backlog     []func()
 	linked      map[string]bool
 }
 
-// boot starts the host's programs, with nothing remembered.
+// boot starts the host's programs with empty state.
 func (h *Host) boot() {
 	w := h.World
 	h.incarnation++
 	h.down, h.leaving, h.paused, h.frozen, h.backlog = false, false, false, false, nil
 	h.linked = map[string]bool{}
-	h.Fan = &fanout.Engine{
+	h.Fanout = &fanout.Engine{
 		Self: h.Name, Domain: h.Domain, Policy: w.Policies.Fanout,
 		Random: rand.New(rand.NewPCG(w.Seed, uint64(h.Index)<<8|h.incarnation)),
 	}
-	h.Fan.SetIncarnation(h.incarnation)
-	h.Gate = &sched.Engine{Self: h.Name, Domain: h.Domain, Policy: w.Policies.Gate}
+	h.Fanout.SetIncarnation(h.incarnation)
+	h.Sched = &sched.Engine{Self: h.Name, Domain: h.Domain, Policy: w.Policies.Sched}
 	h.configure(w.Config)
 	w.Clock.After(1, h.relinkAll)
 }
 
-// do runs f on the host, later when it is paused, or never when it is down.
+// do runs f on the host: now, after the resume if the host is paused, or never
+// if it is down.
 func (h *Host) do(f func()) {
 	switch {
 	case h.down:
@@ -57,10 +59,11 @@
 	}
 }
 
-// Pause stops the host without its notice.
+// Pause suspends the host, which cannot notice it. The peers drop their links
+// after detectionTime.
 func (h *Host) Pause() {
 	h.paused = true
-	h.World.Clock.After(noticeCut, func() {
+	h.World.Clock.After(detectionTime, func() {
 		if h.paused {
 			h.frozen = true
 			h.relinkAll()
@@ -74,8 +77,8 @@
 	}
 }
 
-// Wake lets it go on with what has piled up.
-func (h *Host) Wake() {
+// Resume continues a paused host and runs its backlog.
+func (h *Host) Resume() {
 	h.paused, h.frozen = false, false
 	backlog := h.backlog
 	h.backlog = nil
@@ -88,8 +91,8 @@
 // Kill ends both programs at once; peers see the links close.
 func (h *Host) Kill() {
 	h.down = true
-	for _, f := range h.World.order {
-		f.hostGone(h)
+	for _, f := range h.World.leafOrder {
+		f.hostDown(h)
 	}
 	h.relinkAll()
 }
@@ -97,7 +100,7 @@
 // Restart starts the programs of a host that is down.
 func (h *Host) Restart() { h.boot() }
 
-// Leave begins a graceful shutdown; the host is down when done is called.
+// Leave begins a graceful shutdown and calls done when the host is down.
 func (h *Host) Leave(done func()) {
 	h.leaving = true
 	for _, other := range h.World.Hosts {
@@ -105,70 +108,70 @@
 			other.configure(other.cfg)
 		})
 	}
-	h.World.Clock.After(500, func() { h.actGate(h.Gate.Leave(h.World.Now())) })
+	h.World.Clock.After(500, func() { h.applySched(h.Sched.Leave(h.World.Now())) })
 	var wait func()
 	wait = func() {
-		if !h.Gate.Idle() || !h.Fan.Idle() {
+		if !h.Sched.Idle() || !h.Fanout.Idle() {
 			h.World.Clock.After(10, wait)
 			return
 		}
 		h.Kill()
 		done()
 	}
-	h.World.Clock.After(2000, wait) // what the balancer may take to notice
+	h.World.Clock.After(2000, wait) // the balancer may take 2 s to notice
 }
 
-// Serves tells whether the balancer sends callers here.
-func (h *Host) Serves() bool { return !h.down && !h.leaving && !h.paused }
+// Ready reports whether the balancer sends callers to this host.
+func (h *Host) Ready() bool { return !h.down && !h.leaving && !h.paused }
 
 func (h *Host) configure(cfg *topo.Config) {
 	h.cfg = cfg
 	now := h.World.Now()
-	hosts := h.World.live()
-	h.Fan.Configure(cfg, hosts)
+	hosts := h.World.liveHosts()
+	h.Fanout.Configure(cfg, hosts)
 	for _, o := range hosts {
-		h.Fan.HostLeaving(o.Name, o.Leaving)
+		h.Fanout.HostLeaving(o.Name, o.Leaving)
 	}
-	h.actGate(h.Gate.Configure(now, cfg, hosts))
+	h.applySched(h.Sched.Configure(now, cfg, hosts))
 }
 
-// relink compares the links with what the network lets through.
+// relink brings the links in line with the partitions and the peers' states.
 func (h *Host) relink() {
 	now := h.World.Now()
 	for _, other := range h.World.Hosts {
-		up := !other.down && !other.frozen && !h.World.cut(h.Domain, other.Domain)
+		up := !other.down && !other.frozen && !h.World.partitioned(h.Domain, other.Domain)
 		if up == h.linked[other.Name] {
 			continue
 		}
 		h.linked[other.Name] = up
 		if !up {
-			h.actFan(h.Fan.HostDown(now, other.Name))
-			h.actGate(h.Gate.LinkClosed(now, uint64(other.Index)))
-			h.Gate.HostDown(now, other.Name)
+			h.applyFanout(h.Fanout.HostDown(now, other.Name))
+			h.applySched(h.Sched.LinkClosed(now, uint64(other.Index)))
+			h.Sched.HostDown(now, other.Name)
 			continue
 		}
-		h.Fan.HostUp(other.Name)
-		h.Gate.PeerUp()
-		h.Fan.RecordRTT(other.Name, float64(2*h.World.delay(h.Domain, other.Domain)))
-		for _, fb := range other.Gate.Feedback(now) {
-			h.Fan.SetFeedback(fb)
+		h.Fanout.HostUp(other.Name)
+		h.Sched.PeerUp()
+		h.Fanout.RecordRTT(other.Name, float64(2*h.World.delay(h.Domain, other.Domain)))
+		for _, fb := range other.Sched.Feedback(now) {
+			h.Fanout.SetFeedback(fb)
 		}
 	}
 }
 
-func (h *Host) tickFan() {
-	h.actFan(h.Fan.Tick(h.World.Now()))
+func (h *Host) tickFanout() {
+	h.applyFanout(h.Fanout.Tick(h.World.Now()))
 }
 
-func (h *Host) tickGate() {
-	out, paused := h.Gate.Tick(h.World.Now())
+func (h *Host) tickSched() {
+	out, paused := h.Sched.Tick(h.World.Now())
 	if paused {
-		h.World.Clock.After(50, func() { h.do(func() { h.configure(h.World.Config); h.Gate.ResumeAdmission() }) })
+		h.World.Clock.After(50, func() { h.do(func() { h.configure(h.World.Config); h.Sched.ResumeAdmission() }) })
 	}
-	h.actGate(out)
+	h.applySched(out)
 }
 
-// host finds a peer by name.
+// host returns the host with a name, or nil.
 func (w *World) host(name string) *Host {
 	for _, h := range w.Hosts {
 		if h.Name == name {
@@ -178,36 +181,36 @@
 	return nil
 }
 
-// actFan carries out the entry's decisions.
-func (h *Host) actFan(actions []fanout.Action) {
+// applyFanout executes the actions of the fanout engine.
+func (h *Host) applyFanout(actions []fanout.Action) {
 	w := h.World
 	for _, a := range actions {
 		switch a := a.(type) {
 		case fanout.SendBatch:
 			to := w.host(a.Host)
 			budget := max(0, a.Deadline-w.Now())
-			w.deliver(h.Domain, to, func() { to.batch(h, a, budget) })
+			w.deliver(h.Domain, to, func() { to.receiveBatch(h, a, budget) })
 		case fanout.CancelCalls:
 			to := w.host(a.Host)
 			w.deliver(h.Domain, to, func() {
 				for _, id := range a.Calls {
-					to.actGate(to.Gate.Cancel(w.Now(), sched.Key{Link: uint64(h.Index), ID: id}))
+					to.applySched(to.Sched.Cancel(w.Now(), sched.Key{Link: uint64(h.Index), ID: id}))
 				}
 			})
 		case fanout.Answered:
 			w.answered(h, a)
 		case fanout.ShareStrike:
-			h.share(a.Strike)
+			h.shareStrike(a.Strike)
 			if a.Query == 0 {
 				break
 			}
-			w.Clock.After(2*w.Deployment.Region, func() {
-				h.do(func() { h.actFan(h.Fan.StrikeShared(w.Now(), a.Query)) })
+			w.Clock.After(2*w.Deployment.RegionLatency, func() {
+				h.do(func() { h.applyFanout(h.Fanout.StrikeShared(w.Now(), a.Query)) })
 			})
 		case fanout.SendUpdate:
 			to := w.host(a.Host)
 			budget := max(0, a.Update.Deadline-w.Now())
-			w.deliver(h.Domain, to, func() { to.update(h, a, budget) })
+			w.deliver(h.Domain, to, func() { to.receiveUpdate(h, a, budget) })
 		case fanout.Forward:
 			h.forward(a)
 		case fanout.UpdateAnswered:
@@ -216,22 +219,22 @@
 	}
 }
 
-// share tells all reachable hosts of a strike.
-func (h *Host) share(s deny.Strike) {
+// shareStrike sends a strike to all reachable hosts.
+func (h *Host) shareStrike(s deny.Strike) {
 	for _, other := range h.World.Hosts {
-		h.World.deliver(h.Domain, other, func() { other.strike(s) })
+		h.World.deliver(h.Domain, other, func() { other.mergeStrike(s) })
 	}
 }
 
-func (h *Host) strike(s deny.Strike) {
+func (h *Host) mergeStrike(s deny.Strike) {
 	now := h.World.Now()
-	h.Fan.MergeStrike(now, s)
-	_, out := h.Gate.MergeStrike(now, s)
-	h.actGate(out)
+	h.Fanout.MergeStrike(now, s)
+	_, out := h.Sched.MergeStrike(now, s)
+	h.applySched(out)
 }
 
-// job is what the virtual leaf needs of a call.
-type job struct {
+// leafRequest is the part of a call that the virtual leaf needs.
+type leafRequest struct {
 	entry  *Host
 	query  uint64
 	pin    topo.SnapshotID
@@ -240,84 +243,84 @@
 	update *fanout.SendUpdate
 }
 
-func (h *Host) batch(from *Host, a fanout.SendBatch, budget clock.Milli) {
+func (h *Host) receiveBatch(from *Host, a fanout.SendBatch, budget clock.Milli) {
 	now := h.World.Now()
 	for _, c := range a.Calls {
-		h.actGate(h.Gate.Submit(now, sched.Call{
+		h.applySched(h.Sched.Submit(now, sched.Call{
 			Key: sched.Key{Link: uint64(from.Index), ID: c.ID}, Leaf: c.Leaf, Caller: a.Caller,
 			Deadline: now + budget, Fingerprint: a.Fingerprint, Canary: c.Canary, SecondCanary: c.SecondCanary, Pin: a.Pin,
-			Request: job{entry: from, query: a.Query, pin: a.Pin, shard: c.Shard, text: a.Text},
+			Request: leafRequest{entry: from, query: a.Query, pin: a.Pin, shard: c.Shard, text: a.Text},
 		}))
 	}
 }
 
-func (h *Host) update(from *Host, a fanout.SendUpdate, budget clock.Milli) {
+func (h *Host) receiveUpdate(from *Host, a fanout.SendUpdate, budget clock.Milli) {
 	now := h.World.Now()
-	h.actGate(h.Gate.Submit(now, sched.Call{
+	h.applySched(h.Sched.Submit(now, sched.Call{
 		Key: sched.Key{Link: uint64(from.Index), ID: a.Call}, Leaf: a.Leaf,
 		Deadline: now + budget, Fingerprint: a.Fingerprint, Canary: true, Update: true,
-		Request: job{entry: from, update: &a, text: a.Update.Body},
+		Request: leafRequest{entry: from, update: &a, text: a.Update.Body},
 	}))
 }
 
-// forward hands an update to the host that minted its id.
+// forward sends an update to the host that minted its ID.
 func (h *Host) forward(a fanout.Forward) {
 	w := h.World
 	owner := w.host(a.Host)
-	if owner == nil || owner.down || w.cut(h.Domain, owner.Domain) {
-		h.actFan(h.Fan.ForwardFailed(a.Update.RequestID))
+	if owner == nil || owner.down || w.partitioned(h.Domain, owner.Domain) {
+		h.applyFanout(h.Fanout.ForwardFailed(a.Update.RequestID))
 		return
 	}
 	w.deliver(h.Domain, owner, func() {
 		u := a.Update
 		w.nextID++
 		u.RequestID = w.nextID
-		w.Stats.remote[u.RequestID] = func(r fanout.UpdateResult) {
-			w.deliver(owner.Domain, h, func() { h.actFan(h.Fan.ForwardDone(a.Update.RequestID, r)) })
+		w.Stats.onForwarded[u.RequestID] = func(r fanout.UpdateResult) {
+			w.deliver(owner.Domain, h, func() { h.applyFanout(h.Fanout.ForwardDone(a.Update.RequestID, r)) })
 		}
-		owner.actFan(owner.Fan.StartUpdate(w.Now(), u))
+		owner.applyFanout(owner.Fanout.StartUpdate(w.Now(), u))
 	})
 }
 
-// actGate carries out the aggregator's decisions.
-func (h *Host) actGate(actions []sched.Action) {
+// applySched executes the actions of the scheduler.
+func (h *Host) applySched(actions []sched.Action) {
 	w := h.World
 	for _, a := range actions {
 		switch a := a.(type) {
 		case sched.Send:
-			w.Leafs[a.Leaf].send(h, a)
+			w.Leaves[a.Leaf].send(h, a)
 		case sched.Probe:
-			w.Leafs[a.Leaf].probe(h, a.Conn, a.NewConn)
+			w.Leaves[a.Leaf].probe(h, a.Conn, a.NewConn)
 		case sched.Abort:
-			w.Leafs[a.Leaf].abort(h, a)
+			w.Leaves[a.Leaf].abort(h, a)
 		case sched.CloseConn:
-			w.Leafs[a.Leaf].shut(connKey{h.Index, h.incarnation, a.Conn})
+			w.Leaves[a.Leaf].closeConn(connKey{h.Index, h.incarnation, a.Conn})
 		case sched.Reply:
 			h.reply(a)
 		case sched.Publish:
 			for _, e := range w.Hosts {
-				w.deliver(h.Domain, e, func() { e.Fan.SetFeedback(a.Feedback) })
+				w.deliver(h.Domain, e, func() { e.Fanout.SetFeedback(a.Feedback) })
 			}
 		case sched.Claim:
 			if to := w.host(a.Host); to != nil {
 				w.deliver(h.Domain, to, func() {
-					to.actGate(to.Gate.ClaimReceived(w.Now(), h.Name, a.ID, a.Servers))
+					to.applySched(to.Sched.ClaimReceived(w.Now(), h.Name, a.ID, a.Servers))
 				})
 			}
 		case sched.Grant:
 			if to := w.host(a.Host); to != nil {
 				w.deliver(h.Domain, to, func() {
-					to.actGate(to.Gate.GrantReceived(w.Now(), h.Name, a.ID, a.Servers, a.Duration))
+					to.applySched(to.Sched.GrantReceived(w.Now(), h.Name, a.ID, a.Servers, a.Duration))
 				})
 			}
 		case sched.Release:
 			if to := w.host(a.Host); to != nil {
-				w.deliver(h.Domain, to, func() { to.Gate.ReleaseReceived(w.Now(), h.Name, a.Servers) })
+				w.deliver(h.Domain, to, func() { to.Sched.ReleaseReceived(w.Now(), h.Name, a.Servers) })
 			}
 		case sched.ShareStrike:
-			h.share(a.Strike)
+			h.shareStrike(a.Strike)
 		case sched.LeafEvent:
-			w.Stats.Notes[a.Event+": "+a.Cause]++
+			w.Stats.LeafEvents[a.Event+": "+a.Cause]++
 		}
 	}
 }
@@ -325,14 +328,15 @@
 func (h *Host) reply(a sched.Reply) {
 	w := h.World
 	entry := w.Hosts[a.Key.Link]
-	born := entry.incarnation
+	incarnation := entry.incarnation
 	w.deliver(h.Domain, entry, func() {
-		if entry.incarnation != born {
+		if entry.incarnation != incarnation {
 			return
 		}
-		// Query and update calls share one sequence; the engine knows which.
-		entry.actFan(entry.Fan.CallDone(w.Now(), a.Outcome))
-		entry.actFan(entry.Fan.UpdateDone(w.Now(), a.Key.ID, fanout.UpdateResult{
+		// Query and update calls share one sequence of IDs; the engine ignores an
+		// ID that is not of the method's kind.
+		entry.applyFanout(entry.Fanout.CallDone(w.Now(), a.Outcome))
+		entry.applyFanout(entry.Fanout.UpdateDone(w.Now(), a.Key.ID, fanout.UpdateResult{
 			Kind: a.Outcome.Kind, Reason: a.Outcome.Reason, RetryAfter: a.Outcome.RetryAfter,
 			Body: a.Outcome.Body, Strikes: a.Outcome.Strikes,
 		}))
--- a/bench/virt/leaf.go
+++ b/bench/virt/leaf.go
@@ -11,31 +11,31 @@
 	"dandelionstile/share/topo"
 )
 
-// Model is how the virtual leafs behave.
+// Model describes the behavior of the virtual leaves.
 type Model struct {
-	// Service is the mean time of a query at a leaf, in ms; times are drawn
-	// from a log-normal distribution.
-	Service float64
-	// Spread is the standard deviation of the logarithm of the times.
-	Spread float64
-	// Warm is how long a cold leaf takes until it bears all of its slots.
-	Warm clock.Milli
-	// ColdFactor is how much slower a leaf is at the very start.
+	// ServiceTime is the mean service time of a query at a leaf, in ms. Service
+	// times have a log-normal distribution.
+	ServiceTime float64
+	// LogStdDev is the standard deviation of the logarithm of service times.
+	LogStdDev float64
+	// WarmUp is how long a cold leaf takes to reach the capacity of all its slots.
+	WarmUp clock.Milli
+	// ColdFactor multiplies the service time of a leaf that has just started.
 	ColdFactor float64
 }
 
-// DefaultModel has queries of 10 ms with a moderate spread.
+// DefaultModel has queries of 10 ms with a moderate variance.
 func DefaultModel() Model {
-	return Model{Service: 10, Spread: 0.4, Warm: deploy.Warm, ColdFactor: 4}
+	return Model{ServiceTime: 10, LogStdDev: 0.4, WarmUp: deploy.WarmUp, ColdFactor: 4}
 }
 
-// CrashText is the text of queries that bring down every server they run on.
+// CrashText is the text of queries that crash every server that runs them.
 const CrashText = "crash"
 
-// restartAfter is how long a crashed server stays away.
-const restartAfter = 2 * clock.Second
+// restartDelay is how long a crashed server stays down.
+const restartDelay = 2 * clock.Second
 
-// attemptKey names a call at a leaf.
+// attemptKey identifies a call at a leaf.
 type attemptKey struct {
 	host        int
 	incarnation uint64
@@ -48,93 +48,96 @@
 	conn        sched.ConnID
 }
 
-// Leaf is a virtual leaf. It counts what is sent to it beyond what it bears.
+// Leaf is a virtual leaf. It counts the requests that exceed its capacity.
 type Leaf struct {
-	w       *World
-	spec    topo.Leaf
-	server  string
-	service string
-	domain  string
-	connect clock.Milli
-
-	incarnation uint64
-	down        bool
-	draining    bool
-	active      int
-	cold        clock.Milli // start of the warm-up
-	warming     bool
-	unseen      bool // cold with no sign of it yet
-	straggle    float64
-	holds       []topo.SnapshotID
-	conns       map[connKey]bool // false: silent
-	running     map[attemptKey]func()
-	mostConns   int
-
-	calls   int
-	excess  int // beyond what it bore while cold, after a sign of that was out
-	hidden  int // the same before any sign was out
-	over    int // beyond its slots while warm
-	lastUse clock.Milli
+	w           *World
+	spec        topo.Leaf
+	server      string
+	service     string
+	domain      string
+	connectTime clock.Milli
+
+	incarnation     uint64
+	down            bool
+	draining        bool
+	active          int
+	coldSince       clock.Milli // start of the warm-up
+	warming         bool
+	unseen          bool // cold, and no reply has shown it yet
+	stragglerFactor float64
+	holds           []topo.SnapshotID
+	conns           map[connKey]bool // false for a silent connection
+	running         map[attemptKey]func()
+	maxConns        int
+
+	calls        int
+	excessCold   int // requests beyond its capacity while cold, after a reply showed it
+	excessUnseen int // requests beyond its capacity while cold, before a reply showed it
+	excessWarm   int // requests beyond its slots while warm
+	lastUse      clock.Milli
 }
 
 func newLeaf(w *World, s topo.Server, l topo.Leaf, v deploy.Service) *Leaf {
 	f := &Leaf{
-		w: w, spec: l, server: s.Name, service: s.Service, domain: s.Domain, connect: v.Connect,
-		incarnation: 1, straggle: 1, conns: map[connKey]bool{}, running: map[attemptKey]func(){},
+		w: w, spec: l, server: s.Name, service: s.Service, domain: s.Domain, connectTime: v.ConnectTime,
+		incarnation: 1, stragglerFactor: 1, conns: map[connKey]bool{}, running: map[attemptKey]func(){},
 	}
 	f.holds = []topo.SnapshotID{{Layout: 1, Version: 1}}
 	return f
 }
 
-// SetSnapshots changes what a leaf holds.
+// SetSnapshots replaces the snapshots that a leaf holds.
 func (f *Leaf) SetSnapshots(pins ...topo.SnapshotID) { f.holds = pins }
 
-// bears is how many requests the leaf can have at once now.
-func (f *Leaf) bears() int {
+// capacity returns how many requests the leaf can run at once now. It ends the
+// warm-up when its time is over.
+func (f *Leaf) capacity() int {
 	if !f.warming {
 		return f.spec.Slots
 	}
-	age := f.w.Now() - f.cold
-	if age >= f.w.Model.Warm {
+	age := f.w.Now() - f.coldSince
+	if age >= f.w.Model.WarmUp {
 		f.warming, f.unseen = false, false
 		return f.spec.Slots
 	}
-	return max(1, int(clock.Milli(f.spec.Slots)*age/f.w.Model.Warm))
+	return max(1, int(clock.Milli(f.spec.Slots)*age/f.w.Model.WarmUp))
 }
 
-// slowness is the factor on service times while the leaf warms up.
-func (f *Leaf) slowness() float64 {
+// serviceFactor returns the factor on service times, which falls during the
+// warm-up.
+func (f *Leaf) serviceFactor() float64 {
 	if !f.warming {
-		return f.straggle
+		return f.stragglerFactor
 	}
-	share := float64(f.w.Now()-f.cold) / float64(f.w.Model.Warm)
-	return f.straggle * (1 + (f.w.Model.ColdFactor-1)*max(0, 1-share))
+	share := float64(f.w.Now()-f.coldSince) / float64(f.w.Model.WarmUp)
+	return f.stragglerFactor * (1 + (f.w.Model.ColdFactor-1)*max(0, 1-share))
 }
 
-func (f *Leaf) sign() sched.LeafStatus {
+func (f *Leaf) status() sched.LeafStatus {
 	return sched.LeafStatus{Incarnation: f.incarnation, Draining: f.draining, Holds: f.holds}
 }
 
-// reach opens the connection if it is fresh, and passes the way there. It tells
-// through then what became of it.
-func (f *Leaf) reach(h *Host, id sched.ConnID, fresh bool, then func(opened bool)) {
+// atLeaf runs then at the leaf after the network latency, with a connection
+// that it opens if it is new. The argument of then reports whether the
+// connection is open. A partition or a silent connection drops the request.
+func (f *Leaf) atLeaf(h *Host, id sched.ConnID, newConn bool, then func(opened bool)) {
 	w := f.w
 	key := connKey{h.Index, h.incarnation, id}
 	wait := w.delay(h.Domain, f.domain)
-	if fresh {
-		wait += f.connect
+	if newConn {
+		wait += f.connectTime
 	}
 	w.Clock.After(wait, func() {
-		if w.cut(h.Domain, f.domain) {
+		if w.partitioned(h.Domain, f.domain) {
 			return
 		}
-		if fresh {
+		if newConn {
 			if f.down || len(f.conns) >= f.spec.Connections {
 				then(false)
 				return
 			}
 			f.conns[key] = true
-			f.mostConns = max(f.mostConns, len(f.conns))
+			f.maxConns = max(f.maxConns, len(f.conns))
 		}
 		alive, ok := f.conns[key]
 		if !ok {
@@ -147,27 +150,27 @@
 	})
 }
 
-// back runs f at the host after the way back, unless the connection is gone or
-// silent by then.
-func (f *Leaf) back(h *Host, id sched.ConnID, run func()) {
-	born := h.incarnation
+// atHost runs f at the host after the network latency, unless the connection
+// is closed or silent by then.
+func (f *Leaf) atHost(h *Host, id sched.ConnID, run func()) {
+	incarnation := h.incarnation
 	f.w.Clock.After(f.w.delay(h.Domain, f.domain), func() {
-		if f.w.cut(h.Domain, f.domain) || h.incarnation != born || !f.conns[connKey{h.Index, born, id}] {
+		if f.w.partitioned(h.Domain, f.domain) || h.incarnation != incarnation || !f.conns[connKey{h.Index, incarnation, id}] {
 			return
 		}
 		h.do(run)
 	})
 }
 
-func (f *Leaf) shut(k connKey) { delete(f.conns, k) }
+func (f *Leaf) closeConn(k connKey) { delete(f.conns, k) }
 
-func (f *Leaf) hostGone(h *Host) {
+func (f *Leaf) hostDown(h *Host) {
 	for k := range f.conns {
 		if k.host == h.Index && k.incarnation == h.incarnation {
 			delete(f.conns, k)
 		}
 	}
-	// The leaf sees the connections close and stops what was on them.
+	// The leaf sees the connections close and aborts the calls on them.
 	for k := range f.running {
 		if k.host == h.Index && k.incarnation == h.incarnation {
 			delete(f.running, k)
@@ -176,7 +179,7 @@
 	}
 }
 
-// abort stops a query under way; an update runs to its end.
+// abort stops a running query; an update runs to its end.
 func (f *Leaf) abort(h *Host, a sched.Abort) {
 	attempt := attemptKey{h.Index, h.incarnation, a.Call.Key}
 	f.w.Clock.After(f.w.delay(h.Domain, f.domain), func() {
@@ -188,35 +191,35 @@
 	f.probe(h, a.Conn, a.NewConn)
 }
 
-func (f *Leaf) probe(h *Host, id sched.ConnID, fresh bool) {
-	born := h.incarnation
-	f.reach(h, id, fresh, func(opened bool) {
+func (f *Leaf) probe(h *Host, id sched.ConnID, newConn bool) {
+	incarnation := h.incarnation
+	f.atLeaf(h, id, newConn, func(opened bool) {
 		if !opened {
 			h.do(func() {
-				if h.incarnation == born {
-					h.actGate(h.Gate.ProbeDone(f.w.Now(), f.spec.Name, id, sched.LeafStatus{}, errRefused))
+				if h.incarnation == incarnation {
+					h.applySched(h.Sched.ProbeDone(f.w.Now(), f.spec.Name, id, sched.LeafStatus{}, errRefused))
 				}
 			})
 			return
 		}
-		f.back(h, id, func() {
+		f.atHost(h, id, func() {
 			f.unseen = false
-			h.actGate(h.Gate.ProbeDone(f.w.Now(), f.spec.Name, id, f.sign(), nil))
+			h.applySched(h.Sched.ProbeDone(f.w.Now(), f.spec.Name, id, f.status(), nil))
 		})
 	})
 }
 
-// send runs a call.
+// send sends a call to the leaf and runs it there.
 func (f *Leaf) send(h *Host, s sched.Send) {
-	born := h.incarnation
+	incarnation := h.incarnation
 	result := sched.Result{Leaf: f.spec.Name, Conn: s.Conn, Key: s.Call.Key}
-	f.reach(h, s.Conn, s.NewConn, func(opened bool) {
+	f.atLeaf(h, s.Conn, s.NewConn, func(opened bool) {
 		if !opened {
 			h.do(func() {
-				if h.incarnation == born {
+				if h.incarnation == incarnation {
 					result.DialFailed, result.ConnLost = s.NewConn, true
 					result.Outcome = query.Outcome{Kind: query.NotRun, Reason: query.ReasonUnreachable}
-					h.actGate(h.Gate.CallDone(f.w.Now(), result))
+					h.applySched(h.Sched.CallDone(f.w.Now(), result))
 				}
 			})
 			return
@@ -226,14 +229,14 @@
 }
 
 func (f *Leaf) finish(h *Host, s sched.Send, r sched.Result, o query.Outcome) {
-	f.back(h, s.Conn, func() {
-		r.Outcome, r.Status = o, f.sign()
-		h.actGate(h.Gate.CallDone(f.w.Now(), r))
+	f.atHost(h, s.Conn, func() {
+		r.Outcome, r.Status = o, f.status()
+		h.applySched(h.Sched.CallDone(f.w.Now(), r))
 	})
 }
 
 func (f *Leaf) run(h *Host, s sched.Send, r sched.Result) {
-	j, ok := s.Call.Request.(job)
+	j, ok := s.Call.Request.(leafRequest)
 	if !ok {
 		return
 	}
@@ -242,18 +245,18 @@
 	case f.draining:
 		f.finish(h, s, r, query.Outcome{Kind: query.NotRun, Reason: query.ReasonDraining})
 		return
-	case j.update == nil && !f.has(j.pin, j.shard):
+	case j.update == nil && !f.holdsShard(j.pin, j.shard):
 		f.finish(h, s, r, query.Outcome{Kind: query.NotRun, Reason: query.ReasonSnapshot})
 		return
-	case f.active >= f.bears():
+	case f.active >= f.capacity():
 		switch {
 		case !f.warming:
-			f.over++
+			f.excessWarm++
 		case f.unseen:
-			f.hidden++
-			w.Clock.After(3, func() { f.unseen = false }) // when the reply is back
+			f.excessUnseen++
+			w.Clock.After(3, func() { f.unseen = false }) // when the reply has arrived
 		default:
-			f.excess++
+			f.excessCold++
 		}
 		f.finish(h, s, r, query.Outcome{Kind: query.Shed, Reason: query.ReasonShed})
 		return
@@ -261,7 +264,7 @@
 	f.active++
 	f.calls++
 	f.lastUse = w.Now()
-	w.Stats.use(f)
+	w.Stats.recordCall(f)
 	if j.update != nil {
 		w.Executed[j.update.Update.ID.String()]++
 	}
@@ -276,7 +279,7 @@
 		f.active--
 		f.finish(h, s, r, query.Outcome{Kind: query.Unknown, Reason: query.ReasonLeafError})
 	}
-	span := f.draw(j)
+	span := f.serviceTime(j)
 	if j.update == nil {
 		span = min(span, max(1, s.Call.Deadline-w.Now())) // a leaf stops at the deadline
 	}
@@ -296,8 +299,8 @@
 	})
 }
 
-func (f *Leaf) has(pin topo.SnapshotID, shard int) bool {
-	if mine, ok := f.spec.Shard(pin.Layout); !ok || mine != shard {
+func (f *Leaf) holdsShard(pin topo.SnapshotID, shard int) bool {
+	if held, ok := f.spec.Shard(pin.Layout); !ok || held != shard {
 		return false
 	}
 	for _, p := range f.holds {
@@ -308,23 +311,23 @@
 	return false
 }
 
-// draw is the time of a call. A query's time on a shard does not depend on the
-// replica, so that policies are compared on the same work.
-func (f *Leaf) draw(j job) clock.Milli {
+// serviceTime returns the service time of a call. A query's time on a shard does
+// not depend on the replica, so that all policies run the same work.
+func (f *Leaf) serviceTime(j leafRequest) clock.Milli {
 	base := ServiceTime(f.w.Model, f.w.Seed, uint64(j.entry.Index)<<40|j.query, j.shard)
-	return max(1, clock.Milli(math.Round(base*f.slowness())))
+	return max(1, clock.Milli(math.Round(base*f.serviceFactor())))
 }
 
-// ServiceTime is how long a query takes on a shard, at a warm leaf, in ms.
+// ServiceTime returns how long a query takes on a shard at a warm leaf, in ms.
 func ServiceTime(m Model, seed, query uint64, shard int) float64 {
-	u1 := unit(seed, query, uint64(shard)*2+1)
-	u2 := unit(seed, query, uint64(shard)*2+2)
+	u1 := uniform(seed, query, uint64(shard)*2+1)
+	u2 := uniform(seed, query, uint64(shard)*2+2)
 	normal := math.Sqrt(-2*math.Log(u1)) * math.Cos(2*math.Pi*u2)
-	return m.Service * math.Exp(m.Spread*normal-m.Spread*m.Spread/2)
+	return m.ServiceTime * math.Exp(m.LogStdDev*normal-m.LogStdDev*m.LogStdDev/2)
 }
 
-// unit is a number in (0, 1] that depends on its arguments alone.
-func unit(a, b, c uint64) float64 {
+// uniform returns a number in (0, 1] that depends on its arguments alone.
+func uniform(a, b, c uint64) float64 {
 	x := a*0x9e3779b97f4a7c15 ^ b*0xbf58476d1ce4e5b9 ^ c*0x94d049bb133111eb
 	x ^= x >> 31
 	x *= 0x7fb5d329728ea185
@@ -334,44 +337,45 @@
 	return (float64(x>>11) + 1) / (1 << 53)
 }
 
-// Crash takes a backend server down; it comes back cold.
+// Crash stops a backend server, which restarts cold after restartDelay.
 func (w *World) Crash(server string) {
-	for _, f := range w.order {
+	for _, f := range w.leafOrder {
 		if f.server == server {
 			f.crash()
 		}
 	}
-	w.Clock.After(restartAfter, func() { w.Restart(server) })
+	w.Clock.After(restartDelay, func() { w.Restart(server) })
 }
 
-// Restart brings a server back, cold.
+// Restart starts a server that is down; it is cold.
 func (w *World) Restart(server string) {
-	for _, f := range w.order {
+	for _, f := range w.leafOrder {
 		if f.server == server {
 			f.down = false
-			f.chill()
+			f.restartCold()
 		}
 	}
 }
 
-// chill starts the warm-up with a visible restart.
-func (f *Leaf) chill() {
+// restartCold starts the warm-up under a new incarnation.
+func (f *Leaf) restartCold() {
 	f.incarnation++
 	f.active = 0
 	f.running = map[attemptKey]func(){}
-	f.cold, f.warming, f.unseen = f.w.Now(), true, true
+	f.coldSince, f.warming, f.unseen = f.w.Now(), true, true
 }
 
-// ChillUnseen makes a server cold with no sign of it but its slowness.
-func (w *World) ChillUnseen(server string) {
-	for _, f := range w.order {
+// DropCaches makes a server cold without a restart: only its slower replies
+// show it.
+func (w *World) DropCaches(server string) {
+	for _, f := range w.leafOrder {
 		if f.server == server {
-			f.cold, f.warming, f.unseen = w.Now(), true, true
+			f.coldSince, f.warming, f.unseen = w.Now(), true, true
 		}
 	}
 }
 
-// crash closes all connections of the leaf; what was on them is lost.
+// crash closes all connections of the leaf; the calls on them are lost.
 func (f *Leaf) crash() {
 	f.down = true
 	f.incarnation++
@@ -386,7 +390,7 @@
 	}
 }
 
-// connsOf lists a host's connections in order, so that runs repeat.
+// connsOf lists a host's connections in order, so that runs are reproducible.
 func connsOf(conns map[connKey]bool, h *Host) []connKey {
 	var list []connKey
 	for k := range conns {
@@ -398,23 +402,23 @@
 	return list
 }
 
-// connLost tells the gate that a connection broke: a call on it is lost, an
-// idle one is just closed.
+// connLost reports a broken connection to the scheduler: a call on it is lost,
+// an idle connection is just closed.
 func (h *Host) connLost(f *Leaf, id sched.ConnID) {
 	now := h.World.Now()
-	if key, busy := h.Gate.CallOnConn(f.spec.Name, id); busy {
-		h.actGate(h.Gate.CallDone(now, sched.Result{
+	if key, busy := h.Sched.CallOnConn(f.spec.Name, id); busy {
+		h.applySched(h.Sched.CallDone(now, sched.Result{
 			Leaf: f.spec.Name, Conn: id, Key: key, ConnLost: true,
 			Outcome: query.Outcome{Kind: query.Died, Reason: query.ReasonReset},
 		}))
 		return
 	}
-	h.actGate(h.Gate.ConnClosed(now, f.spec.Name, id))
+	h.applySched(h.Sched.ConnClosed(now, f.spec.Name, id))
 }
 
-// Silence makes a share of all open connections silent for good.
+// Silence makes a share of all open connections silent permanently.
 func (w *World) Silence(share float64) {
-	for _, f := range w.order {
+	for _, f := range w.leafOrder {
 		for _, h := range w.Hosts {
 			for _, k := range connsOf(f.conns, h) {
 				if w.Random.Float64() < share {
@@ -425,19 +429,20 @@
 	}
 }
 
-// Straggle makes a random share of the leafs slower, others back to normal.
-func (w *World) Straggle(share, factor float64) {
-	for _, f := range w.order {
-		f.straggle = 1
+// SetStragglers makes a random share of the leaves slower by a factor and the
+// others normal again.
+func (w *World) SetStragglers(share, factor float64) {
+	for _, f := range w.leafOrder {
+		f.stragglerFactor = 1
 		if w.Random.Float64() < share {
-			f.straggle = factor
+			f.stragglerFactor = factor
 		}
 	}
 }
 
-// Drain makes a backend server leave, or come back.
-func (w *World) Drain(server string, on bool) {
-	for _, f := range w.order {
+// SetDraining makes a backend server drain, or ends its draining.
+func (w *World) SetDraining(server string, on bool) {
+	for _, f := range w.leafOrder {
 		if f.server == server {
 			f.draining = on
 		}
--- a/bench/virt/load.go
+++ b/bench/virt/load.go
@@ -11,28 +11,28 @@
 // Load is a stream of queries to one service.
 type Load struct {
 	Service string
-	// Rate is in queries a second.
+	// Rate is the number of queries per second.
 	Rate float64
-	// Texts is how many different queries there are; some are asked far more
-	// often than others. 0 makes each one new.
+	// Texts is the number of different queries, asked with very uneven
+	// frequencies. With 0 every query is new.
 	Texts   int
 	Callers int
-	// Caller, when set, asks them all.
+	// Caller, if set, sends all queries.
 	Caller string
 	Budget clock.Milli
 	From   clock.Milli
 	Until  clock.Milli
 }
 
-// Capacity is how many queries a second a service can answer, by the slots of
-// all replicas of a shard and the mean service time.
+// Capacity returns how many queries per second a service can answer, from the
+// slots of all replicas of a shard and the mean service time.
 func (w *World) Capacity(v deploy.Service) float64 {
-	perShard := float64(v.Instances*v.Leafs*v.Slots) / float64(v.Shards())
-	return perShard * 1000 / w.Model.Service
+	perShard := float64(v.Instances*v.Leaves*v.Slots) / float64(v.Shards())
+	return perShard * 1000 / w.Model.ServiceTime
 }
 
-// Run starts a stream.
-func (w *World) Run(l Load) {
+// StartLoad starts a stream of queries.
+func (w *World) StartLoad(l Load) {
 	if l.Budget == 0 {
 		l.Budget = deploy.Deadline
 	}
@@ -43,27 +43,27 @@
 			return
 		}
 		n++
-		w.askOne(l, n)
-		w.later(l.Rate, next)
+		w.sendOne(l, n)
+		w.afterInterval(l.Rate, next)
 	}
-	w.Clock.At(l.From, func() { w.later(l.Rate, next) })
+	w.Clock.At(l.From, func() { w.afterInterval(l.Rate, next) })
 }
 
-// later runs f after a time drawn from an exponential distribution. What
-// rounding to whole milliseconds takes away comes back by running several
-// arrivals in one millisecond.
-func (w *World) later(rate float64, f func()) {
+// afterInterval runs f after a time drawn from an exponential distribution.
+// Rounding to whole milliseconds keeps the mean: several arrivals may share one
+// millisecond.
+func (w *World) afterInterval(rate float64, f func()) {
 	w.Clock.After(clock.Milli(math.Floor(w.Random.ExpFloat64()*1000/rate+w.Random.Float64())), f)
 }
 
-func (w *World) askOne(l Load, n int) {
-	h := w.balance()
+func (w *World) sendOne(l Load, n int) {
+	h := w.chooseHost()
 	if h == nil {
 		return
 	}
 	text := fmt.Sprintf("new %d", n)
 	if l.Texts > 0 {
-		// A few texts are asked for most of the time.
+		// The cube makes a few texts far more frequent than the others.
 		u := w.Random.Float64()
 		text = fmt.Sprintf("text %d", int(u*u*u*float64(l.Texts)))
 	}
@@ -71,15 +71,15 @@
 	if caller == "" {
 		caller = fmt.Sprintf("caller-%d", w.Random.IntN(max(1, l.Callers)))
 	}
-	w.Ask(h, l.Service, text, caller, l.Budget, nil)
+	w.SendQuery(h, l.Service, text, caller, l.Budget, nil)
 }
 
-// balance picks a host as the balancer does: any that is ready.
-func (w *World) balance() *Host {
+// chooseHost returns a random ready host, as the balancer does.
+func (w *World) chooseHost() *Host {
 	start := w.Random.IntN(len(w.Hosts))
 	for i := range w.Hosts {
 		h := w.Hosts[(start+i)%len(w.Hosts)]
-		if h.Serves() {
+		if h.Ready() {
 			return h
 		}
 	}
--- a/bench/virt/property_test.go
+++ b/bench/virt/property_test.go
@@ -17,52 +17,52 @@
 	"dandelionstile/share/topo"
 )
 
-// TestMain fixes the seed, so that CI gives the same verdict each time. Other
-// seeds are for the command line: go test ./virt -rapid.seed=N.
+// TestMain fixes the seed, so that CI is deterministic. The command line can
+// set others: go test ./virt -rapid.seed=N.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "12", "rapid.nofailfile": "true"} {
 		if f := flag.Lookup(name); f != nil && f.Value.String() == f.DefValue {
-			_ = flag.Set(name, value) // the names are rapid's own
+			_ = flag.Set(name, value) // the names are rapid's own flags
 		}
 	}
 	os.Exit(m.Run())
 }
 
-// small is a deployment of three failure domains with 24 leafs.
-func small() deploy.Deployment {
+// smallDeployment has three failure domains with 24 leaves.
+func smallDeployment() deploy.Deployment {
 	d := deploy.Kumomaru()
 	d.Hosts = 6
 	d.Services = []deploy.Service{
-		{Name: "app", Instances: 9, Leafs: 2, Slots: 3, Connections: 30, Connect: 6, Replicas: 3, Patience: 100},
-		{Name: "billing", Instances: 6, Leafs: 1, Slots: 2, Connections: 20, Connect: 1, Replicas: 3, Patience: 80},
+		{Name: "app", Instances: 9, Leaves: 2, Slots: 3, Connections: 30, ConnectTime: 6, Replicas: 3, Patience: 100},
+		{Name: "billing", Instances: 6, Leaves: 1, Slots: 2, Connections: 20, ConnectTime: 1, Replicas: 3, Patience: 80},
 	}
 	return d
 }
 
 func newWorld(seed uint64) *World {
-	w := &World{Deployment: small(), Seed: seed, Model: DefaultModel()}
-	w.Model.Warm = 2 * clock.Second
+	w := &World{Deployment: smallDeployment(), Seed: seed, Model: DefaultModel()}
+	w.Model.WarmUp = 2 * clock.Second
 	w.Start()
 	return w
 }
 
-// steady starts light load on all services.
-func steady(w *World, share float64) {
+// startLoad starts light load on all services.
+func startLoad(w *World, share float64) {
 	for _, v := range w.Deployment.Services {
-		w.Run(Load{Service: v.Name, Rate: share * w.Capacity(v), Texts: 200, Callers: 10})
+		w.StartLoad(Load{Service: v.Name, Rate: share * w.Capacity(v), Texts: 200, Callers: 10})
 	}
 }
 
-// chaos is one drawn run: a schedule of failures over a world under load.
+// chaos is one randomly drawn run: a schedule of failures in a world under load.
 type chaos struct {
-	t   *rapid.T
-	w   *World
-	ids []sent
+	t       *rapid.T
+	w       *World
+	updates []sentUpdate
 }
 
-// sent is an update with what its callers were told.
-type sent struct {
+// sentUpdate is an update with the results that its callers got.
+type sentUpdate struct {
 	id      dedup.ID
 	body    string
 	results *[]query.Kind
@@ -79,7 +79,7 @@
 	return c.w.Deployment.Domains[rapid.IntRange(0, 2).Draw(c.t, "domain")].Name
 }
 
-// step draws one failure, recovery or request.
+// step draws and executes one failure, recovery or request.
 func (c *chaos) step() {
 	w := c.w
 	switch rapid.IntRange(0, 15).Draw(c.t, "step") {
@@ -96,15 +96,15 @@
 	case 2:
 		c.host().Pause()
 	case 3:
-		c.host().Wake()
+		c.host().Resume()
 	case 4:
-		w.Cut(c.domain(), true)
+		w.SetPartitioned(c.domain(), true)
 	case 5:
-		w.Cut(c.domain(), false)
+		w.SetPartitioned(c.domain(), false)
 	case 6:
 		w.Crash(c.server())
 	case 7:
-		w.Drain(c.server(), rapid.Bool().Draw(c.t, "on"))
+		w.SetDraining(c.server(), rapid.Bool().Draw(c.t, "on"))
 	case 8:
 		w.Silence(0.1)
 	case 9:
@@ -120,13 +120,13 @@
 	}
 }
 
-// switchSnapshots moves leafs to a new version, or to the other layout, some
-// now and some later.
+// switchSnapshots moves the leaves to a new version or to the other layout, at
+// different times.
 func (c *chaos) switchSnapshots() {
 	layout := uint32(rapid.IntRange(1, 2).Draw(c.t, "layout"))
 	version := uint64(rapid.IntRange(1, 5).Draw(c.t, "version"))
 	keep := rapid.Bool().Draw(c.t, "keep")
-	for _, f := range c.w.order {
+	for _, f := range c.w.leafOrder {
 		old := f.holds
 		c.w.Clock.After(clock.Milli(c.w.Random.IntN(2000)), func() {
 			next := []topo.SnapshotID{{Layout: layout, Version: version}}
@@ -138,37 +138,37 @@
 	}
 }
 
-// update sends a new update, or an old one again, through any host.
+// update sends a new update, or resends an old one, through random hosts.
 func (c *chaos) update() {
 	h := c.host()
-	var s sent
-	if len(c.ids) > 0 && rapid.Bool().Draw(c.t, "again") {
-		s = c.ids[rapid.IntRange(0, len(c.ids)-1).Draw(c.t, "which")]
+	var s sentUpdate
+	if len(c.updates) > 0 && rapid.Bool().Draw(c.t, "again") {
+		s = c.updates[rapid.IntRange(0, len(c.updates)-1).Draw(c.t, "which")]
 	} else {
 		id, ok := c.w.Mint(h)
 		if !ok {
 			return
 		}
-		s = sent{id: id, body: fmt.Sprintf("body %s", id), results: &[]query.Kind{}}
-		c.ids = append(c.ids, s)
+		s = sentUpdate{id: id, body: fmt.Sprintf("body %s", id), results: &[]query.Kind{}}
+		c.updates = append(c.updates, s)
 	}
 	for range rapid.IntRange(1, 2).Draw(c.t, "copies") {
 		through := c.host()
-		c.w.Update(through, s.id, "billing", s.body, 800, func(r fanout.UpdateResult) {
+		c.w.SendUpdate(through, s.id, "billing", s.body, 800, func(r fanout.UpdateResult) {
 			*s.results = append(*s.results, r.Kind)
 		})
 	}
 }
 
-// Callers are billed twice, get rows of two snapshots in one answer, rows of
-// another's query, or a coverage that is not true. It takes several failures at
-// once: hosts die, pause and wake with old beliefs, domains are cut, servers
-// crash and drain, indexes switch and reshape, and updates are sent again
-// through other hosts all the while. None of it may break a promise.
-func TestPromisesUnderChaos(t *testing.T) {
+// Guards against updates that run twice, answers with rows of two snapshots or
+// of another query, and wrong coverage. They come about when failures coincide:
+// hosts die, pause and resume with stale state, domains are partitioned,
+// servers crash and drain, snapshots and layouts switch, and callers resend
+// updates through other hosts.
+func TestSafetyUnderChaos(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64Range(1, 1000).Draw(t, "seed"))
-		steady(w, 0.15)
+		startLoad(w, 0.15)
 		w.Clock.Run(3 * clock.Second)
 		c := &chaos{t: t, w: w}
 		for range rapid.IntRange(5, 25).Draw(t, "steps") {
@@ -177,19 +177,19 @@
 		}
 		w.Clock.Run(w.Now() + 3*clock.Second)
 		for _, fault := range w.Stats.Faults {
-			t.Fatalf("promise broken: %s", fault)
+			t.Fatalf("safety property violated: %s", fault)
 		}
-		for _, s := range c.ids {
+		for _, s := range c.updates {
 			c.checkUpdate(s)
 		}
 		if most := w.MaxConns(); most > 1 {
-			t.Fatalf("a leaf had %.2f times the connections that it accepts", most)
+			t.Fatalf("a leaf had %.2f times its connection limit", most)
 		}
 	})
 }
 
-// updatesAmidLoss sends several updates and lets something fail while they are
-// on their way or at their leafs.
+// updatesAmidLoss sends several updates and injects a failure while they are on
+// the network or at their leaves.
 func (c *chaos) updatesAmidLoss() {
 	for range 6 {
 		c.update()
@@ -206,49 +206,50 @@
 	}
 }
 
-func (c *chaos) checkUpdate(s sent) {
+func (c *chaos) checkUpdate(s sentUpdate) {
 	ran := c.w.Executed[s.id.String()]
 	if ran > 1 {
-		c.t.Fatalf("update %s ran %d times; its callers were told %v", s.id, ran, *s.results)
+		c.t.Fatalf("update %s ran %d times; its callers got %v", s.id, ran, *s.results)
 	}
-	told := map[query.Kind]int{}
+	kinds := map[query.Kind]int{}
 	for _, k := range *s.results {
-		told[k]++
+		kinds[k]++
 	}
-	if told[query.OK] > 0 && ran != 1 {
+	if kinds[query.OK] > 0 && ran != 1 {
 		c.t.Fatalf("update %s was confirmed and ran %d times", s.id, ran)
 	}
-	if len(*s.results) > 0 && told[query.NotRun]+told[query.Shed] == len(*s.results) && ran != 0 {
-		c.t.Fatalf("update %s was said not to have run, and ran", s.id)
+	if len(*s.results) > 0 && kinds[query.NotRun]+kinds[query.Shed] == len(*s.results) && ran != 0 {
+		c.t.Fatalf("update %s ran, but all its results say that it did not", s.id)
 	}
 }
 
-// With its peers and servers well again, a fleet must come back by itself: no
-// queue, limit, quarantine or belief from the failure may hold it down.
+// Guards against a fleet that stays degraded after its peers and servers have
+// recovered, held down by a queue, limit, quarantine or stale state that is left
+// from the failure.
 func TestServiceReturnsAfterChaos(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64Range(1, 1000).Draw(t, "seed"))
-		steady(w, 0.3)
+		startLoad(w, 0.3)
 		w.Clock.Run(3 * clock.Second)
 		c := &chaos{t: t, w: w}
 		for range rapid.IntRange(5, 15).Draw(t, "steps") {
 			c.step()
 			w.Clock.Run(w.Now() + clock.Milli(rapid.IntRange(5, 500).Draw(t, "wait")))
 		}
-		w.Clock.Run(w.Now() + 2*clock.Second) // what is still to come of the chaos
+		w.Clock.Run(w.Now() + 2*clock.Second) // events that are still scheduled
 		for _, d := range w.Deployment.Domains {
-			w.Cut(d.Name, false)
+			w.SetPartitioned(d.Name, false)
 		}
 		for _, h := range w.Hosts {
 			if h.down {
 				h.Restart()
 			}
-			h.Wake()
+			h.Resume()
 		}
 		for _, s := range w.Config.Inventory.Servers {
-			w.Drain(s.Name, false)
+			w.SetDraining(s.Name, false)
 		}
-		for _, f := range w.order {
+		for _, f := range w.leafOrder {
 			f.SetSnapshots(topo.SnapshotID{Layout: 1, Version: 9})
 		}
 		w.Publish(topo.Rules{}, 200)
@@ -261,17 +262,18 @@
 	})
 }
 
-// Cold servers collapse when two hosts each give them all that they bear. Here
-// servers restart cold under load while aggregators change, die and come back.
-func TestColdServersGetNoMoreThanTheyBear(t *testing.T) {
+// Guards against the collapse of cold servers when two hosts each send them
+// their full capacity: servers restart cold under load while aggregators
+// change, die and come back.
+func TestColdServersStayWithinCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64Range(1, 1000).Draw(t, "seed"))
-		steady(w, 0.4)
+		startLoad(w, 0.4)
 		w.Clock.Run(5 * clock.Second)
 		c := &chaos{t: t, w: w}
 		w.Crash(c.server())
 		w.Crash(c.server())
-		w.Clock.Run(w.Now() + restartAfter + clock.Milli(rapid.IntRange(0, 1500).Draw(t, "into the ramp")))
+		w.Clock.Run(w.Now() + restartDelay + clock.Milli(rapid.IntRange(0, 1500).Draw(t, "into the ramp")))
 		h := c.host()
 		switch rapid.IntRange(0, 3).Draw(t, "change") {
 		case 0:
@@ -282,21 +284,21 @@
 			w.PublishHosts(300)
 		case 2:
 			h.Pause()
-			w.Clock.After(clock.Milli(rapid.IntRange(100, 4000).Draw(t, "pause")), h.Wake)
+			w.Clock.After(clock.Milli(rapid.IntRange(100, 4000).Draw(t, "pause")), h.Resume)
 		case 3:
 			w.PublishHosts(300)
 		}
 		w.Clock.Run(w.Now() + 6*clock.Second)
 		if excess, _, _ := w.Excess(); excess > 0 {
-			t.Fatalf("%d requests beyond what the leafs bore: %s", excess, w.Stats.Summary())
+			t.Fatalf("%d requests beyond the capacity of the leaves: %s", excess, w.Stats.Summary())
 		}
 	})
 }
 
-// A domain's servers all restart cold at once.
+// Guards against overload of a domain whose servers all restart cold at once.
 func TestWholeDomainRestartsCold(t *testing.T) {
 	w := newWorld(3)
-	steady(w, 0.4)
+	startLoad(w, 0.4)
 	w.Clock.Run(5 * clock.Second)
 	for _, s := range w.Config.Inventory.Servers {
 		if s.Domain == "sendai" {
--- a/bench/virt/stats.go
+++ b/bench/virt/stats.go
@@ -14,45 +14,45 @@
 	"dandelionstile/share/topo"
 )
 
-// errRefused is what a probe meets at a server that is down.
+// errRefused is the error of a probe to a server that is down.
 var errRefused = errors.New("connection refused")
 
-// Second is what happened within one second.
+// Second counts the events of one second.
 type Second struct {
-	Asked    int
+	Queries  int
 	Complete int
 	Partial  int
 	Refused  int
 	Calls    int
 }
 
-// Stats is what a run measured.
+// Stats holds the measurements of a run.
 type Stats struct {
-	Latency  *hdrhistogram.Histogram // of answered queries, at the caller, in ms
-	Seconds  []Second
-	Asked    int
-	Answered int
-	Complete int
-	Refused  map[query.Reason]int
-	Missing  map[query.Reason]int
-	Shards   int
-	Covered  int
-	First    int
-	Extra    int
-	Faults   []string
-	Notes    map[string]int
-	Crashes  map[string][]clock.Milli
-	Updates  map[query.Kind]int
-	// Others are the latencies of callers that are not greedy.
-	Others   *hdrhistogram.Histogram
-	domains  map[string]clock.Milli // last new work by domain
-	pending  map[uint64]asked
-	remote   map[uint64]func(fanout.UpdateResult)
-	onUpdate map[uint64]func(fanout.UpdateResult)
-	onAnswer map[uint64]func(query.Answer)
+	Latency    *hdrhistogram.Histogram // of answered queries, at the caller, in ms
+	Seconds    []Second
+	Queries    int
+	Answered   int
+	Complete   int
+	Refused    map[query.Reason]int
+	Missing    map[query.Reason]int
+	Shards     int
+	Covered    int
+	FirstCalls int
+	ExtraCalls int
+	Faults     []string
+	LeafEvents map[string]int
+	Crashes    map[string][]clock.Milli
+	Updates    map[query.Kind]int
+	// OthersLatency is the latency of all callers except GreedyCaller, in ms.
+	OthersLatency *hdrhistogram.Histogram
+	lastCall      map[string]clock.Milli // time of the last leaf call by failure domain
+	pending       map[uint64]pendingQuery
+	onForwarded   map[uint64]func(fanout.UpdateResult)
+	onUpdate      map[uint64]func(fanout.UpdateResult)
+	onAnswer      map[uint64]func(query.Answer)
 }
 
-type asked struct {
+type pendingQuery struct {
 	at      clock.Milli
 	service string
 	text    string
@@ -63,20 +63,20 @@
 
 func (s *Stats) init() {
 	*s = Stats{
-		Latency: newHistogram(), Others: newHistogram(), Refused: map[query.Reason]int{}, Missing: map[query.Reason]int{},
-		Notes: map[string]int{}, Crashes: map[string][]clock.Milli{}, Updates: map[query.Kind]int{},
-		domains: map[string]clock.Milli{}, pending: map[uint64]asked{},
-		remote: map[uint64]func(fanout.UpdateResult){}, onUpdate: map[uint64]func(fanout.UpdateResult){},
+		Latency: newHistogram(), OthersLatency: newHistogram(), Refused: map[query.Reason]int{}, Missing: map[query.Reason]int{},
+		LeafEvents: map[string]int{}, Crashes: map[string][]clock.Milli{}, Updates: map[query.Kind]int{},
+		lastCall: map[string]clock.Milli{}, pending: map[uint64]pendingQuery{},
+		onForwarded: map[uint64]func(fanout.UpdateResult){}, onUpdate: map[uint64]func(fanout.UpdateResult){},
 		onAnswer: map[uint64]func(query.Answer){},
 	}
 }
 
-// Reset forgets what was measured so far, but not what is under way.
+// Reset clears the measurements, but keeps the pending requests and the faults.
 func (s *Stats) Reset() {
-	pending, remote, onUpdate, onAnswer := s.pending, s.remote, s.onUpdate, s.onAnswer
+	pending, onForwarded, onUpdate, onAnswer := s.pending, s.onForwarded, s.onUpdate, s.onAnswer
 	faults := s.Faults
 	s.init()
-	s.pending, s.remote, s.onUpdate, s.onAnswer, s.Faults = pending, remote, onUpdate, onAnswer, faults
+	s.pending, s.onForwarded, s.onUpdate, s.onAnswer, s.Faults = pending, onForwarded, onUpdate, onAnswer, faults
 }
 
 func (s *Stats) second(now clock.Milli) *Second {
@@ -87,38 +87,39 @@
 	return &s.Seconds[i]
 }
 
-func (s *Stats) use(f *Leaf) {
+func (s *Stats) recordCall(f *Leaf) {
 	now := f.w.Now()
-	s.domains[f.domain] = now
+	s.lastCall[f.domain] = now
 	s.second(now).Calls++
 }
 
-// LastWork is when a failure domain last got new work.
-func (s *Stats) LastWork(domain string) clock.Milli { return s.domains[domain] }
+// LastWork returns the time of the last leaf call in a failure domain.
+func (s *Stats) LastWork(domain string) clock.Milli { return s.lastCall[domain] }
 
-// Quantile is a latency at the callers in ms.
+// Quantile returns a quantile of the latency at the callers, in ms.
 func (s *Stats) Quantile(q float64) float64 { return float64(s.Latency.ValueAtQuantile(q)) }
 
-// ExtraShare is the leaf calls beyond the first per shard, per first call.
+// ExtraShare is the ratio of extra leaf calls, those beyond the first per shard,
+// to first calls.
 func (s *Stats) ExtraShare() float64 {
-	if s.First == 0 {
+	if s.FirstCalls == 0 {
 		return 0
 	}
-	return float64(s.Extra) / float64(s.First)
+	return float64(s.ExtraCalls) / float64(s.FirstCalls)
 }
 
 // CompleteShare is the share of all queries that got a complete answer.
 func (s *Stats) CompleteShare() float64 {
-	if s.Asked == 0 {
+	if s.Queries == 0 {
 		return 0
 	}
-	return float64(s.Complete) / float64(s.Asked)
+	return float64(s.Complete) / float64(s.Queries)
 }
 
-// Partial is how many answers lacked shards.
+// Partial is the number of answers with missing shards.
 func (s *Stats) Partial() int { return s.Answered - s.Complete }
 
-// CoveredShare is the share of shards in the answers that were given.
+// CoveredShare is the share of the shards that answers cover.
 func (s *Stats) CoveredShare() float64 {
 	if s.Shards == 0 {
 		return 0
@@ -132,42 +133,43 @@
 	for _, r := range s.Refused {
 		n += r
 	}
-	if s.Asked == 0 {
+	if s.Queries == 0 {
 		return 0
 	}
-	return float64(n) / float64(s.Asked)
+	return float64(n) / float64(s.Queries)
 }
 
 func rowKey(service string, pin topo.SnapshotID, shard int) string {
 	return fmt.Sprintf("%s/%s/%d", service, pin, shard)
 }
 
-// Ask sends a query to a host, after the way from the caller.
-func (w *World) Ask(h *Host, service, text, caller string, budget clock.Milli, done func(query.Answer)) {
+// SendQuery sends a query from a caller to a host; it arrives after the
+// caller's latency.
+func (w *World) SendQuery(h *Host, service, text, caller string, budget clock.Milli, done func(query.Answer)) {
 	w.nextID++
 	id := w.nextID
 	now := w.Now()
-	w.Stats.Asked++
-	w.Stats.second(now).Asked++
-	w.Stats.pending[id] = asked{at: now, service: service, text: text, caller: caller}
+	w.Stats.Queries++
+	w.Stats.second(now).Queries++
+	w.Stats.pending[id] = pendingQuery{at: now, service: service, text: text, caller: caller}
 	if done != nil {
 		w.Stats.onAnswer[id] = done
 	}
-	w.Clock.After(w.Deployment.Caller, func() {
+	w.Clock.After(w.Deployment.CallerLatency, func() {
 		h.do(func() {
-			h.actFan(h.Fan.StartQuery(w.Now(), fanout.Request{
+			h.applyFanout(h.Fanout.StartQuery(w.Now(), fanout.Request{
 				ID: id, Service: service, Text: text, Caller: caller, Limit: 1000, Deadline: w.Now() + budget,
 			}))
 		})
 	})
 }
 
-// answered takes a query's answer on its way to the caller, and checks it.
+// answered records an answer and verifies it.
 func (w *World) answered(_ *Host, a fanout.Answered) {
 	s := &w.Stats
 	q, ok := s.pending[a.Query]
 	if !ok {
-		w.fault(fmt.Sprintf("query %d was answered twice, or never asked", a.Query))
+		w.fault(fmt.Sprintf("query %d is unknown or has been answered before", a.Query))
 		return
 	}
 	delete(s.pending, a.Query)
@@ -175,12 +177,12 @@
 		delete(s.onAnswer, a.Query)
 		done(a.Answer)
 	}
-	now := w.Now() + w.Deployment.Caller
-	// A query counts for the second in which it was asked: one that takes longer
-	// than before would otherwise look like one that was lost.
+	now := w.Now() + w.Deployment.CallerLatency
+	// A query counts in the second in which it was sent; otherwise a slower query
+	// would look like a lost one.
 	sec := s.second(q.at)
-	s.First += a.Answer.Calls - a.Answer.Extra
-	s.Extra += a.Answer.Extra
+	s.FirstCalls += a.Answer.Calls - a.Answer.Extra
+	s.ExtraCalls += a.Answer.Extra
 	if a.Answer.Refused != query.ReasonNone {
 		s.Refused[a.Answer.Refused]++
 		sec.Refused++
@@ -188,9 +190,9 @@
 	}
 	w.verify(q, a.Answer)
 	s.Answered++
-	_ = s.Latency.RecordValue(int64(max(1, now-q.at))) // bounded by the budgets
-	if q.caller != Greedy {
-		_ = s.Others.RecordValue(int64(max(1, now-q.at)))
+	_ = s.Latency.RecordValue(int64(max(1, now-q.at))) // the query's budget keeps it in range
+	if q.caller != GreedyCaller {
+		_ = s.OthersLatency.RecordValue(int64(max(1, now-q.at)))
 	}
 	s.Shards += a.Answer.Coverage.Shards
 	s.Covered += a.Answer.Coverage.Answered
@@ -205,12 +207,12 @@
 	}
 }
 
-// Greedy is the name of the caller that asks far more than the others.
-const Greedy = "greedy"
+// GreedyCaller is the name of the caller that sends far more than the others.
+const GreedyCaller = "greedy"
 
-// verify checks an answer row by row: all rows of the answered shards, from the
-// pinned snapshot, for this query, and none of a missing shard.
-func (w *World) verify(q asked, a query.Answer) {
+// verify checks the rows of an answer: one row of each answered shard, from the
+// pinned snapshot and for this query, and none of a missing shard.
+func (w *World) verify(q pendingQuery, a query.Answer) {
 	c := a.Coverage
 	if c.Answered+len(c.Missing) != c.Shards {
 		w.fault(fmt.Sprintf("coverage does not add up: %+v", c))
@@ -219,7 +221,7 @@
 	for _, m := range c.Missing {
 		missing[rowKey(q.service, a.Pin, m.Shard)] = true
 	}
-	seen := 0
+	rows := 0
 	for _, r := range a.Rows {
 		if !strings.HasPrefix(r.Key, q.service+"/"+a.Pin.String()+"/") {
 			w.fault("row of another service or snapshot: " + r.Key + " in " + a.Pin.String())
@@ -228,20 +230,20 @@
 			w.fault("row of another query: " + r.Text)
 		}
 		if missing[r.Key] {
-			w.fault("row of a shard that is said to be missing: " + r.Key)
+			w.fault("row of a shard that is listed as missing: " + r.Key)
 		}
-		seen++
+		rows++
 	}
-	if seen != c.Answered {
-		w.fault(fmt.Sprintf("%d rows for %d answered shards", seen, c.Answered))
+	if rows != c.Answered {
+		w.fault(fmt.Sprintf("%d rows for %d answered shards", rows, c.Answered))
 	}
 }
 
-// Pending is how many queries have no answer yet.
+// Pending returns the number of queries without an answer.
 func (w *World) Pending() int { return len(w.Stats.pending) }
 
-// Young is how many pending queries were asked within a span.
-func (w *World) Young(span clock.Milli) int {
+// PendingWithin returns the number of pending queries sent within the last span.
+func (w *World) PendingWithin(span clock.Milli) int {
 	n := 0
 	for _, q := range w.Stats.pending {
 		if w.Now()-q.at <= span {
@@ -251,17 +253,17 @@
 	return n
 }
 
-// Summary lists refusals, missing shards and leaf events by their causes.
+// Summary lists refusals, missing shards and leaf events by cause.
 func (s *Stats) Summary() string {
 	var lines []string
-	for why, n := range s.Refused {
-		lines = append(lines, fmt.Sprintf("refused %s %d", why, n))
+	for reason, n := range s.Refused {
+		lines = append(lines, fmt.Sprintf("refused %s %d", reason, n))
 	}
-	for why, n := range s.Missing {
-		lines = append(lines, fmt.Sprintf("missing %s %d", why, n))
+	for reason, n := range s.Missing {
+		lines = append(lines, fmt.Sprintf("missing %s %d", reason, n))
 	}
-	for what, n := range s.Notes {
-		lines = append(lines, fmt.Sprintf("%s %d", what, n))
+	for event, n := range s.LeafEvents {
+		lines = append(lines, fmt.Sprintf("%s %d", event, n))
 	}
 	sort.Strings(lines)
 	return strings.Join(lines, "; ")
--- a/bench/virt/world.go
+++ b/bench/virt/world.go
@@ -1,7 +1,6 @@
-// Package virt drives the product's decisions under a virtual clock: the same
-// engines that the programs run, joined by small fakes at their interfaces (a
-// network with delays and cuts, leafs, callers). A run with one seed is the same
-// each time.
+// Package virt runs the decision engines of the programs under a virtual clock,
+// joined by small fakes at their interfaces: a network with delays and
+// partitions, leaves and callers. Runs with the same seed are identical.
 package virt
 
 import (
@@ -14,69 +13,69 @@
 	"dandelionstile/share/topo"
 )
 
-// Policies are the settings under test.
+// Policies are the engine settings under test.
 type Policies struct {
 	Fanout fanout.Policy
-	Gate   sched.Policy
+	Sched  sched.Policy
 }
 
-// Baseline is what the product is compared with: a random replica, three fixed
-// retries, no hedges, no ramp, a fixed limit, nothing turned away at the door.
+// Baseline is the reference for comparisons: a random replica, three fixed
+// retries, no hedges, no ramp, a fixed limit and no admission control.
 func Baseline() Policies {
 	return Policies{
 		Fanout: fanout.Policy{
 			Choice: fanout.ChooseRandom, FixedRetries: 3, NoHedge: true, NoCanary: true, NoBackpressure: true,
 		},
-		Gate: sched.Policy{NoRamp: true, NoFairness: true, Order: sched.OrderOldest, QueuePerSlot: 64},
+		Sched: sched.Policy{NoRamp: true, NoFairness: true, Order: sched.OrderOldest, QueuePerSlot: 64},
 	}
 }
 
-// Timing of the fakes.
+// Intervals and delays of the simulation.
 const (
-	fanTick  clock.Milli = 2
-	gateTick clock.Milli = 5
-	// noticeCut is how long a host takes to notice that a peer is silent.
-	noticeCut = 2 * clock.Second
+	fanoutTickInterval clock.Milli = 2
+	schedTickInterval  clock.Milli = 5
+	// detectionTime is how long a host takes to notice that a peer is unreachable.
+	detectionTime = 2 * clock.Second
 )
 
-// World is one run. Fields above the line are set before Start.
+// World is one simulation run. Deployment to Strict are set before Start.
 type World struct {
 	Deployment deploy.Deployment
 	Policies   Policies
 	Seed       uint64
 	Model      Model
-	// Strict makes a broken safety property end the run at once.
+	// Strict, if set, is called on a violated safety property, to end the run.
 	Strict func(fault string)
 
-	Clock  clock.Virtual
-	Random *rand.Rand
-	Config *topo.Config
-	Hosts  []*Host
-	Leafs  map[string]*Leaf
-	order  []*Leaf
-	Stats  Stats
-	cuts   map[pair]bool
-	nextID uint64
+	Clock      clock.Virtual
+	Random     *rand.Rand
+	Config     *topo.Config
+	Hosts      []*Host
+	Leaves     map[string]*Leaf
+	leafOrder  []*Leaf
+	Stats      Stats
+	partitions map[domainPair]bool
+	nextID     uint64
 	// Executed counts the executions of each update.
 	Executed map[string]int
 }
 
-type pair struct{ a, b string }
+type domainPair struct{ a, b string }
 
-// Start builds hosts and leafs and lets them link up. All leafs are warm.
+// Start builds hosts and leaves and connects them. All leaves are warm.
 func (w *World) Start() {
 	w.Random = rand.New(rand.NewPCG(w.Seed, 0x5eed))
-	w.cuts = map[pair]bool{}
+	w.partitions = map[domainPair]bool{}
 	w.Executed = map[string]int{}
 	w.Stats.init()
 	w.Config = w.Deployment.Config(1, topo.Rules{})
-	w.Leafs = map[string]*Leaf{}
+	w.Leaves = map[string]*Leaf{}
 	for _, s := range w.Config.Inventory.Servers {
 		v, _ := w.Deployment.Service(s.Service)
 		for _, l := range s.Leaves {
 			f := newLeaf(w, s, l, v)
-			w.Leafs[l.Name] = f
-			w.order = append(w.order, f)
+			w.Leaves[l.Name] = f
+			w.leafOrder = append(w.leafOrder, f)
 		}
 	}
 	for i, h := range w.Deployment.HostList() {
@@ -85,32 +84,32 @@
 	for _, h := range w.Hosts {
 		h.boot()
 	}
-	w.every(gateTick, func() {
+	w.every(schedTickInterval, func() {
 		for _, h := range w.Hosts {
-			h.do(h.tickGate)
+			h.do(h.tickSched)
 		}
 	})
-	w.every(fanTick, func() {
+	w.every(fanoutTickInterval, func() {
 		for _, h := range w.Hosts {
-			h.do(h.tickFan)
+			h.do(h.tickFanout)
 		}
 	})
 }
 
-// every runs f again and again.
+// every runs f periodically.
 func (w *World) every(d clock.Milli, f func()) {
-	var again func()
-	again = func() {
+	var run func()
+	run = func() {
 		f()
-		w.Clock.After(d, again)
+		w.Clock.After(d, run)
 	}
-	w.Clock.After(d, again)
+	w.Clock.After(d, run)
 }
 
 // Now is the virtual time.
 func (w *World) Now() clock.Milli { return w.Clock.Now() }
 
-// fault reports a broken safety property.
+// fault records a violated safety property.
 func (w *World) fault(text string) {
 	w.Stats.Faults = append(w.Stats.Faults, text)
 	if w.Strict != nil {
@@ -118,8 +117,8 @@
 	}
 }
 
-// live lists the hosts that are up, as a host list.
-func (w *World) live() []topo.Host {
+// liveHosts lists the hosts that are up.
+func (w *World) liveHosts() []topo.Host {
 	var list []topo.Host
 	for _, h := range w.Hosts {
 		if !h.down {
@@ -129,36 +128,37 @@
 	return list
 }
 
-// Publish puts rules in force on all hosts, each after a delay of its own.
-func (w *World) Publish(rules topo.Rules, most clock.Milli) {
+// Publish applies rules on all hosts, on each after a random delay.
+func (w *World) Publish(rules topo.Rules, maxDelay clock.Milli) {
 	w.Config = w.Deployment.Config(w.Config.Version+1, rules)
 	cfg := w.Config
 	for _, h := range w.Hosts {
-		w.Clock.After(w.upTo(most), func() { h.do(func() { h.configure(cfg) }) })
+		w.Clock.After(w.randomDelay(maxDelay), func() { h.do(func() { h.configure(cfg) }) })
 	}
 }
 
-// PublishHosts puts the present host list in force on all hosts.
-func (w *World) PublishHosts(most clock.Milli) {
+// PublishHosts applies the current host list on all hosts, on each after a
+// random delay.
+func (w *World) PublishHosts(maxDelay clock.Milli) {
 	for _, h := range w.Hosts {
-		w.Clock.After(w.upTo(most), func() { h.do(func() { h.configure(h.cfg) }) })
+		w.Clock.After(w.randomDelay(maxDelay), func() { h.do(func() { h.configure(h.cfg) }) })
 	}
 }
 
-func (w *World) upTo(most clock.Milli) clock.Milli {
-	if most <= 0 {
+func (w *World) randomDelay(limit clock.Milli) clock.Milli {
+	if limit <= 0 {
 		return 0
 	}
-	return clock.Milli(w.Random.Int64N(int64(most) + 1))
+	return clock.Milli(w.Random.Int64N(int64(limit) + 1))
 }
 
-// delay is the one-way latency between two failure domains. Half a millisecond
-// within a region is drawn as nothing or one.
+// delay returns the one-way latency between two failure domains. A latency of
+// 0.5 ms within a region is drawn as 0 or 1 ms.
 func (w *World) delay(a, b string) clock.Milli {
 	if a == b || w.region(a) == w.region(b) {
 		return clock.Milli(w.Random.IntN(2))
 	}
-	return w.Deployment.Region + clock.Milli(w.Random.IntN(2))
+	return w.Deployment.RegionLatency + clock.Milli(w.Random.IntN(2))
 }
 
 func (w *World) region(domain string) string {
@@ -170,54 +170,54 @@
 	return ""
 }
 
-// Cut cuts a failure domain off from all others, or heals it. The hosts notice
-// after a while.
-func (w *World) Cut(domain string, on bool) {
+// SetPartitioned partitions a failure domain from all others, or heals it. The
+// hosts notice after detectionTime.
+func (w *World) SetPartitioned(domain string, on bool) {
 	for _, d := range w.Deployment.Domains {
 		if d.Name != domain {
-			w.cuts[pair{d.Name, domain}] = on
-			w.cuts[pair{domain, d.Name}] = on
+			w.partitions[domainPair{d.Name, domain}] = on
+			w.partitions[domainPair{domain, d.Name}] = on
 		}
 	}
-	w.Clock.After(noticeCut, func() {
+	w.Clock.After(detectionTime, func() {
 		for _, h := range w.Hosts {
 			h.do(h.relink)
 		}
 	})
 }
 
-func (w *World) cut(a, b string) bool { return w.cuts[pair{a, b}] }
+func (w *World) partitioned(a, b string) bool { return w.partitions[domainPair{a, b}] }
 
-// deliver runs f at a host after the network's delay, unless the way is cut or
-// the host is down by then.
+// deliver runs f at a host after the network latency, unless the domains are
+// partitioned or the host is down by then.
 func (w *World) deliver(from string, to *Host, f func()) {
-	if w.cut(from, to.Domain) {
+	if w.partitioned(from, to.Domain) {
 		return
 	}
 	w.Clock.After(w.delay(from, to.Domain), func() {
-		if !w.cut(from, to.Domain) {
+		if !w.partitioned(from, to.Domain) {
 			to.do(f)
 		}
 	})
 }
 
-// Excess counts the requests beyond what leafs could bear: cold ones, cold ones
-// that had given no sign of it, and warm ones.
+// Excess counts the requests beyond the capacity of leaves: of cold ones, of
+// cold ones before a reply showed it, and of warm ones.
 func (w *World) Excess() (cold, unseen, warm int) {
-	for _, f := range w.order {
-		cold += f.excess
-		unseen += f.hidden
-		warm += f.over
+	for _, f := range w.leafOrder {
+		cold += f.excessCold
+		unseen += f.excessUnseen
+		warm += f.excessWarm
 	}
 	return cold, unseen, warm
 }
 
-// MaxConns is the most connections that any leaf ever had, as a share of what
-// it accepts.
+// MaxConns returns the largest number of connections that a leaf ever had, as a
+// share of its limit.
 func (w *World) MaxConns() float64 {
-	most := 0.0
-	for _, f := range w.order {
-		most = max(most, float64(f.mostConns)/float64(f.spec.Connections))
+	highest := 0.0
+	for _, f := range w.leafOrder {
+		highest = max(highest, float64(f.maxConns)/float64(f.spec.Connections))
 	}
-	return most
+	return highest
 }
