--- a/bench/scene/clairvoyant.go
+++ b/bench/scene/clairvoyant.go
@@ -10,10 +10,11 @@
 	"dandelionstile/share/clock"
 )
 
-// The clairvoyant scheduler is the bound for tail latency: one queue per shard,
-// shared by the slots of all its replicas, with no delay in what it knows, and
-// the same arrivals and service times as a run.
+// The clairvoyant scheduler is the lower bound of tail latency: one queue per
+// shard, shared by the slots of all its replicas, with perfect knowledge and the
+// arrival rates and service times of a run.
 
+// freeHeap orders slots by the time at which they become free.
 type freeHeap []float64
 
 func (h freeHeap) Len() int           { return len(h) }
@@ -31,7 +32,7 @@
 	return x
 }
 
-// clairvoyant returns the 99th percentile over all services, in ms.
+// clairvoyant returns the 99th percentile of latency over all services, in ms.
 func clairvoyant(w *virt.World, d deploy.Deployment, share float64, span clock.Milli) float64 {
 	all := hdrhistogram.New(1, 60000, 3)
 	for i, v := range d.Services {
@@ -44,7 +45,7 @@
 		at, n := 0.0, uint64(0)
 		for at < float64(span) {
 			n++
-			at += expFloat(w, rate)
+			at += interarrival(w, rate)
 			end := at
 			for s := range queues {
 				begin := max(at, heap.Pop(&queues[s]).(float64))
@@ -52,16 +53,16 @@
 				heap.Push(&queues[s], done)
 				end = max(end, done)
 			}
-			// The way from the caller and back, and to the leaf and back.
+			// The latency between caller and host and between host and leaf, both ways.
 			_ = all.RecordValue(int64(end - at + float64(2*d.CallerLatency) + 2)) // bounded by the span
 		}
 	}
 	return float64(all.ValueAtQuantile(99))
 }
 
-// clairvoyantFar is the same with distance: a query enters at a random host and
-// reaches a replica in another region only after the way there. Each shard is
-// given to the slot that will answer first, known exactly.
+// clairvoyantFar includes the latency between regions: a query enters at a
+// random host, and reaches a replica in another region after the regional
+// latency. Each shard goes to the slot that answers first.
 func clairvoyantFar(w *virt.World, d deploy.Deployment, share float64, span clock.Milli) float64 {
 	all := hdrhistogram.New(1, 60000, 3)
 	for i, v := range d.Services {
@@ -81,12 +82,12 @@
 		at, n := 0.0, uint64(0)
 		for at < float64(span) {
 			n++
-			at += expFloat(w, rate)
+			at += interarrival(w, rate)
 			from := w.Hosts[w.Random.IntN(len(w.Hosts))].Domain
 			end := at
 			for s := range slots {
 				work := max(1, virt.ServiceTime(w.Model, w.Seed+uint64(i), n, s))
-				end = max(end, first(slots[s], from, at, work, d))
+				end = max(end, assignEarliest(slots[s], from, at, work, d))
 			}
 			_ = all.RecordValue(int64(end - at + float64(2*d.CallerLatency))) // bounded by the span
 		}
@@ -96,28 +97,29 @@
 
 type slot struct {
 	domain string
-	free   float64
+	freeAt float64
 }
 
-// first gives the work to the slot that answers first and returns when.
-func first(slots []slot, from string, at, work float64, d deploy.Deployment) float64 {
-	best, when := 0, 0.0
+// assignEarliest assigns the work to the slot that answers first and returns
+// the time of the answer.
+func assignEarliest(slots []slot, from string, at, work float64, d deploy.Deployment) float64 {
+	best, finish := 0, 0.0
 	for i := range slots {
-		way := 1.0
+		latency := 1.0
 		if slots[i].domain != from {
-			way = float64(d.RegionLatency)
+			latency = float64(d.RegionLatency)
 		}
-		end := max(at+way, slots[i].free) + work + way
-		if i == 0 || end < when {
-			best, when = i, end
+		end := max(at+latency, slots[i].freeAt) + work + latency
+		if i == 0 || end < finish {
+			best, finish = i, end
 		}
 	}
-	way := 1.0
+	latency := 1.0
 	if slots[best].domain != from {
-		way = float64(d.RegionLatency)
+		latency = float64(d.RegionLatency)
 	}
-	slots[best].free = when - way
-	return when
+	slots[best].freeAt = finish - latency
+	return finish
 }
 
-func expFloat(w *virt.World, rate float64) float64 { return w.Random.ExpFloat64() / rate }
+func interarrival(w *virt.World, rate float64) float64 { return w.Random.ExpFloat64() / rate }
--- a/bench/scene/cold.go
+++ b/bench/scene/cold.go
@@ -8,16 +8,16 @@
 func init() {
 	register(Scenario{
 		Name: "cold-server",
-		Goal: "one backend server restarts cold: nothing beyond what it bears, full service within 1.5 of its ramp",
-		run:  func(r *Run) { r.coldStart(r.W.Config.Inventory.Servers[0].Name) },
+		Goal: "one backend server restarts cold: no requests beyond its capacity, full service within 1.5 of its ramp",
+		run:  func(r *Run) { r.coldStart(r.World.Config.Inventory.Servers[0].Name) },
 	})
 	register(Scenario{
 		Name: "cold-domain",
-		Goal: "a failure domain's backend servers restart cold at once: nothing beyond what they bear, full service within 1.5 of the ramp",
+		Goal: "a failure domain's backend servers restart cold at once: no requests beyond their capacity, full service within 1.5 of the ramp",
 		run: func(r *Run) {
 			var names []string
-			for _, s := range r.W.Config.Inventory.Servers {
-				if s.Domain == r.D.Domains[0].Name {
+			for _, s := range r.World.Config.Inventory.Servers {
+				if s.Domain == r.Deployment.Domains[0].Name {
 					names = append(names, s.Name)
 				}
 			}
@@ -26,56 +26,56 @@
 	})
 	register(Scenario{
 		Name: "cold-unseen",
-		Goal: "backend servers turn cold with no sign of a restart: nothing beyond what they bear once a first reply shows it",
+		Goal: "backend servers turn cold without a visible restart: no requests beyond their capacity once a first reply shows it",
 		run: func(r *Run) {
-			r.settled(steadyLoad * 2 / 3)
-			for i, s := range r.W.Config.Inventory.Servers {
+			r.settle(steadyLoad * 2 / 3)
+			for i, s := range r.World.Config.Inventory.Servers {
 				if i%10 == 0 {
-					r.W.DropCaches(s.Name)
+					r.World.DropCaches(s.Name)
 				}
 			}
-			r.run(2 * deploy.WarmUp)
-			r.common()
+			r.advance(2 * deploy.WarmUp)
+			r.recordCommon()
 		},
 	})
 }
 
-// coldStart crashes servers and measures until they carry full load again.
+// coldStart crashes servers and measures until they serve full load again.
 func (r *Run) coldStart(names ...string) {
-	r.settled(steadyLoad * 2 / 3)
-	r.run(3 * clock.Second)
-	before := r.calls(r.W.Now()-3*clock.Second, 3)
+	r.settle(steadyLoad * 2 / 3)
+	r.advance(3 * clock.Second)
+	before := r.callsPerSecond(r.World.Now()-3*clock.Second, 3)
 	for _, n := range names {
-		r.W.Crash(n)
+		r.World.Crash(n)
 	}
-	back := r.W.Now() + 2*clock.Second // when they restart
-	r.run(2*clock.Second + 2*deploy.WarmUp)
-	r.set("steady-calls-per-s", before)
-	r.set("full-after-over-ramp", r.full(back, before))
-	r.set("worst-complete-share", r.worstSecond())
-	r.common()
+	restartedAt := r.World.Now() + 2*clock.Second // the servers restart
+	r.advance(2*clock.Second + 2*deploy.WarmUp)
+	r.record("steady-calls-per-s", before)
+	r.record("full-after-over-ramp", r.recoveryOverRamp(restartedAt, before))
+	r.record("worst-complete-share", r.worstCompleteShare())
+	r.recordCommon()
 }
 
-// calls is the mean of leaf calls per second over some seconds.
-func (r *Run) calls(since clock.Milli, n int) float64 {
+// callsPerSecond returns the mean of leaf calls per second over n seconds.
+func (r *Run) callsPerSecond(since clock.Milli, n int) float64 {
 	sum := 0
 	for i := range n {
-		sum += r.W.Stats.Seconds[int(since/clock.Second)+i].Calls
+		sum += r.World.Stats.Seconds[int(since/clock.Second)+i].Calls
 	}
 	return float64(sum) / float64(n)
 }
 
-// full is how long after a time all queries were answered completely again, as
-// a multiple of the ramp.
-func (r *Run) full(since clock.Milli, _ float64) float64 {
-	return r.recovery(since) * float64(clock.Second) / float64(deploy.WarmUp)
+// recoveryOverRamp returns the recovery time after a time as a multiple of the
+// ramp.
+func (r *Run) recoveryOverRamp(since clock.Milli, _ float64) float64 {
+	return r.recoverySeconds(since) * float64(clock.Second) / float64(deploy.WarmUp)
 }
 
-// worstSecond is the lowest share of complete answers in any second.
-func (r *Run) worstSecond() float64 {
+// worstCompleteShare returns the lowest share of complete answers in any second.
+func (r *Run) worstCompleteShare() float64 {
 	worst := 1.0
-	for i, s := range r.W.Stats.Seconds {
-		if s.Queries > 0 && i < len(r.W.Stats.Seconds)-2 {
+	for i, s := range r.World.Stats.Seconds {
+		if s.Queries > 0 && i < len(r.World.Stats.Seconds)-2 {
 			worst = min(worst, float64(s.Complete)/float64(s.Queries))
 		}
 	}
--- a/bench/scene/faults.go
+++ b/bench/scene/faults.go
@@ -10,7 +10,7 @@
 func init() {
 	register(Scenario{
 		Name: "crash-request",
-		Goal: "a request that crashes each server that runs it, resent without end through all hosts: at most 2 servers, others complete to 99 %",
+		Goal: "a request that crashes each server that runs it, resent endlessly through all hosts: at most 2 servers, others complete to 99 %",
 		run:  func(r *Run) { r.crashRequest() },
 	})
 	register(Scenario{
@@ -20,102 +20,102 @@
 	})
 	register(Scenario{
 		Name: "greedy",
-		Goal: "one caller asks 10 times its share: the others' p99 at most 1.2 of steady",
+		Goal: "one caller sends 10 times its share: the others' p99 at most 1.2 of steady",
 		run:  func(r *Run) { r.greedy() },
 	})
 	register(Scenario{
 		Name: "pause",
-		Goal: "a host pauses for 30 s and wakes: no stale work, no answer to the wrong caller",
+		Goal: "a host pauses for 30 s and resumes: no stale work, no answer to the wrong caller",
 		run:  func(r *Run) { r.pause() },
 	})
 	register(Scenario{
 		Name: "rolling",
-		Goal: "all hosts are replaced one by one: nothing cut, connections per leaf never above the limit",
+		Goal: "all hosts are replaced one by one: no query lost, connections per leaf never above the limit",
 		run:  func(r *Run) { r.rolling() },
 	})
 }
 
 func (r *Run) crashRequest() {
-	r.settled(0.3)
-	service := r.D.Services[0].Name
+	r.settle(0.3)
+	service := r.Deployment.Services[0].Name
 	n := 0
 	var resend func()
 	resend = func() {
-		h := r.W.Hosts[n%len(r.W.Hosts)]
+		h := r.World.Hosts[n%len(r.World.Hosts)]
 		n++
-		r.W.SendQuery(h, service, virt.CrashText, "stubborn", deploy.Deadline, func(query.Answer) {
-			r.W.Clock.After(20, resend)
+		r.World.SendQuery(h, service, virt.CrashText, "stubborn", deploy.Deadline, func(query.Answer) {
+			r.World.Clock.After(20, resend)
 		})
 	}
 	resend()
-	r.run(30 * clock.Second)
+	r.advance(30 * clock.Second)
 	servers := 0
-	for _, times := range r.W.Stats.Crashes {
-		servers += len(times) // leafs of one server go down with it, once each
+	for _, times := range r.World.Stats.Crashes {
+		servers += len(times) // all leaves of a server crash together, which counts once
 	}
-	r.set("servers-crashed", float64(servers))
-	r.set("resends", float64(n))
-	s := &r.W.Stats
+	r.record("servers-crashed", float64(servers))
+	r.record("resends", float64(n))
+	s := &r.World.Stats
 	others := s.Queries - n
-	r.set("others-complete-share", float64(s.Complete)/float64(others))
-	r.common()
+	r.record("others-complete-share", float64(s.Complete)/float64(others))
+	r.recordCommon()
 }
 
 func (r *Run) silent() {
-	r.settled(steadyLoad * 2 / 3)
-	r.run(6 * clock.Second)
-	steady := r.W.Stats.Quantile(99.9)
-	r.W.Silence(0.1)
-	r.run(clock.Second)
-	r.W.Stats.Reset()
-	r.run(6 * clock.Second)
-	r.set("p999-over-steady", r.W.Stats.Quantile(99.9)/steady)
-	r.set("ejected", float64(r.W.Stats.LeafEvents["closed: silent"]+r.W.Stats.LeafEvents["closed: unreachable"]))
-	r.common()
+	r.settle(steadyLoad * 2 / 3)
+	r.advance(6 * clock.Second)
+	steady := r.World.Stats.Quantile(99.9)
+	r.World.Silence(0.1)
+	r.advance(clock.Second)
+	r.World.Stats.Reset()
+	r.advance(6 * clock.Second)
+	r.record("p999-over-steady", r.World.Stats.Quantile(99.9)/steady)
+	r.record("ejected", float64(r.World.Stats.LeafEvents["closed: silent"]+r.World.Stats.LeafEvents["closed: unreachable"]))
+	r.recordCommon()
 }
 
 func (r *Run) greedy() {
-	r.settled(steadyLoad * 2 / 3)
-	r.run(6 * clock.Second)
-	steady := float64(r.W.Stats.OthersLatency.ValueAtQuantile(99))
-	r.W.Stats.Reset()
-	for _, v := range r.D.Services {
-		rate := 10 * steadyLoad * 2 / 3 * r.W.Capacity(v) / people
-		r.W.StartLoad(virt.Load{Service: v.Name, Rate: rate * 4, Texts: texts, Caller: virt.GreedyCaller})
+	r.settle(steadyLoad * 2 / 3)
+	r.advance(6 * clock.Second)
+	steady := float64(r.World.Stats.OthersLatency.ValueAtQuantile(99))
+	r.World.Stats.Reset()
+	for _, v := range r.Deployment.Services {
+		rate := 10 * steadyLoad * 2 / 3 * r.World.Capacity(v) / callerCount
+		r.World.StartLoad(virt.Load{Service: v.Name, Rate: rate * 4, Texts: textCount, Caller: virt.GreedyCaller})
 	}
-	r.run(8 * clock.Second)
-	r.set("others-p99-over-steady", float64(r.W.Stats.OthersLatency.ValueAtQuantile(99))/steady)
-	r.common()
+	r.advance(8 * clock.Second)
+	r.record("others-p99-over-steady", float64(r.World.Stats.OthersLatency.ValueAtQuantile(99))/steady)
+	r.recordCommon()
 }
 
 func (r *Run) pause() {
-	r.settled(0.4)
-	r.W.Hosts[0].Pause()
-	r.run(30 * clock.Second)
-	r.W.Hosts[0].Resume()
-	r.run(5 * clock.Second)
-	r.set("unanswered", float64(r.W.Pending()-r.inFlight()))
-	r.common()
+	r.settle(0.4)
+	r.World.Hosts[0].Pause()
+	r.advance(30 * clock.Second)
+	r.World.Hosts[0].Resume()
+	r.advance(5 * clock.Second)
+	r.record("unanswered", float64(r.World.Pending()-r.inFlight()))
+	r.recordCommon()
 }
 
 func (r *Run) rolling() {
-	r.settled(0.4)
-	for _, h := range r.W.Hosts {
+	r.settle(0.4)
+	for _, h := range r.World.Hosts {
 		h.Leave(func() {
-			r.W.Clock.After(clock.Second, func() {
+			r.World.Clock.After(clock.Second, func() {
 				h.Restart()
-				r.W.PublishHosts(spreadTime)
+				r.World.PublishHosts(maxPublishDelay)
 			})
 		})
-		r.W.PublishHosts(spreadTime)
-		r.run(8 * clock.Second)
+		r.World.PublishHosts(maxPublishDelay)
+		r.advance(8 * clock.Second)
 	}
-	r.run(2 * clock.Second)
-	r.set("cut", float64(r.W.Pending()-r.inFlight()))
-	r.set("connections-over-limit", r.W.MaxConns())
-	r.set("worst-complete-share", r.worstSecond())
-	r.common()
+	r.advance(2 * clock.Second)
+	r.record("cut", float64(r.World.Pending()-r.inFlight()))
+	r.record("connections-over-limit", r.World.MaxConns())
+	r.record("worst-complete-share", r.worstCompleteShare())
+	r.recordCommon()
 }
 
-// inFlight is how many queries are younger than their deadline.
-func (r *Run) inFlight() int { return r.W.PendingWithin(deploy.Deadline) }
+// inFlight returns the number of queries that are younger than their deadline.
+func (r *Run) inFlight() int { return r.World.PendingWithin(deploy.Deadline) }
--- a/bench/scene/scene.go
+++ b/bench/scene/scene.go
@@ -1,6 +1,6 @@
-// Package scene holds the bench's scenarios: what happens, and what is measured
-// of it. Each runs in virtual time on both deployments, for the product's
-// policies and for a baseline, with one seed.
+// Package scene defines the benchmark's scenarios: their events and their
+// figures. Each runs in virtual time on both deployments, with the product's
+// policies and with a baseline, from one seed.
 package scene
 
 import (
@@ -14,13 +14,13 @@
 	"dandelionstile/share/sched"
 )
 
-// Figure is one measured number.
+// Figure is a measured number.
 type Figure struct {
 	Name  string
 	Value float64
 }
 
-// Result is one run's figures.
+// Result holds the figures of one run.
 type Result struct {
 	Scenario   string
 	Deployment string
@@ -28,7 +28,7 @@
 	Seed       uint64
 	Figures    []Figure
 	Faults     []string
-	// Notes counts reasons and events, for the reader.
+	// Notes lists the counts of reasons and leaf events.
 	Notes string
 }
 
@@ -42,13 +42,13 @@
 	return 0, false
 }
 
-// Policy is one way to run a scenario.
+// Policy is a named set of engine settings.
 type Policy struct {
 	Name     string
 	Policies virt.Policies
 }
 
-// Policies are the product's settings and the baseline.
+// Policies returns the product's settings and the baseline.
 func Policies() []Policy {
 	return []Policy{
 		{Name: "product"},
@@ -56,7 +56,7 @@
 	}
 }
 
-// Variants are other settings of single choices, to weigh them.
+// Variants returns settings that each change one design choice, for comparison.
 func Variants() []Policy {
 	return []Policy{
 		{Name: "least-loaded", Policies: virt.Policies{Fanout: fanout.Policy{Choice: fanout.ChooseLeastLoaded}}},
@@ -74,24 +74,24 @@
 
 // Run is one run of a scenario.
 type Run struct {
-	W *virt.World
-	D deploy.Deployment
-	// Baseline is set when the baseline's policies run.
+	World      *virt.World
+	Deployment deploy.Deployment
+	// Baseline reports whether the run uses the baseline's policies.
 	Baseline bool
 	figures  []Figure
 }
 
-// set records a figure.
-func (r *Run) set(name string, value float64) {
+// record records a figure.
+func (r *Run) record(name string, value float64) {
 	r.figures = append(r.figures, Figure{name, value})
 }
 
-// Scenario is one entry of the bench.
+// Scenario is one benchmark scenario.
 type Scenario struct {
 	Name string
-	// Goal says what is aimed at.
+	// Goal states the figures to reach.
 	Goal string
-	// NoBaseline leaves the baseline out, where it has nothing to compare.
+	// NoBaseline excludes the baseline where a comparison makes no sense.
 	NoBaseline bool
 	run        func(r *Run)
 }
@@ -100,7 +100,7 @@
 
 func register(s Scenario) { scenarios[s.Name] = s }
 
-// All lists the scenarios by name.
+// All returns the scenarios sorted by name.
 func All() []Scenario {
 	list := make([]Scenario, 0, len(scenarios))
 	for _, s := range scenarios {
@@ -110,7 +110,7 @@
 	return list
 }
 
-// ByName returns a scenario.
+// ByName returns the scenario with a name.
 func ByName(name string) (Scenario, bool) {
 	s, ok := scenarios[name]
 	return s, ok
@@ -120,7 +120,7 @@
 func Execute(s Scenario, d deploy.Deployment, p Policy, seed uint64) Result {
 	w := &virt.World{Deployment: d, Policies: p.Policies, Seed: seed, Model: virt.DefaultModel()}
 	w.Start()
-	r := &Run{W: w, D: d, Baseline: p.Name == "baseline"}
+	r := &Run{World: w, Deployment: d, Baseline: p.Name == "baseline"}
 	s.run(r)
 	return Result{
 		Scenario: s.Name, Deployment: d.Name, Policy: p.Name, Seed: seed, Figures: r.figures, Faults: w.Stats.Faults, Notes: w.Stats.Summary(),
@@ -130,53 +130,53 @@
 // Load levels and times that the scenarios share.
 const (
 	steadyLoad = 0.6
-	// settle is how long a world runs before it is measured: connections are
-	// opened and ramps from the start have ended.
-	settle = 8 * clock.Second
-	texts  = 2000
-	people = 40
+	// settleTime is how long a world runs before measurements start: connections
+	// are open and the initial ramps have ended.
+	settleTime  = 8 * clock.Second
+	textCount   = 2000
+	callerCount = 40
 )
 
-// load starts a stream on every service at a share of its capacity.
+// load starts a stream of queries to every service at a share of its capacity.
 func (r *Run) load(share float64) {
-	for _, v := range r.D.Services {
-		r.W.StartLoad(virt.Load{Service: v.Name, Rate: share * r.W.Capacity(v), Texts: texts, Callers: people})
+	for _, v := range r.Deployment.Services {
+		r.World.StartLoad(virt.Load{Service: v.Name, Rate: share * r.World.Capacity(v), Texts: textCount, Callers: callerCount})
 	}
 }
 
-// settled runs until the start is over and forgets what was measured. In the
-// seconds before, load is light.
-func (r *Run) settled(share float64) {
-	for _, v := range r.D.Services {
-		r.W.StartLoad(virt.Load{Service: v.Name, Rate: 0.1 * r.W.Capacity(v), Texts: texts, Callers: people, Until: settle - 2*clock.Second})
+// settle runs the start-up phase, under light load until its last two seconds,
+// and resets the measurements.
+func (r *Run) settle(share float64) {
+	for _, v := range r.Deployment.Services {
+		r.World.StartLoad(virt.Load{Service: v.Name, Rate: 0.1 * r.World.Capacity(v), Texts: textCount, Callers: callerCount, Until: settleTime - 2*clock.Second})
 	}
-	r.W.Clock.Run(settle - 2*clock.Second)
+	r.World.Clock.Run(settleTime - 2*clock.Second)
 	r.load(share)
-	r.W.Clock.Run(settle)
-	r.W.Stats.Reset()
-}
-
-// run lets virtual time pass.
-func (r *Run) run(d clock.Milli) { r.W.Clock.Run(r.W.Now() + d) }
-
-// common records what every scenario reports.
-func (r *Run) common() {
-	s := &r.W.Stats
-	r.set("p50-ms", s.Quantile(50))
-	r.set("p99-ms", s.Quantile(99))
-	r.set("p999-ms", s.Quantile(99.9))
-	r.set("complete-share", s.CompleteShare())
-	r.set("covered-share", s.CoveredShare())
-	r.set("extra-share", s.ExtraShare())
-	r.set("refused-share", s.RefusedShare())
-	cold, unseen, warm := r.W.Excess()
-	r.set("excess-cold", float64(cold))
-	r.set("excess-unseen", float64(unseen))
-	r.set("excess-warm", float64(warm))
-	r.set("faults", float64(len(s.Faults)))
-}
-
-// Line writes a result on one line.
+	r.World.Clock.Run(settleTime)
+	r.World.Stats.Reset()
+}
+
+// advance advances the virtual time.
+func (r *Run) advance(d clock.Milli) { r.World.Clock.Run(r.World.Now() + d) }
+
+// recordCommon records the figures that every scenario reports.
+func (r *Run) recordCommon() {
+	s := &r.World.Stats
+	r.record("p50-ms", s.Quantile(50))
+	r.record("p99-ms", s.Quantile(99))
+	r.record("p999-ms", s.Quantile(99.9))
+	r.record("complete-share", s.CompleteShare())
+	r.record("covered-share", s.CoveredShare())
+	r.record("extra-share", s.ExtraShare())
+	r.record("refused-share", s.RefusedShare())
+	cold, unseen, warm := r.World.Excess()
+	r.record("excess-cold", float64(cold))
+	r.record("excess-unseen", float64(unseen))
+	r.record("excess-warm", float64(warm))
+	r.record("faults", float64(len(s.Faults)))
+}
+
+// Line formats a result as one line.
 func (r Result) Line() string {
 	text := fmt.Sprintf("%-16s %-9s %-9s", r.Scenario, r.Deployment, r.Policy)
 	for _, f := range r.Figures {
