--- a/bench/cmds/capacity.go
+++ b/bench/cmds/capacity.go
@@ -19,18 +19,18 @@
 // Run prints them.
 func (c *capacity) Run() error {
 	for _, measure := range []func() slope.Line{
-		slope.Query, slope.Call, slope.LeafUpkeep, slope.WireBytes, slope.WireTime, slope.LinkTime, slope.LeafTime,
-		slope.ParseAll, slope.ParseChange, slope.EntryChange, slope.GateChange,
-		slope.EntryMemory, slope.ConfigMemory, slope.Packing,
+		slope.QueryDecisions, slope.CallDecisions, slope.LeafUpkeep, slope.WireBytes, slope.WireTime, slope.LinkTime, slope.LeafCallTime,
+		slope.ParseAll, slope.ParseChange, slope.EntryChange, slope.AggregatorChange,
+		slope.EntryMemory, slope.ConfigMemory, slope.CompressedSize,
 	} {
 		fmt.Println(measure())
 	}
 	if len(c.Hosts) == 0 {
 		c.Hosts = []int{7, 70, 700}
 	}
-	for _, s := range slope.Spreads(c.Hosts...) {
+	for _, s := range slope.MeasurePropagation(c.Hosts...) {
 		fmt.Printf("spread over %4d hosts: %5.1f platform reads/s, %5.0f bytes/s a host on average, %5.0f at most, in force everywhere after %d ms\n",
-			s.Hosts, s.Reads, s.Bytes, s.MostBytes, s.InForce)
+			s.Hosts, s.ReadsPerSecond, s.BytesPerSecond, s.MaxBytesPerSecond, s.Latency)
 	}
 	return nil
 }
--- a/bench/fleet/errors.go
+++ b/bench/fleet/errors.go
@@ -2,5 +2,5 @@
 
 import "github.com/cockroachdb/errors"
 
-// errDown is what a read meets when the platform is not reached.
-var errDown = errors.New("platform is not reached")
+// errDown is the error of a read while the platform is unreachable.
+var errDown = errors.New("platform is unreachable")
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet spreads configurations over many hosts in virtual time, with
-// the engine that the programs run, and counts what it costs: reads of the
+// Package fleet simulates in virtual time how configurations propagate to many
+// hosts, with the engine that the programs run. It measures reads of the
 // platform, bytes per host, and the time until all hosts have a version.
 package fleet
 
@@ -15,32 +15,32 @@
 	"dandelionstile/share/topo"
 )
 
-// Sizes of messages on a link, in bytes, with framing.
+// Sizes of messages on a link, in bytes, including framing.
 const (
-	beatBytes   = 90
-	pingBytes   = 64 // and as much for its answer
-	stampBytes  = 40
-	headerBytes = 65
-	// packing is how much smaller a part is on a link; slope.Packing measures
-	// it on files as operators write them.
-	packing = 8
+	heartbeatBytes = 90
+	pingBytes      = 64 // a ping; its reply has the same size
+	stampBytes     = 40
+	headerBytes    = 65
+	// compressionRatio is how much smaller a part is on a link;
+	// slope.CompressedSize measures it on files as operators write them.
+	compressionRatio = 8
 )
 
-// Timing of the fake links and platform.
+// Intervals and delays of the fake links and platform.
 const (
-	tickEvery = 250 * clock.Milli(1)
-	beatEvery = 2 * clock.Second
-	readTime  = 5 * clock.Milli(1)
-	watchTime = 30 * clock.Second
-	linkLost  = 2 * clock.Second // until a silent link is given up
+	tickInterval      = 250 * clock.Milli(1)
+	heartbeatInterval = 2 * clock.Second
+	readLatency       = 5 * clock.Milli(1)
+	watchTimeout      = 30 * clock.Second
+	linkTimeout       = 2 * clock.Second // until a silent link is closed
 )
 
-// Fleet is a run. Fields above the line are set before Start.
+// Fleet is one simulation run. Hosts to Seed are set before Start.
 type Fleet struct {
 	Hosts   int
 	Domains int
-	// Parts is how many files the configuration has, and PartBytes how large
-	// each is.
+	// Parts is the number of files of the configuration, and PartBytes the size
+	// of each.
 	Parts     int
 	PartBytes int
 	Seed      uint64
@@ -48,23 +48,24 @@
 	Clock  clock.Virtual
 	Random *rand.Rand
 	Nodes  []*Node
-	// Reads counts the platform's reads, a watch as one.
+	// Reads counts the reads of the platform; a watch counts as one.
 	Reads int
-	// Down and Stale make the platform fail, or answer with the first version.
-	Down  bool
-	Stale bool
-	// Backwards lists every time that a host's version went back.
-	Backwards []string
+	// PlatformDown makes reads fail. PlatformStale makes them return the first
+	// version.
+	PlatformDown  bool
+	PlatformStale bool
+	// Regressions lists the cases in which a host's version decreased.
+	Regressions []string
 
-	config   *syncer.Set
-	first    *syncer.Set
-	hostSets map[string]*syncer.Set
-	waiting  []waiting
-	cut      map[[2]string]bool
-	changed  int
+	config         *syncer.Set
+	firstConfig    *syncer.Set
+	hostSets       map[string]*syncer.Set
+	pendingWatches []pendingWatch
+	partitions     map[[2]string]bool
+	changed        int
 }
 
-type waiting struct {
+type pendingWatch struct {
 	node  *Node
 	after uint64
 	key   string
@@ -73,32 +74,32 @@
 
 // Node is one host.
 type Node struct {
-	f      *Fleet
+	fleet  *Fleet
 	Name   string
 	Domain string
 	Engine *syncer.Engine
 	links  map[string]bool
-	// Bytes is what it sent and received.
+	// Bytes counts the bytes sent and received.
 	Bytes  int
 	Down   bool
 	Frozen bool
-	// Cut off from the platform.
-	Isolated bool
-	backlog  []func()
-	highest  syncer.Stamp
-	inForce  map[uint64]clock.Milli
+	// Isolated cuts the host off from the platform.
+	Isolated  bool
+	backlog   []func()
+	highest   syncer.Stamp
+	adoptedAt map[uint64]clock.Milli
 }
 
-// Key of the configuration.
+// configKey is the key of the configuration.
 const configKey = "config"
 
-// Start builds the hosts, all with nothing, and lets time begin.
+// Start builds the hosts with empty state and schedules their timers.
 func (f *Fleet) Start() {
 	f.Random = rand.New(rand.NewPCG(f.Seed, 0xf1ee7))
-	f.cut = map[[2]string]bool{}
+	f.partitions = map[[2]string]bool{}
 	f.hostSets = map[string]*syncer.Set{}
 	f.config = f.makeConfig(1)
-	f.first = f.config
+	f.firstConfig = f.config
 	var list []topo.Host
 	for i := range f.Hosts {
 		list = append(list, topo.Host{Name: fmt.Sprintf("h%04d", i), Domain: fmt.Sprintf("d%02d", i%f.Domains)})
@@ -114,13 +115,13 @@
 		f.hostSets["hosts/"+domain] = syncer.NewSet(1, items)
 	}
 	for _, h := range list {
-		n := &Node{f: f, Name: h.Name, Domain: h.Domain, links: map[string]bool{}, inForce: map[uint64]clock.Milli{}}
+		n := &Node{fleet: f, Name: h.Name, Domain: h.Domain, links: map[string]bool{}, adoptedAt: map[uint64]clock.Milli{}}
 		n.boot(list)
 		f.Nodes = append(f.Nodes, n)
 	}
 	f.link(list)
 	for _, n := range f.Nodes {
-		f.loop(n)
+		f.startTimers(n)
 	}
 }
 
@@ -140,7 +141,7 @@
 	}
 }
 
-// link joins the hosts as the programs do.
+// link connects the hosts to the neighbors that the programs choose.
 func (f *Fleet) link(list []topo.Host) {
 	for i := range list {
 		list[i].Aggregator = list[i].Name
@@ -157,7 +158,7 @@
 	}
 }
 
-// Node finds a host by name.
+// Node returns the host with a name.
 func (f *Fleet) Node(name string) *Node {
 	i := sort.Search(len(f.Nodes), func(i int) bool { return f.Nodes[i].Name >= name })
 	return f.Nodes[i]
@@ -171,23 +172,24 @@
 	return syncer.NewSet(version, items)
 }
 
-// loop lets a host tick and beat, each at a phase of its own.
-func (f *Fleet) loop(n *Node) {
-	phase := clock.Milli(f.Random.IntN(int(beatEvery)))
-	var tick, beat func()
+// startTimers schedules a host's ticks and heartbeats at a random phase.
+func (f *Fleet) startTimers(n *Node) {
+	phase := clock.Milli(f.Random.IntN(int(heartbeatInterval)))
+	var tick, heartbeat func()
 	tick = func() {
-		n.do(func() { n.act(n.Engine.Tick(f.Clock.Now())) })
-		f.Clock.After(tickEvery, tick)
+		n.do(func() { n.apply(n.Engine.Tick(f.Clock.Now())) })
+		f.Clock.After(tickInterval, tick)
 	}
-	beat = func() {
-		n.do(n.beat)
-		f.Clock.After(beatEvery, beat)
+	heartbeat = func() {
+		n.do(n.heartbeat)
+		f.Clock.After(heartbeatInterval, heartbeat)
 	}
-	f.Clock.After(phase%tickEvery, tick)
-	f.Clock.After(phase, beat)
+	f.Clock.After(phase%tickInterval, tick)
+	f.Clock.After(phase, heartbeat)
 }
 
-// do runs f on the host, later when it is frozen, never when it is down.
+// do runs f on the host: now, after the thaw if the host is frozen, or never if
+// it is down.
 func (n *Node) do(f func()) {
 	switch {
 	case n.Down:
@@ -198,7 +200,7 @@
 	}
 }
 
-// Thaw lets a frozen host go on with what has piled up.
+// Thaw continues a frozen host and runs its backlog.
 func (n *Node) Thaw() {
 	n.Frozen = false
 	backlog := n.backlog
@@ -208,16 +210,16 @@
 	}
 }
 
-// Restart starts a host anew, with nothing.
+// Restart restarts a host with empty state.
 func (n *Node) Restart() {
 	var list []topo.Host
-	for _, o := range n.f.Nodes {
+	for _, o := range n.fleet.Nodes {
 		list = append(list, topo.Host{Name: o.Name, Domain: o.Domain})
 	}
 	n.boot(list)
 	n.Down = false
 	for peer := range n.links {
-		n.f.Node(peer).do(func() { n.f.Node(peer).act(n.f.Node(peer).Engine.RemovePeer(n.f.Clock.Now(), n.Name)) })
+		n.fleet.Node(peer).do(func() { n.fleet.Node(peer).apply(n.fleet.Node(peer).Engine.RemovePeer(n.fleet.Clock.Now(), n.Name)) })
 	}
 }
 
@@ -230,58 +232,59 @@
 	return names
 }
 
-func (n *Node) beat() {
-	now := n.f.Clock.Now()
-	age, heard := n.Engine.PlatformAge(now)
+func (n *Node) heartbeat() {
+	now := n.fleet.Clock.Now()
+	age, known := n.Engine.PlatformAge(now)
 	digest := n.Engine.Digest()
 	for _, p := range n.peers() {
-		n.send(p, beatBytes+pingBytes, func(to *Node) {
-			to.act(to.Engine.HandleHeartbeat(n.f.Clock.Now(), n.Name, digest, age, heard))
+		n.send(p, heartbeatBytes+pingBytes, func(to *Node) {
+			to.apply(to.Engine.HandleHeartbeat(n.fleet.Clock.Now(), n.Name, digest, age, known))
 		})
 	}
 }
 
-// CutDomains cuts two failure domains off from each other, or heals them.
-func (f *Fleet) CutDomains(a, b string, on bool) {
-	f.cut[[2]string{a, b}], f.cut[[2]string{b, a}] = on, on
-	f.Clock.After(linkLost, func() {
+// SetPartitioned partitions two failure domains from each other, or heals them.
+func (f *Fleet) SetPartitioned(a, b string, on bool) {
+	f.partitions[[2]string{a, b}], f.partitions[[2]string{b, a}] = on, on
+	f.Clock.After(linkTimeout, func() {
 		for _, n := range f.Nodes {
 			for _, p := range n.peers() {
-				if f.cut[[2]string{n.Domain, f.Node(p).Domain}] {
-					n.do(func() { n.act(n.Engine.RemovePeer(f.Clock.Now(), p)) })
+				if f.partitions[[2]string{n.Domain, f.Node(p).Domain}] {
+					n.do(func() { n.apply(n.Engine.RemovePeer(f.Clock.Now(), p)) })
 				}
 			}
 		}
 	})
 }
 
-// send delivers to a peer after a delay, in the order of sending on average.
+// send delivers a message to a peer after a delay that is partly random, so that
+// messages may overtake each other.
 func (n *Node) send(peer string, bytes int, f func(to *Node)) {
-	to := n.f.Node(peer)
+	to := n.fleet.Node(peer)
 	n.Bytes += bytes
-	if n.f.cut[[2]string{n.Domain, to.Domain}] || to.Down {
+	if n.fleet.partitions[[2]string{n.Domain, to.Domain}] || to.Down {
 		return
 	}
 	delay := clock.Milli(1)
 	if n.Domain != to.Domain {
-		delay = 20 + clock.Milli(n.f.Random.IntN(20))
+		delay = 20 + clock.Milli(n.fleet.Random.IntN(20))
 	}
-	n.f.Clock.After(delay, func() {
+	n.fleet.Clock.After(delay, func() {
 		to.Bytes += bytes
 		to.do(func() { f(to) })
 	})
 }
 
-func (n *Node) act(actions []syncer.Action) {
-	f := n.f
+func (n *Node) apply(actions []syncer.Action) {
+	f := n.fleet
 	for _, a := range actions {
 		switch a := a.(type) {
 		case syncer.SendPull:
-			n.send(a.Peer, stampBytes, func(to *Node) { to.act(to.Engine.HandlePull(f.Clock.Now(), n.Name, a.Key, a.Have)) })
+			n.send(a.Peer, stampBytes, func(to *Node) { to.apply(to.Engine.HandlePull(f.Clock.Now(), n.Name, a.Key, a.Have)) })
 		case syncer.SendDelta:
-			n.send(a.Peer, a.Delta.Size()/packing+headerBytes, func(to *Node) { to.act(to.Engine.HandleDelta(f.Clock.Now(), n.Name, a.Delta)) })
+			n.send(a.Peer, a.Delta.Size()/compressionRatio+headerBytes, func(to *Node) { to.apply(to.Engine.HandleDelta(f.Clock.Now(), n.Name, a.Delta)) })
 		case syncer.SendStamps:
-			n.send(a.Peer, headerBytes+stampBytes*len(a.Stamps), func(to *Node) { to.act(to.Engine.HandleStamps(f.Clock.Now(), n.Name, a.Stamps)) })
+			n.send(a.Peer, headerBytes+stampBytes*len(a.Stamps), func(to *Node) { to.apply(to.Engine.HandleStamps(f.Clock.Now(), n.Name, a.Stamps)) })
 		case syncer.ReadPlatform:
 			n.read(a)
 		case syncer.Adopt:
@@ -296,57 +299,58 @@
 		return
 	}
 	if a.Stamp.Less(n.highest) {
-		n.f.Backwards = append(n.f.Backwards, fmt.Sprintf("%s from %v to %v", n.Name, n.highest, a.Stamp))
+		n.fleet.Regressions = append(n.fleet.Regressions, fmt.Sprintf("%s from %v to %v", n.Name, n.highest, a.Stamp))
 	}
 	n.highest = a.Stamp
-	n.inForce[a.Stamp.Version] = n.f.Clock.Now()
+	n.adoptedAt[a.Stamp.Version] = n.fleet.Clock.Now()
 }
 
-// read asks the fake platform. A part that has changed is one more read.
+// read executes a read of the fake platform. Each changed part costs one more
+// read.
 func (n *Node) read(a syncer.ReadPlatform) {
-	f := n.f
+	f := n.fleet
 	f.Reads++
-	if n.Isolated || f.Down {
-		f.Clock.After(readTime, func() {
-			n.do(func() { n.act(n.Engine.HandleRead(f.Clock.Now(), syncer.ReadResult{Key: a.Key, Err: errDown})) })
+	if n.Isolated || f.PlatformDown {
+		f.Clock.After(readLatency, func() {
+			n.do(func() { n.apply(n.Engine.HandleRead(f.Clock.Now(), syncer.ReadResult{Key: a.Key, Err: errDown})) })
 		})
 		return
 	}
-	set := f.value(a.Key)
+	set := f.platformValue(a.Key)
 	if a.Watch && set.Version == a.After {
 		done := false
-		f.waiting = append(f.waiting, waiting{n, a.After, a.Key, &done})
-		f.Clock.After(watchTime, func() {
+		f.pendingWatches = append(f.pendingWatches, pendingWatch{n, a.After, a.Key, &done})
+		f.Clock.After(watchTimeout, func() {
 			if !done {
 				done = true
-				n.do(func() { n.act(n.Engine.HandleRead(f.Clock.Now(), syncer.ReadResult{Key: a.Key})) })
+				n.do(func() { n.apply(n.Engine.HandleRead(f.Clock.Now(), syncer.ReadResult{Key: a.Key})) })
 			}
 		})
 		return
 	}
-	f.answer(n, a.Key, set)
+	f.answerRead(n, a.Key, set)
 }
 
-func (f *Fleet) value(key string) *syncer.Set {
+func (f *Fleet) platformValue(key string) *syncer.Set {
 	if key == configKey {
-		if f.Stale {
-			return f.first
+		if f.PlatformStale {
+			return f.firstConfig
 		}
 		return f.config
 	}
 	return f.hostSets[key]
 }
 
-func (f *Fleet) answer(n *Node, key string, set *syncer.Set) {
+func (f *Fleet) answerRead(n *Node, key string, set *syncer.Set) {
 	if key == configKey && n.Engine.Set(configKey) != nil {
-		f.Reads += max(1, f.changed) // the changed parts
+		f.Reads += max(1, f.changed) // one per changed part
 	}
-	f.Clock.After(readTime, func() {
-		n.do(func() { n.act(n.Engine.HandleRead(f.Clock.Now(), syncer.ReadResult{Key: key, Set: set})) })
+	f.Clock.After(readLatency, func() {
+		n.do(func() { n.apply(n.Engine.HandleRead(f.Clock.Now(), syncer.ReadResult{Key: key, Set: set})) })
 	})
 }
 
-// Publish changes one part and raises the version.
+// Publish changes one part and increments the version.
 func (f *Fleet) Publish() uint64 {
 	items := f.config.Sorted()
 	i := f.Random.IntN(len(items))
@@ -355,23 +359,23 @@
 	items[i].Body = body
 	f.config = syncer.NewSet(f.config.Version+1, items)
 	f.changed = 1
-	woken := f.waiting
-	f.waiting = nil
-	for _, w := range woken {
+	watches := f.pendingWatches
+	f.pendingWatches = nil
+	for _, w := range watches {
 		if *w.done {
 			continue
 		}
 		if w.key != configKey || w.node.Isolated {
-			f.waiting = append(f.waiting, w)
+			f.pendingWatches = append(f.pendingWatches, w)
 			continue
 		}
 		*w.done = true
-		f.answer(w.node, w.key, f.config)
+		f.answerRead(w.node, w.key, f.config)
 	}
 	return f.config.Version
 }
 
-// AllHave tells whether every host that is up has a version, or a later one.
+// AllHave reports whether every running host has a version or a later one.
 func (f *Fleet) AllHave(version uint64) bool {
 	for _, n := range f.Nodes {
 		if !n.Down && !n.Frozen && n.Engine.Stamp(configKey).Version < version {
@@ -381,11 +385,11 @@
 	return true
 }
 
-// Until runs until a condition holds, and returns how long that took, or the
-// given span when it never did.
-func (f *Fleet) Until(most clock.Milli, cond func() bool) clock.Milli {
+// RunUntil runs until a condition holds, or for the limit, and returns the time
+// that passed.
+func (f *Fleet) RunUntil(limit clock.Milli, cond func() bool) clock.Milli {
 	begin := f.Clock.Now()
-	for f.Clock.Now()-begin < most {
+	for f.Clock.Now()-begin < limit {
 		if cond() {
 			break
 		}
--- a/bench/fleet/fleet_test.go
+++ b/bench/fleet/fleet_test.go
@@ -11,13 +11,13 @@
 func start(hosts int) *Fleet {
 	f := &Fleet{Hosts: hosts, Domains: 3, Parts: 20, PartBytes: 400, Seed: 1}
 	f.Start()
-	f.Until(30*clock.Second, func() bool { return f.AllHave(1) })
+	f.RunUntil(30*clock.Second, func() bool { return f.AllHave(1) })
 	return f
 }
 
-// The platform's owners see a bill for reads that nobody ordered. Every host
-// watches the platform itself, so the reads grow with the fleet, and each
-// change multiplies them.
+// Guards against platform reads that grow in proportion to the fleet, which
+// happens if every host watches the platform itself; each change multiplies
+// them.
 func TestReadsGrowMoreSlowlyThanTheFleet(t *testing.T) {
 	const minute = clock.Minute
 	rate := map[int]float64{}
@@ -30,27 +30,27 @@
 			f.Clock.Run(f.Clock.Now() + minute/9)
 		}
 		rate[hosts] = float64(f.Reads-before) / 60
-		assert.Equal(t, len(f.Backwards), 0)
+		assert.Equal(t, len(f.Regressions), 0)
 	}
 	t.Logf("platform reads a second with 7, 70, 700 hosts: %.2f, %.2f, %.2f", rate[7], rate[70], rate[700])
 	assert.Assert(t, rate[70] <= 3*rate[7])
 	assert.Assert(t, rate[700] <= 1.5*rate[70])
 }
 
-// A change does not reach a failure domain that is cut off from the platform,
-// although its hosts still reach others. The others must tell them.
+// Guards against a change that never reaches a failure domain without access to
+// the platform, although its hosts reach peers that have the change.
 func TestDomainCutOffFromPlatformLearnsFromPeers(t *testing.T) {
 	f := start(21)
 	for _, n := range f.Nodes {
 		n.Isolated = n.Domain == "d00"
 	}
 	v := f.Publish()
-	took := f.Until(10*clock.Second, func() bool { return f.AllHave(v) })
+	took := f.RunUntil(10*clock.Second, func() bool { return f.AllHave(v) })
 	assert.Assert(t, took <= 3*clock.Second, "took %d ms", took)
 }
 
-// Both watchers of a failure domain freeze; the platform goes on and a change
-// is published. The next hosts in rank must take over watching without a vote.
+// Both watchers of a failure domain freeze before a change is published. The
+// next hosts in rank must take over the watch without an election.
 func TestFrozenWatchersAreReplaced(t *testing.T) {
 	f := start(21)
 	for _, n := range f.Nodes {
@@ -58,51 +58,51 @@
 	}
 	f.Clock.Run(f.Clock.Now() + 10*clock.Second)
 	v := f.Publish()
-	took := f.Until(20*clock.Second, func() bool { return f.AllHave(v) })
+	took := f.RunUntil(20*clock.Second, func() bool { return f.AllHave(v) })
 	assert.Assert(t, f.AllHave(v), "not in force after %d ms", took)
 	for _, n := range f.Nodes {
 		n.Thaw()
 	}
 	f.Clock.Run(f.Clock.Now() + 5*clock.Second)
 	assert.Assert(t, f.AllHave(v))
-	assert.Equal(t, len(f.Backwards), 0)
+	assert.Equal(t, len(f.Regressions), 0)
 }
 
-// After its own restart the platform answers with an old version for a while.
-// A host that believed it would put a failure domain back in service that
-// operators have taken out.
+// After its own restart the platform returns an old version for a while. A host
+// that adopted it would return a failure domain to service that operators have
+// taken out.
 func TestStalePlatformNeverReverts(t *testing.T) {
 	f := start(21)
 	v := f.Publish()
-	f.Until(5*clock.Second, func() bool { return f.AllHave(v) })
-	f.Stale = true
+	f.RunUntil(5*clock.Second, func() bool { return f.AllHave(v) })
+	f.PlatformStale = true
 	reads := f.Reads
 	f.Nodes[4].Restart()
 	f.Clock.Run(f.Clock.Now() + 40*clock.Second)
 	assert.Assert(t, f.AllHave(v), "the restarted host learns from its peers")
-	assert.Equal(t, len(f.Backwards), 0)
+	assert.Equal(t, len(f.Regressions), 0)
 	perSecond := float64(f.Reads-reads) / 40
 	assert.Assert(t, perSecond < 30, "watchers spin on the stale answer: %.0f reads/s", perSecond)
 }
 
-// A diskless host starts while the platform is down: it has nothing and cannot
-// read. Its peers must give it what is in force.
+// A diskless host starts while the platform is down, with no state and nothing
+// to read. Its peers must send it the current configuration.
 func TestFreshHostWithPlatformDown(t *testing.T) {
 	f := start(7)
 	v := f.Publish()
-	f.Until(5*clock.Second, func() bool { return f.AllHave(v) })
-	f.Down = true
+	f.RunUntil(5*clock.Second, func() bool { return f.AllHave(v) })
+	f.PlatformDown = true
 	f.Nodes[3].Restart()
-	took := f.Until(10*clock.Second, func() bool { return f.AllHave(v) })
+	took := f.RunUntil(10*clock.Second, func() bool { return f.AllHave(v) })
 	assert.Assert(t, took <= 3*clock.Second, "took %d ms", took)
 }
 
-// Two parts of the fleet are cut off from each other and each sees another
-// change; at the heal the lower must give way everywhere.
+// The platform is cut off from one partition of the fleet and publishes two
+// changes. After the heal every host must adopt the highest version.
 func TestHealSettlesOnTheHighest(t *testing.T) {
 	f := start(21)
-	f.CutDomains("d00", "d01", true)
-	f.CutDomains("d00", "d02", true)
+	f.SetPartitioned("d00", "d01", true)
+	f.SetPartitioned("d00", "d02", true)
 	for _, n := range f.Nodes {
 		n.Isolated = n.Domain == "d00"
 	}
@@ -111,9 +111,9 @@
 	v := f.Publish()
 	f.Clock.Run(f.Clock.Now() + 5*clock.Second)
 	assert.Assert(t, !f.AllHave(v))
-	f.CutDomains("d00", "d01", false)
-	f.CutDomains("d00", "d02", false)
-	took := f.Until(10*clock.Second, func() bool { return f.AllHave(v) })
+	f.SetPartitioned("d00", "d01", false)
+	f.SetPartitioned("d00", "d02", false)
+	took := f.RunUntil(10*clock.Second, func() bool { return f.AllHave(v) })
 	assert.Assert(t, took <= 3*clock.Second, "took %d ms", took)
-	assert.Equal(t, len(f.Backwards), 0)
+	assert.Equal(t, len(f.Regressions), 0)
 }
--- a/bench/slope/io.go
+++ b/bench/slope/io.go
@@ -17,17 +17,18 @@
 	"dandelionstile/share/wire"
 )
 
-// processor is the processor time that this process has used, in microseconds.
-func processor() float64 {
+// cpuTime returns the CPU time that this process has used, in microseconds.
+func cpuTime() float64 {
 	var u unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
-		return 0 // it does not fail for the own process
+		return 0 // cannot fail for the calling process
 	}
 	us := func(t unix.Timeval) float64 { return float64(t.Sec)*1e6 + float64(t.Usec) }
 	return us(u.Utime) + us(u.Stime)
 }
 
-// WireTime measures encoding and decoding a batch and its outcomes.
+// WireTime measures the time to encode and decode a batch and its outcomes, by
+// the calls in the batch.
 func WireTime() Line {
 	l := Line{Name: "links: encode and decode a batch", Unit: "us", Per: "leaf call"}
 	for _, calls := range []int{1, 12, 48} {
@@ -48,7 +49,7 @@
 	return fit(l)
 }
 
-// sink counts the frames that arrive.
+// sink counts the frames that it receives.
 type sink struct {
 	up     chan *mesh.Link
 	frames atomic.Int64
@@ -67,8 +68,8 @@
 
 func (s *sink) RTT(*mesh.Link, time.Duration) {}
 
-// LinkTime measures the processor time of outcomes on a link over loopback, both
-// ends in this process, by the outcomes in one message.
+// LinkTime measures the CPU time of a message of outcomes on a loopback link,
+// with both ends in this process, by the outcomes in the message.
 func LinkTime() Line {
 	l := Line{Name: "links: one message, both ends", Unit: "us", Per: "outcome in it"}
 	server, client := &sink{up: make(chan *mesh.Link, 1)}, &sink{up: make(chan *mesh.Link, 1)}
@@ -84,7 +85,7 @@
 		m := &wire.Envelope{Body: &wire.Envelope_Outcomes{Outcomes: testOutcomes(n)}}
 		const messages = 5000
 		server.frames.Store(0)
-		before := processor()
+		before := cpuTime()
 		for range messages {
 			for errors.Is(link.Send(m), mesh.ErrBusy) {
 				time.Sleep(100 * time.Microsecond)
@@ -93,16 +94,16 @@
 		for server.frames.Load() < messages {
 			time.Sleep(time.Millisecond)
 		}
-		l.Points = append(l.Points, Point{float64(n), (processor() - before) / messages})
+		l.Points = append(l.Points, Point{float64(n), (cpuTime() - before) / messages})
 	}
 	_ = c.Close()
 	_ = s.Close()
 	return fit(l)
 }
 
-// LeafTime measures the processor time of leaf calls over HTTP on loopback, the
-// stand-in's share included, by the rows in the reply.
-func LeafTime() Line {
+// LeafCallTime measures the CPU time of a leaf call over HTTP on loopback,
+// including the test server, by the rows in the reply.
+func LeafCallTime() Line {
 	l := Line{Name: "leaf call over HTTP, both ends", Unit: "us", Per: "row"}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -122,14 +123,14 @@
 	request := []byte(`{"attempt":"h0001.1.2.3","service":"v000","snapshot":"1-7","shard":3,"text":"a query of some words","limit":10,"deadline-ms":40}`)
 	for _, rows := range []int{1, 10, 30} {
 		body.Store(make([]byte, 120*rows))
-		before := processor()
+		before := cpuTime()
 		const calls, workers = 500, 8
-		var wait sync.WaitGroup
+		var wg sync.WaitGroup
 		for range workers {
-			wait.Go(func() { callMany(engine, ln.Addr().String(), request, calls) })
+			wg.Go(func() { callMany(engine, ln.Addr().String(), request, calls) })
 		}
-		wait.Wait()
-		l.Points = append(l.Points, Point{float64(rows), (processor() - before) / (calls * workers)})
+		wg.Wait()
+		l.Points = append(l.Points, Point{float64(rows), (cpuTime() - before) / (calls * workers)})
 	}
 	_ = engine.Close()
 	_ = server.Close()
@@ -150,14 +151,15 @@
 	}
 }
 
-// Packing measures how large a changed file is on a link, by its size.
-func Packing() Line {
+// CompressedSize measures the size of a changed file on a link, by its original
+// size.
+func CompressedSize() Line {
 	l := Line{Name: "links: a changed file, compressed", Unit: "bytes", Per: "byte of the file"}
 	for _, servers := range []int{4, 16, 64} {
 		parts := inventory(2*servers, domains)
 		body := parts[len(parts)-1].Body
-		packed := node.CompressItems(&wire.Items{Items: []*wire.Item{{Name: "p0001.yaml", Body: body}}})
-		l.Points = append(l.Points, Point{float64(len(body)), float64(len(packed))})
+		compressed := node.CompressItems(&wire.Items{Items: []*wire.Item{{Name: "p0001.yaml", Body: body}}})
+		l.Points = append(l.Points, Point{float64(len(body)), float64(len(compressed))})
 	}
 	return fit(l)
 }
--- a/bench/slope/measure.go
+++ b/bench/slope/measure.go
@@ -14,20 +14,21 @@
 	"dandelionstile/share/wire"
 )
 
-// Domains at the size to design for.
+// domains is the number of failure domains to design for.
 const domains = 14
 
-// mustParse parses files that this package wrote itself.
-func mustParse(leafs int) *topo.Config {
-	cfg, err := topo.Parse(1, inventory(leafs, domains))
+// mustParse parses an inventory that this package generated.
+func mustParse(leaves int) *topo.Config {
+	cfg, err := topo.Parse(1, inventory(leaves, domains))
 	if err != nil {
 		panic(err)
 	}
 	return cfg
 }
 
-// Query measures an entry's decisions per query, by its shards.
-func Query() Line {
+// QueryDecisions measures the time of an entry's decisions for a query, by its
+// shards.
+func QueryDecisions() Line {
 	l := Line{Name: "entry: decisions per query", Unit: "us", Per: "shard"}
 	for _, shards := range []int{10, 70, 210} {
 		cfg := mustParse(shardsPerLayout * replicas)
@@ -39,7 +40,7 @@
 			}
 		}
 		cfg.Inventory.Servers = kept
-		e := entry(cfg, hostList(28, domains), fanout.Policy{NoCanary: true})
+		e := newEntry(cfg, hostList(28, domains), fanout.Policy{NoCanary: true})
 		now, id := clock.Milli(1), uint64(0)
 		l.Points = append(l.Points, Point{float64(shards), microseconds(func() {
 			id++
@@ -53,7 +54,7 @@
 	return fit(l)
 }
 
-// answerAll lets every call of a query succeed.
+// answerAll completes every call of a query successfully.
 func answerAll(e *fanout.Engine, now clock.Milli, actions []fanout.Action) {
 	rows := []query.Row{{Key: "k", Score: 1, Text: "a row of text"}}
 	for _, a := range actions {
@@ -67,13 +68,14 @@
 	}
 }
 
-// Call measures an aggregator's decisions per leaf call, by the leafs it owns.
-func Call() Line {
+// CallDecisions measures the time of an aggregator's decisions for a leaf call,
+// by the leaves that it owns.
+func CallDecisions() Line {
 	l := Line{Name: "aggregator: decisions per leaf call", Unit: "us", Per: "leaf owned"}
-	for _, leafs := range []int{6, 24, 96} {
-		e, names, now := owner(leafs)
+	for _, leaves := range []int{6, 24, 96} {
+		e, names, now := newAggregator(leaves)
 		id := uint64(0)
-		l.Points = append(l.Points, Point{float64(leafs), microseconds(func() {
+		l.Points = append(l.Points, Point{float64(leaves), microseconds(func() {
 			id++
 			*now++
 			for _, a := range e.Submit(*now, sched.Call{
@@ -89,13 +91,13 @@
 	return fit(l)
 }
 
-// LeafUpkeep measures what an owned leaf costs with no calls: ticks, probes and
-// claims of one second.
+// LeafUpkeep measures the time that owned leaves without calls cost per second:
+// ticks, probes and claims.
 func LeafUpkeep() Line {
 	l := Line{Name: "aggregator: upkeep per second", Unit: "us", Per: "leaf owned"}
-	for _, leafs := range []int{6, 24, 96} {
-		e, _, now := owner(leafs)
-		l.Points = append(l.Points, Point{float64(leafs), microseconds(func() {
+	for _, leaves := range []int{6, 24, 96} {
+		e, _, now := newAggregator(leaves)
+		l.Points = append(l.Points, Point{float64(leaves), microseconds(func() {
 			for range 200 { // ticks of 5 ms
 				*now += 5
 				out, _ := e.Tick(*now)
@@ -106,9 +108,10 @@
 	return fit(l)
 }
 
-// owner builds an aggregator alone in its failure domain.
-func owner(leafs int) (*sched.Engine, []string, *clock.Milli) {
-	cfg, err := topo.Parse(1, inventory(leafs, 1))
+// newAggregator builds the only aggregator of its failure domain, with the names
+// of its leaves and its clock, which is past the start-up phase.
+func newAggregator(leaves int) (*sched.Engine, []string, *clock.Milli) {
+	cfg, err := topo.Parse(1, inventory(leaves, 1))
 	if err != nil {
 		panic(err)
 	}
@@ -137,15 +140,15 @@
 	}
 }
 
-// sizes are the numbers of leafs that whole-inventory costs are measured at.
-var sizes = []int{1050, 8400, 33000}
+// leafCounts are the sizes of inventory at which costs are measured.
+var leafCounts = []int{1050, 8400, 33000}
 
-// ParseAll measures reading the whole inventory, as a fresh host does.
+// ParseAll measures parsing the whole inventory, as a host does at its start.
 func ParseAll() Line {
 	l := Line{Name: "config: read whole, fresh host", Unit: "ms", Per: "leaf in the inventory"}
-	for _, n := range sizes {
+	for _, n := range leafCounts {
 		parts := inventory(n, domains)
-		l.Points = append(l.Points, Point{float64(n), once(func() {
+		l.Points = append(l.Points, Point{float64(n), millisecondsOnce(func() {
 			var p topo.Parser
 			if _, err := p.Parse(1, parts); err != nil {
 				panic(err)
@@ -155,10 +158,10 @@
 	return fit(l)
 }
 
-// ParseChange measures reading a configuration of which one file has changed.
+// ParseChange measures parsing a configuration in which one file has changed.
 func ParseChange() Line {
 	l := Line{Name: "config: read one change", Unit: "ms", Per: "leaf in the inventory"}
-	for _, n := range sizes {
+	for _, n := range leafCounts {
 		parts := inventory(n, domains)
 		var p topo.Parser
 		if _, err := p.Parse(1, parts); err != nil {
@@ -177,23 +180,24 @@
 	return fit(l)
 }
 
-// EntryChange measures putting a change in force in an entry, with 5,600 hosts.
+// EntryChange measures applying a change in an entry, with 5,600 hosts.
 func EntryChange() Line {
 	l := Line{Name: "entry: put one change in force", Unit: "ms", Per: "leaf in the inventory"}
 	hosts := hostList(5600, domains)
-	for _, n := range sizes {
+	for _, n := range leafCounts {
 		cfg := mustParse(n)
-		e := entry(cfg, hosts, fanout.Policy{})
+		e := newEntry(cfg, hosts, fanout.Policy{})
 		l.Points = append(l.Points, Point{float64(n), microseconds(func() { e.Configure(cfg, hosts) }) / 1000})
 	}
 	return fit(l)
 }
 
-// GateChange measures the same in an aggregator.
-func GateChange() Line {
+// AggregatorChange measures applying a change in an aggregator, with 5,600
+// hosts.
+func AggregatorChange() Line {
 	l := Line{Name: "aggregator: put one change in force", Unit: "ms", Per: "leaf in the inventory"}
 	hosts := hostList(5600, domains)
-	for _, n := range sizes {
+	for _, n := range leafCounts {
 		cfg := mustParse(n)
 		e := &sched.Engine{Self: "h0000", Domain: "d00"}
 		l.Points = append(l.Points, Point{float64(n), microseconds(func() { e.Configure(1, cfg, hosts) }) / 1000})
@@ -201,22 +205,22 @@
 	return fit(l)
 }
 
-// EntryMemory measures an entry's state with 5,600 hosts.
+// EntryMemory measures the memory of an entry's state, with 5,600 hosts.
 func EntryMemory() Line {
 	l := Line{Name: "entry: state of leafs and hosts", Unit: "MB", Per: "leaf in the inventory"}
-	for _, n := range sizes {
+	for _, n := range leafCounts {
 		cfg := mustParse(n)
 		hosts := hostList(5600, domains)
-		l.Points = append(l.Points, Point{float64(n), megabytes(func() any { return entry(cfg, hosts, fanout.Policy{}) })})
+		l.Points = append(l.Points, Point{float64(n), megabytes(func() any { return newEntry(cfg, hosts, fanout.Policy{}) })})
 	}
 	return fit(l)
 }
 
-// ConfigMemory measures what any process keeps of the configuration: the files
-// and what they say.
+// ConfigMemory measures the memory that any process uses for the configuration:
+// the files and their parsed contents.
 func ConfigMemory() Line {
 	l := Line{Name: "config: files and contents kept", Unit: "MB", Per: "leaf in the inventory"}
-	for _, n := range sizes {
+	for _, n := range leafCounts {
 		l.Points = append(l.Points, Point{float64(n), megabytes(func() any {
 			parts := inventory(n, domains)
 			p := &topo.Parser{}
@@ -230,7 +234,7 @@
 	return fit(l)
 }
 
-// testBatch and testOutcomes are messages as a query makes them.
+// testBatch returns a batch as a query sends it.
 func testBatch(calls int) *wire.Batch {
 	batch := &wire.Batch{
 		Service: "v000", Layout: 1, Snapshot: 7, Text: "a query of some words", Limit: 10, BudgetMs: 51,
@@ -242,6 +246,7 @@
 	return batch
 }
 
+// testOutcomes returns outcomes as the calls of a query return them.
 func testOutcomes(calls int) *wire.Outcomes {
 	outcomes := &wire.Outcomes{}
 	for i := range calls {
@@ -257,8 +262,8 @@
 	return outcomes
 }
 
-// WireBytes measures what a query's calls take between hosts, both ways, by the
-// calls in one batch.
+// WireBytes measures the bytes of a query's calls between two hosts, both ways,
+// by the calls in one batch.
 func WireBytes() Line {
 	l := Line{Name: "links: bytes per batch, both ways", Unit: "bytes", Per: "leaf call"}
 	for _, calls := range []int{1, 12, 48} {
@@ -268,50 +273,52 @@
 	return fit(l)
 }
 
-// Spread is what bringing changes to all hosts costs at one size.
-type Spread struct {
+// Propagation is the cost of propagating changes to all hosts of a fleet.
+type Propagation struct {
 	Hosts int
-	// Reads is the platform's reads a second.
-	Reads float64
-	// Bytes is what a host sends and receives a second, on average and at most.
-	Bytes, MostBytes float64
-	// InForce is the time until all hosts have a change, the longest of ten.
-	InForce clock.Milli
+	// ReadsPerSecond is the rate of platform reads.
+	ReadsPerSecond float64
+	// BytesPerSecond is what a host sends and receives, on average, and
+	// MaxBytesPerSecond the highest of any host.
+	BytesPerSecond, MaxBytesPerSecond float64
+	// Latency is the time until all hosts have a change, the longest of ten.
+	Latency clock.Milli
 }
 
-// Spreads measures the spread with changes at the rate to design for.
-func Spreads(hosts ...int) []Spread {
-	var out []Spread
+// MeasurePropagation measures propagation with changes at the rate to design
+// for, 13,000 per day.
+func MeasurePropagation(hosts ...int) []Propagation {
+	var out []Propagation
 	for _, n := range hosts {
 		f := &fleet.Fleet{Hosts: n, Domains: domains, Parts: 1000, PartBytes: 4000, Seed: 1}
 		if n < 2*domains {
 			f.Domains = 3
 		}
 		f.Start()
-		f.Until(60*clock.Second, func() bool { return f.AllHave(1) })
+		f.RunUntil(60*clock.Second, func() bool { return f.AllHave(1) })
 		f.Clock.Run(f.Clock.Now() + 5*clock.Second)
 		before := map[string]int{}
 		for _, h := range f.Nodes {
 			before[h.Name] = h.Bytes
 		}
-		s := Spread{Hosts: n}
+		s := Propagation{Hosts: n}
 		reads, begin := f.Reads, f.Clock.Now()
 		for range 10 {
 			v := f.Publish()
-			s.InForce = max(s.InForce, f.Until(20*clock.Second, func() bool { return f.AllHave(v) }))
+			s.Latency = max(s.Latency, f.RunUntil(20*clock.Second, func() bool { return f.AllHave(v) }))
 			f.Clock.Run(f.Clock.Now() + 86400*clock.Second/13000 - 1000)
 		}
 		span := float64(f.Clock.Now()-begin) / 1000
-		s.Reads = float64(f.Reads-reads) / span
+		s.ReadsPerSecond = float64(f.Reads-reads) / span
 		for _, h := range f.Nodes {
 			b := float64(h.Bytes-before[h.Name]) / span
-			s.Bytes += b / float64(n)
-			s.MostBytes = max(s.MostBytes, b)
+			s.BytesPerSecond += b / float64(n)
+			s.MaxBytesPerSecond = max(s.MaxBytesPerSecond, b)
 		}
 		out = append(out, s)
 	}
 	return out
 }
 
-// once times one run, in ms.
-func once(f func()) float64 { return microsecondsOnce(f) / 1000 }
+// millisecondsOnce times one run of f.
+func millisecondsOnce(f func()) float64 { return microsecondsOnce(f) / 1000 }
--- a/bench/slope/slope.go
+++ b/bench/slope/slope.go
@@ -1,6 +1,6 @@
-// Package slope measures what the product's parts cost per unit (a leaf, a
-// peer, a query, a change of configuration), each at three sizes or more, and
-// fits a line to it. docs/CAPACITY.md works from these lines.
+// Package slope measures the cost of the product's parts per unit (a leaf, a
+// peer, a query, a configuration change) at three or more sizes, and fits a line
+// to it. docs/CAPACITY.md is based on these lines.
 package slope
 
 import (
@@ -16,11 +16,11 @@
 	Cost float64
 }
 
-// Line is a fitted cost: Fixed + PerUnit x size.
+// Line is a linear cost model: Fixed + PerUnit x size.
 type Line struct {
 	Name string
 	Unit string // of the cost
-	Per  string // what a size counts
+	Per  string // the unit of sizes
 	// Points are the measurements.
 	Points  []Point
 	Fixed   float64
@@ -29,11 +29,11 @@
 	Error float64
 }
 
-// At is the cost at a size, by the line.
+// At returns the cost at a size, according to the line.
 func (l Line) At(size float64) float64 { return l.Fixed + l.PerUnit*size }
 
-// fit draws the line through the points by least squares, relative to their
-// size, so that small sizes count as much as large ones.
+// fit fits the line by least squares of the relative errors, so that small sizes
+// count as much as large ones.
 func fit(l Line) Line {
 	var sw, swx, swy, swxx, swxy float64
 	for _, p := range l.Points {
@@ -57,7 +57,7 @@
 	return l
 }
 
-// String writes the line with its points.
+// String formats the line with its points.
 func (l Line) String() string {
 	text := fmt.Sprintf("%-34s %10.4g %s + %.4g per %s (error %.0f %%):", l.Name, l.Fixed, l.Unit, l.PerUnit, l.Per, 100*l.Error)
 	for _, p := range l.Points {
@@ -66,7 +66,8 @@
 	return text
 }
 
-// microseconds times f, run until enough time has passed, best of three.
+// microseconds returns the mean time of f: the best of three rounds that run f
+// for at least 100 ms.
 func microseconds(f func()) float64 {
 	best := math.Inf(1)
 	for range 3 {
@@ -80,16 +81,16 @@
 	return best
 }
 
-// megabytes is what the heap grows by when f builds something.
+// megabytes returns how much the heap grows by the value that f builds.
 func megabytes(f func() any) float64 {
-	before := heap()
+	before := heapBytes()
 	kept := f()
-	after := heap()
+	after := heapBytes()
 	runtime.KeepAlive(kept)
 	return float64(int64(after)-int64(before)) / (1 << 20)
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -97,7 +98,7 @@
 	return m.HeapAlloc
 }
 
-// microsecondsOnce times one run of something that takes long.
+// microsecondsOnce times one run of f.
 func microsecondsOnce(f func()) float64 {
 	started := time.Now()
 	f()
--- a/bench/slope/world.go
+++ b/bench/slope/world.go
@@ -9,19 +9,19 @@
 	"dandelionstile/share/topo"
 )
 
-// Sizes of what is built to measure.
+// Sizes of the generated inventories.
 const (
-	leafsPerServer  = 2
+	leavesPerServer = 2
 	serversPerPart  = 16
 	replicas        = 3
 	shardsPerLayout = 210
 )
 
-// inventory builds the operators' files for a number of leafs in some failure
-// domains.
-func inventory(leafs, domains int) []topo.Part {
-	servers := leafs / leafsPerServer
-	services := max(1, leafs/(shardsPerLayout*replicas))
+// inventory generates the operators' files for a number of leaves in a number of
+// failure domains.
+func inventory(leaves, domains int) []topo.Part {
+	servers := leaves / leavesPerServer
+	services := max(1, leaves/(shardsPerLayout*replicas))
 	var base strings.Builder
 	base.WriteString("failure-domains:\n")
 	for d := range domains {
@@ -39,8 +39,8 @@
 		}
 		fmt.Fprintf(&b, "  - name: s%05d\n    service: v%03d\n    failure-domain: d%02d\n    address: 127.0.0.1:%d\n    leafs:\n",
 			s, s%services, s/services%domains, 1024+s%60000)
-		for l := range leafsPerServer {
-			shard := (s/services*leafsPerServer + l) % shardsPerLayout
+		for l := range leavesPerServer {
+			shard := (s/services*leavesPerServer + l) % shardsPerLayout
 			fmt.Fprintf(&b, "      - {name: s%05d-%d, slots: 2, connections: 25, holds: [{layout: 1, shard: %d}]}\n", s, l, shard)
 		}
 		if s%serversPerPart == serversPerPart-1 || s == servers-1 {
@@ -51,7 +51,7 @@
 	return parts
 }
 
-// hostList spreads hosts over failure domains.
+// hostList distributes hosts over failure domains.
 func hostList(n, domains int) []topo.Host {
 	hosts := make([]topo.Host, n)
 	for i := range hosts {
@@ -63,8 +63,8 @@
 	return hosts
 }
 
-// entry builds an entry that knows all leafs and has all hosts linked.
-func entry(cfg *topo.Config, hosts []topo.Host, policy fanout.Policy) *fanout.Engine {
+// newEntry builds an entry with feedback for all leaves and links to all hosts.
+func newEntry(cfg *topo.Config, hosts []topo.Host, policy fanout.Policy) *fanout.Engine {
 	e := &fanout.Engine{Self: hosts[0].Name, Domain: hosts[0].Domain, Policy: policy}
 	e.Configure(cfg, hosts)
 	for _, h := range hosts {
