--- a/bench/cmds/capacity.go
+++ b/bench/cmds/capacity.go
@@ -8,15 +8,15 @@
 
 func init() { register("capacity", &capacity{}) }
 
-// capacity measures the slopes of docs/CAPACITY.md.
+// capacity measures the cost lines behind docs/CAPACITY.md.
 type capacity struct {
-	Hosts []int `arg:"--hosts" help:"fleet sizes to spread over; 7 70 700 by default"`
+	Hosts []int `arg:"--hosts" help:"fleet sizes at which propagation is measured; 7 70 700 by default"`
 }
 
-// Help describes the command.
-func (*capacity) Help() string { return "measure the slopes that docs/CAPACITY.md works from" }
+// Help returns the description of the command.
+func (*capacity) Help() string { return "measure the cost lines behind docs/CAPACITY.md" }
 
-// Run prints them.
+// Run prints the measured lines.
 func (c *capacity) Run() error {
 	for _, measure := range []func() slope.Line{
 		slope.QueryDecisions, slope.CallDecisions, slope.LeafUpkeep, slope.WireBytes, slope.WireTime, slope.LinkTime, slope.LeafCallTime,
--- a/bench/cmds/check.go
+++ b/bench/cmds/check.go
@@ -13,14 +13,14 @@
 
 func init() { register("check", &check{}) }
 
-// check holds the deterministic figures against their bounds.
+// check compares the deterministic figures with their bounds.
 type check struct {
 	Bounds string `arg:"--bounds" default:"bench/bounds.yaml" help:"file of bounds"`
 	Out    string `arg:"--out" placeholder:"FILE" help:"write the results to a file"`
 }
 
-// fileBound is one bound. OverBaseline bounds the figure's ratio to the
-// baseline's in the same run.
+// fileBound is one bound. OverBaseline limits the ratio of the product's figure
+// to the baseline's, for the same scenario and deployment.
 type fileBound struct {
 	Scenario     string   `yaml:"scenario" validate:"required"`
 	Deployment   string   `yaml:"deployment" validate:"omitempty,oneof=himal kumomaru"`
@@ -35,10 +35,10 @@
 	Bounds []fileBound `yaml:"bounds" validate:"required,min=1,dive"`
 }
 
-// Help describes the command.
+// Help returns the description of the command.
 func (*check) Help() string { return "run the scenarios that have bounds and check them" }
 
-// Run runs them and lists every figure that is out of bounds.
+// Run runs the scenarios and prints every figure that is out of bounds.
 func (c *check) Run() error {
 	body, err := os.ReadFile(c.Bounds)
 	if err != nil {
@@ -53,28 +53,28 @@
 		return err
 	}
 	if c.Out != "" {
-		if err := write(c.Out, results); err != nil {
+		if err := writeResults(c.Out, results); err != nil {
 			return err
 		}
 	}
-	bad := 0
+	violations := 0
 	for _, b := range f.Bounds {
-		bad += b.check(results)
+		violations += b.check(results)
 	}
 	for _, r := range results {
 		for _, fault := range r.Faults {
-			bad++
+			violations++
 			fmt.Printf("FAULT %s %s %s: %s\n", r.Scenario, r.Deployment, r.Policy, fault)
 		}
 	}
-	fmt.Printf("%d bounds, %d runs, %d out of bounds\n", len(f.Bounds), len(results), bad)
-	if bad > 0 {
+	fmt.Printf("%d bounds, %d runs, %d out of bounds\n", len(f.Bounds), len(results), violations)
+	if violations > 0 {
 		return ErrBound
 	}
 	return nil
 }
 
-// run makes each run that a bound needs, once.
+// run executes each run that a bound needs, once.
 func (f fileBounds) run() ([]scene.Result, error) {
 	type key struct{ scenario, deployment, policy string }
 	seen := map[key]bool{}
@@ -82,7 +82,7 @@
 	for _, b := range f.Bounds {
 		s, ok := scene.ByName(b.Scenario)
 		if !ok {
-			return nil, errors.Newf("bounds name no scenario %q", b.Scenario)
+			return nil, errors.Newf("bounds name an unknown scenario %q", b.Scenario)
 		}
 		for _, d := range []deploy.Deployment{deploy.Himal(), deploy.Kumomaru()} {
 			for _, p := range scene.Policies() {
@@ -99,31 +99,31 @@
 }
 
 func (b fileBound) check(results []scene.Result) int {
-	bad := 0
+	violations := 0
 	for _, r := range results {
 		if r.Scenario != b.Scenario || r.Policy != "product" || (b.Deployment != "" && b.Deployment != r.Deployment) {
 			continue
 		}
 		v, ok := r.Get(b.Figure)
-		why := ""
+		problem := ""
 		switch {
 		case !ok:
-			why = "is not measured"
+			problem = "is not measured"
 		case b.Most != nil && v > *b.Most:
-			why = fmt.Sprintf("is over %g", *b.Most)
+			problem = fmt.Sprintf("is over %g", *b.Most)
 		case b.Least != nil && v < *b.Least:
-			why = fmt.Sprintf("is under %g", *b.Least)
+			problem = fmt.Sprintf("is under %g", *b.Least)
 		case b.OverBaseline != nil:
 			if base := baselineOf(results, r, b.Figure); v > *b.OverBaseline*base {
-				why = fmt.Sprintf("is over %g of the baseline's %g", *b.OverBaseline, base)
+				problem = fmt.Sprintf("is over %g of the baseline's %g", *b.OverBaseline, base)
 			}
 		}
-		if why != "" {
-			bad++
-			fmt.Printf("OUT OF BOUNDS %s %s: %s = %g %s\n", r.Scenario, r.Deployment, b.Figure, v, why)
+		if problem != "" {
+			violations++
+			fmt.Printf("OUT OF BOUNDS %s %s: %s = %g %s\n", r.Scenario, r.Deployment, b.Figure, v, problem)
 		}
 	}
-	return bad
+	return violations
 }
 
 func baselineOf(results []scene.Result, r scene.Result, figure string) float64 {
--- a/bench/cmds/cmds.go
+++ b/bench/cmds/cmds.go
@@ -1,5 +1,5 @@
-// Package cmds holds the bench's commands, one file each. A command is a struct
-// with argument tags that registers itself.
+// Package cmds implements the subcommands of bench, one per file. A command is a
+// struct with go-arg tags that registers itself.
 package cmds
 
 import (
@@ -19,12 +19,12 @@
 	exitUsage   = 2
 )
 
-// ErrBound means that a figure is outside its bound.
+// ErrBound is returned if a figure is out of its bounds.
 var ErrBound = errors.New("figures out of bounds")
 
 // command is one subcommand.
 type command interface {
-	// Help is one line for the list of commands.
+	// Help returns one line for the list of commands.
 	Help() string
 	Run() error
 }
@@ -43,7 +43,7 @@
 	}
 	c, ok := commands[args[0]]
 	if !ok {
-		fmt.Fprintf(os.Stderr, "bench: no command %q\n", args[0])
+		fmt.Fprintf(os.Stderr, "bench: unknown command %q\n", args[0])
 		usage()
 		return exitUsage
 	}
@@ -66,7 +66,7 @@
 		names = append(names, n)
 	}
 	sort.Strings(names)
-	fmt.Println("usage: bench COMMAND [ARGUMENTS]; bench COMMAND --help tells more")
+	fmt.Println("usage: bench COMMAND [ARGUMENTS]; see bench COMMAND --help")
 	for _, n := range names {
 		fmt.Printf("  %-10s %s\n", n, commands[n].Help())
 	}
--- a/bench/cmds/compare.go
+++ b/bench/cmds/compare.go
@@ -8,24 +8,24 @@
 
 func init() { register("compare", &compare{}) }
 
-// compare sets two result files side by side.
+// compare prints the differences between two result files.
 type compare struct {
 	Before string `arg:"positional,required" help:"result file"`
 	After  string `arg:"positional,required" help:"result file"`
-	// Least is the least relative change that is shown.
-	Least float64 `arg:"--least" default:"0.02" help:"least relative change to show"`
+	// MinChange is the smallest relative change to show.
+	MinChange float64 `arg:"--least" default:"0.02" help:"smallest relative change to show"`
 }
 
-// Help describes the command.
+// Help returns the description of the command.
 func (*compare) Help() string { return "compare two result files" }
 
 // Run prints the figures that differ.
 func (c *compare) Run() error {
-	before, err := read(c.Before)
+	before, err := readResults(c.Before)
 	if err != nil {
 		return err
 	}
-	after, err := read(c.After)
+	after, err := readResults(c.After)
 	if err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 		if f.Value != 0 {
 			change = v/f.Value - 1
 		}
-		if change > -c.Least && change < c.Least && f.Value != 0 {
+		if change > -c.MinChange && change < c.MinChange && f.Value != 0 {
 			continue
 		}
 		fmt.Printf("%-14s %-9s %-9s %-26s %10.4g -> %10.4g  %+.1f %%\n",
--- a/bench/cmds/list.go
+++ b/bench/cmds/list.go
@@ -8,13 +8,13 @@
 
 func init() { register("list", &list{}) }
 
-// list names the scenarios.
+// list prints the scenarios.
 type list struct{}
 
-// Help describes the command.
+// Help returns the description of the command.
 func (*list) Help() string { return "list the scenarios with their goals" }
 
-// Run prints the list.
+// Run prints the names and goals.
 func (*list) Run() error {
 	for _, s := range scene.All() {
 		fmt.Printf("%-14s %s\n", s.Name, s.Goal)
--- a/bench/cmds/load.go
+++ b/bench/cmds/load.go
@@ -16,24 +16,24 @@
 
 func init() { register("load", &load{}) }
 
-// load sends queries to running entries at a steady rate, in wall time.
+// load sends queries to running entries at a constant rate, in wall time.
 type load struct {
-	Entries  []string      `arg:"positional,required" placeholder:"IP:PORT" help:"callers' addresses of entries, loopback only"`
+	Entries  []string      `arg:"positional,required" placeholder:"IP:PORT" help:"entries' addresses for callers, loopback only"`
 	Service  string        `arg:"--service,required" help:"service to ask"`
-	Rate     int           `arg:"--rate" default:"200" help:"queries a second, at most 20000"`
-	Span     time.Duration `arg:"--span" default:"10s" help:"how long, at most 10m"`
-	Workers  int           `arg:"--workers" default:"64" help:"connections"`
-	Texts    int           `arg:"--texts" default:"500" help:"how many different queries"`
+	Rate     int           `arg:"--rate" default:"200" help:"queries per second, at most 20000"`
+	Span     time.Duration `arg:"--span" default:"10s" help:"duration, at most 10m"`
+	Workers  int           `arg:"--workers" default:"64" help:"number of connections"`
+	Texts    int           `arg:"--texts" default:"500" help:"number of different queries"`
 	BudgetMS int           `arg:"--budget-ms" default:"1000" help:"time budget of a query"`
 }
 
-// Bounds of a load.
+// Limits of a load.
 const (
-	mostRate = 20000
-	mostSpan = 10 * time.Minute
+	maxRate = 20000
+	maxSpan = 10 * time.Minute
 )
 
-// tally counts what came back.
+// tally counts the results.
 type tally struct {
 	mu       sync.Mutex
 	latency  *hdrhistogram.Histogram
@@ -44,57 +44,57 @@
 	refused  map[string]int
 }
 
-// loadAnswer is what is read of an answer or refusal.
+// loadAnswer holds the fields that are read of an answer or refusal.
 type loadAnswer struct {
 	Complete bool   `json:"complete"`
 	Extra    int    `json:"extra-attempts"`
 	Reason   string `json:"reason"`
 }
 
-// Help describes the command.
-func (*load) Help() string { return "send queries to running entries and report what came back" }
+// Help returns the description of the command.
+func (*load) Help() string { return "send queries to running entries and report the results" }
 
-// Run sends the load and prints the counts.
+// Run sends the load and prints the results.
 func (c *load) Run() error {
 	for _, e := range c.Entries {
 		if len(e) < 4 || e[:4] != "127." {
 			return errors.Newf("%s is not a loopback address", e)
 		}
 	}
-	if c.Rate < 1 || c.Rate > mostRate || c.Span > mostSpan || c.Workers < 1 {
-		return errors.Newf("rate must be 1 to %d, span at most %s, workers at least 1", mostRate, mostSpan)
+	if c.Rate < 1 || c.Rate > maxRate || c.Span > maxSpan || c.Workers < 1 {
+		return errors.Newf("rate must be 1 to %d, span at most %s, workers at least 1", maxRate, maxSpan)
 	}
 	engine := &fetch.Engine{}
 	if err := engine.Start(); err != nil {
 		return err
 	}
-	defer func() { _ = engine.Close() }() // the load is over
+	defer func() { _ = engine.Close() }() // all queries have ended
 	t := &tally{latency: hdrhistogram.New(1, 600000, 3), refused: map[string]int{}}
-	due := make(chan int, mostRate)
-	var wait sync.WaitGroup
+	due := make(chan int, maxRate)
+	var wg sync.WaitGroup
 	for w := range c.Workers {
-		wait.Go(func() { c.work(engine, c.Entries[w%len(c.Entries)], due, t) })
+		wg.Go(func() { c.work(engine, c.Entries[w%len(c.Entries)], due, t) })
 	}
 	c.feed(due)
 	close(due)
-	wait.Wait()
+	wg.Wait()
 	c.print(t)
 	return nil
 }
 
-// feed makes queries due at the rate, whatever becomes of those before: a load
-// that waits for answers hides how slow they are.
+// feed makes queries due at the rate, however slow the earlier answers are: a
+// load that waits for answers hides their latency.
 func (c *load) feed(due chan<- int) {
 	begin := time.Now()
 	for n := 0; ; {
-		past := time.Since(begin)
-		if past >= c.Span {
+		elapsed := time.Since(begin)
+		if elapsed >= c.Span {
 			return
 		}
-		for ; n < int(past.Seconds()*float64(c.Rate)); n++ {
+		for ; n < int(elapsed.Seconds()*float64(c.Rate)); n++ {
 			select {
 			case due <- n:
-			default: // workers are far behind; what is not sent shows in the counts
+			default: // the workers are far behind; the counts show the queries not sent
 			}
 		}
 		time.Sleep(time.Millisecond)
--- a/bench/cmds/plot.go
+++ b/bench/cmds/plot.go
@@ -17,30 +17,30 @@
 
 func init() { register("plot", &plotCommand{}) }
 
-// plotCommand draws results and the curve of the patience setting.
+// plotCommand plots results and the effect of the patience setting.
 type plotCommand struct {
 	Results string `arg:"positional" default:"docs/results/0.1.0.yaml" help:"result file"`
-	Out     string `arg:"--out" default:"docs/plots" help:"directory"`
-	Seed    uint64 `arg:"--seed" default:"1" help:"seed of the curve's runs"`
+	Out     string `arg:"--out" default:"docs/plots" help:"output directory"`
+	Seed    uint64 `arg:"--seed" default:"1" help:"seed of the runs for the curve"`
 }
 
-// Sizes of the pictures.
+// Size of the plots.
 const (
 	width  = 9 * vg.Inch
 	height = 4 * vg.Inch
 )
 
-// Help describes the command.
+// Help returns the description of the command.
 func (*plotCommand) Help() string {
-	return "draw a result file, and the curve of tail latency against coverage and extra load"
+	return "plot a result file, and the curve of tail latency against coverage and extra load"
 }
 
-// Run writes the pictures.
+// Run writes the plots.
 func (c *plotCommand) Run() error {
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
-		return errors.Wrap(err, "make directory")
+		return errors.Wrap(err, "create directory")
 	}
-	results, err := read(c.Results)
+	results, err := readResults(c.Results)
 	if err != nil {
 		return err
 	}
@@ -52,7 +52,7 @@
 	return c.curve()
 }
 
-// bars sets the product's 99th percentiles beside the baseline's.
+// bars plots the 99th percentiles of the product and the baseline.
 func (c *plotCommand) bars(results []scene.Result, deployment string) error {
 	var names []string
 	values := map[string]plotter.Values{}
@@ -86,7 +86,8 @@
 	return errors.Wrap(p.Save(width, height, filepath.Join(c.Out, "p99-"+deployment+".png")), "save plot")
 }
 
-// curve runs stragglers on kumomaru with several settings of patience.
+// curve runs stragglers on kumomaru with several patience settings and plots the
+// results.
 func (c *plotCommand) curve() error {
 	s, _ := scene.ByName("stragglers")
 	var tasks []task
@@ -99,22 +100,22 @@
 		tasks = append(tasks, task{s, d, scene.Policies()[0], c.Seed})
 	}
 	results := execute(tasks)
-	var tail, lost, extra plotter.XYs
+	var tail, incomplete, extra plotter.XYs
 	for i, r := range results {
 		p99, _ := r.Get("p999-ms")
 		complete, _ := r.Get("complete-share")
-		more, _ := r.Get("extra-share")
-		fmt.Printf("patience %3d %%: p99.9 %4.0f ms, complete %.4f, extra %.4f\n", patience[i], p99, complete, more)
+		extraShare, _ := r.Get("extra-share")
+		fmt.Printf("patience %3d %%: p99.9 %4.0f ms, complete %.4f, extra %.4f\n", patience[i], p99, complete, extraShare)
 		x := float64(patience[i])
 		tail = append(tail, plotter.XY{X: x, Y: p99 / 1000})
-		lost = append(lost, plotter.XY{X: x, Y: 100 * (1 - complete)})
-		extra = append(extra, plotter.XY{X: x, Y: 100 * more})
+		incomplete = append(incomplete, plotter.XY{X: x, Y: 100 * (1 - complete)})
+		extra = append(extra, plotter.XY{X: x, Y: 100 * extraShare})
 	}
 	p := plot.New()
 	p.Title.Text = "patience on kumomaru, stragglers"
 	p.X.Label.Text = "patience, % of the deadline of 1 s"
 	p.Legend.Top = true
-	err := plotutil.AddLinePoints(p, "p99.9, s", tail, "answers with missing shards, %", lost, "extra load, %", extra)
+	err := plotutil.AddLinePoints(p, "p99.9, s", tail, "answers with missing shards, %", incomplete, "extra load, %", extra)
 	if err != nil {
 		return errors.Wrap(err, "draw curve")
 	}
--- a/bench/cmds/results.go
+++ b/bench/cmds/results.go
@@ -14,7 +14,7 @@
 	"dandelionstile/share/daemon"
 )
 
-// fileFigure, fileResult and fileResults are a result file's form.
+// fileFigure, fileResult and fileResults are the format of a result file.
 type fileFigure struct {
 	Name  string  `yaml:"name"`
 	Value float64 `yaml:"value"`
@@ -34,14 +34,14 @@
 	Results []fileResult `yaml:"results"`
 }
 
-func write(path string, results []scene.Result) error {
+func writeResults(path string, results []scene.Result) error {
 	f := fileResults{Version: daemon.Version}
 	for _, r := range results {
-		one := fileResult{Scenario: r.Scenario, Deployment: r.Deployment, Policy: r.Policy, Seed: r.Seed, Notes: r.Notes}
+		result := fileResult{Scenario: r.Scenario, Deployment: r.Deployment, Policy: r.Policy, Seed: r.Seed, Notes: r.Notes}
 		for _, g := range r.Figures {
-			one.Figures = append(one.Figures, fileFigure(g))
+			result.Figures = append(result.Figures, fileFigure(g))
 		}
-		f.Results = append(f.Results, one)
+		f.Results = append(f.Results, result)
 	}
 	body, err := yaml.Marshal(f)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return errors.Wrap(os.WriteFile(path, body, 0o644), "write results")
 }
 
-func read(path string) ([]scene.Result, error) {
+func readResults(path string) ([]scene.Result, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "read results")
@@ -69,7 +69,7 @@
 	return results, nil
 }
 
-// task is one run to make.
+// task is one run to execute.
 type task struct {
 	scenario   scene.Scenario
 	deployment deploy.Deployment
@@ -77,18 +77,19 @@
 	seed       uint64
 }
 
-// execute makes runs in parallel; the results come in the order of the tasks.
+// execute runs tasks in parallel and returns the results in the order of the
+// tasks.
 func execute(tasks []task) []scene.Result {
 	results := make([]scene.Result, len(tasks))
-	free := make(chan struct{}, max(1, runtime.NumCPU()-1))
-	var wait sync.WaitGroup
+	slots := make(chan struct{}, max(1, runtime.NumCPU()-1))
+	var wg sync.WaitGroup
 	for i, t := range tasks {
-		wait.Go(func() {
-			free <- struct{}{}
-			defer func() { <-free }()
+		wg.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			results[i] = scene.Execute(t.scenario, t.deployment, t.policy, t.seed)
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 	return results
 }
--- a/bench/cmds/run.go
+++ b/bench/cmds/run.go
@@ -12,20 +12,20 @@
 
 func init() { register("run", &run{}) }
 
-// run runs scenarios and prints their figures.
+// run executes scenarios and prints their figures.
 type run struct {
 	Scenarios   []string `arg:"positional" help:"scenarios; all by default"`
 	Deployments []string `arg:"--deployment,separate" help:"himal or kumomaru; both by default"`
 	Policies    []string `arg:"--policy,separate" help:"product, baseline or a variant; the first two by default"`
-	Seed        uint64   `arg:"--seed" default:"1" help:"seed of all random numbers"`
+	Seed        uint64   `arg:"--seed" default:"1" help:"seed of the random numbers"`
 	Out         string   `arg:"--out" placeholder:"FILE" help:"write the results to a file"`
-	Notes       bool     `arg:"--notes" help:"print reasons and events too"`
+	Notes       bool     `arg:"--notes" help:"also print reasons and events"`
 }
 
-// Help describes the command.
+// Help returns the description of the command.
 func (*run) Help() string { return "run scenarios in virtual time" }
 
-// Run runs them.
+// Run executes the selected runs.
 func (c *run) Run() error {
 	tasks, err := c.tasks()
 	if err != nil {
@@ -42,7 +42,7 @@
 		}
 	}
 	if c.Out != "" {
-		return write(c.Out, results)
+		return writeResults(c.Out, results)
 	}
 	return nil
 }
@@ -63,12 +63,12 @@
 	for _, name := range c.Scenarios {
 		s, ok := scene.ByName(name)
 		if !ok {
-			return nil, errors.Newf("no scenario %q; see bench list", name)
+			return nil, errors.Newf("unknown scenario %q; see bench list", name)
 		}
-		for _, where := range c.Deployments {
-			d, ok := deploy.ByName(where)
+		for _, deployment := range c.Deployments {
+			d, ok := deploy.ByName(deployment)
 			if !ok {
-				return nil, errors.Newf("no deployment %q", where)
+				return nil, errors.Newf("unknown deployment %q", deployment)
 			}
 			for _, p := range append(scene.Policies(), scene.Variants()...) {
 				if slices.Contains(c.Policies, p.Name) {
@@ -78,7 +78,7 @@
 		}
 	}
 	if len(tasks) == 0 {
-		return nil, errors.Newf("no policy among %v", c.Policies)
+		return nil, errors.Newf("no known policy among %v", c.Policies)
 	}
 	return tasks, nil
 }
--- a/bench/main.go
+++ b/bench/main.go
@@ -1,5 +1,5 @@
-// Command bench measures dandelionstile's decisions in virtual time and its
-// programs on loopback.
+// Command bench measures dandelionstile's decisions in virtual time, and its
+// programs over loopback.
 package main
 
 import (
