--- a/bench/deploy/deploy.go
+++ b/bench/deploy/deploy.go
@@ -128,7 +128,7 @@
 	return cfg
 }
 
-// HostList spreads the hosts over the failure domains.
+// HostList distributes the hosts over the failure domains.
 func (d Deployment) HostList() []topo.Host {
 	hosts := make([]topo.Host, d.Hosts)
 	for i := range hosts {
--- a/bench/virt/leaf.go
+++ b/bench/virt/leaf.go
@@ -117,7 +117,7 @@
 	return sched.LeafStatus{Incarnation: f.incarnation, Draining: f.draining, Holds: f.holds}
 }
 
-// atLeaf runs then at the leaf after the network latency, with a connection
+// atLeaf calls then at the leaf after the network latency, with a connection
 // that it opens if it is new. The argument of then reports whether the
 // connection is open. A partition or a silent connection drops the request.
 func (f *Leaf) atLeaf(h *Host, id sched.ConnID, newConn bool, then func(opened bool)) {
@@ -150,7 +150,7 @@
 	})
 }
 
-// atHost runs f at the host after the network latency, unless the connection
+// atHost calls run at the host after the network latency, unless the connection
 // is closed or silent by then.
 func (f *Leaf) atHost(h *Host, id sched.ConnID, run func()) {
 	incarnation := h.incarnation
--- a/bench/virt/world.go
+++ b/bench/virt/world.go
@@ -106,7 +106,7 @@
 	w.Clock.After(d, run)
 }
 
-// Now is the virtual time.
+// Now returns the virtual time.
 func (w *World) Now() clock.Milli { return w.Clock.Now() }
 
 // fault records a violated safety property.
