--- a/share/sched/flow.go
+++ b/share/sched/flow.go
@@ -6,27 +6,29 @@
 	"dandelionstile/share/query"
 )
 
-// Submit handles a new call: it is rejected, sent, or queued briefly.
-func (e *Engine) Submit(now clock.Milli, c Call) []Action {
+// Submit handles a new call. It is rejected, sent, or queued until a slot is
+// free; a canary is also rejected, with ReasonProven, if a leaf has completed its
+// request before.
+func (e *Engine) Submit(now clock.Milli, call Call) []Action {
 	e.init(now)
-	f := e.leaves[c.Leaf]
+	f := e.leaves[call.Leaf]
 	if f == nil {
-		return []Action{refuse(c.Key, query.ReasonNotOwner, 0)}
+		return []Action{reject(call.Key, query.ReasonNotOwner, 0)}
 	}
-	if reason, wait := e.refusalReason(now, f, c); reason != query.ReasonNone {
-		r := refuse(c.Key, reason, wait)
+	if reason, wait := e.rejectReason(now, f, call); reason != query.ReasonNone {
+		r := reject(call.Key, reason, wait)
 		if reason != query.ReasonNotOwner {
 			fb := e.feedback(now, f)
 			r.Outcome.Feedback = &fb
 		}
 		return []Action{r}
 	}
-	if c.Canary && !c.Update && e.proven.Has(c.provenKey()) {
-		return []Action{refuse(c.Key, query.ReasonProven, 0)}
+	if call.Canary && !call.Update && e.proven.Has(call.provenKey()) {
+		return []Action{reject(call.Key, query.ReasonProven, 0)}
 	}
-	k := &call{Call: c, leaf: f, arrived: now}
-	e.calls[c.Key] = k
-	f.queue = append(f.queue, k)
+	queued := &activeCall{Call: call, leaf: f, arrived: now}
+	e.calls[call.Key] = queued
+	f.queue = append(f.queue, queued)
 	return e.dispatch(now, f)
 }
 
@@ -35,35 +37,35 @@
 	return deny.ProvenKey{Fingerprint: c.Fingerprint, Layout: c.Pin.Layout, Version: c.Pin.Version}
 }
 
-func refuse(k Key, reason query.Reason, wait clock.Milli) Reply {
-	return Reply{Key: k, Outcome: query.Outcome{Call: k.ID, Kind: query.NotRun, Reason: reason, RetryAfter: wait}}
+func reject(key Key, reason query.Reason, wait clock.Milli) Reply {
+	return Reply{Key: key, Outcome: query.Outcome{Call: key.ID, Kind: query.NotRun, Reason: reason, RetryAfter: wait}}
 }
 
 // shortRetryAfter is the Retry-After for rejections whose cause is brief.
 const shortRetryAfter = 100 * clock.Milli(1)
 
-// refusalReason returns why a call is rejected and when to retry, or ReasonNone.
-func (e *Engine) refusalReason(now clock.Milli, f *leaf, c Call) (query.Reason, clock.Milli) {
+// rejectReason returns why a call is rejected and when to retry, or ReasonNone.
+func (e *Engine) rejectReason(now clock.Milli, f *leaf, call Call) (query.Reason, clock.Milli) {
 	if now < e.suspendedUntil {
 		return query.ReasonSuspended, e.suspendedUntil - now
 	}
 	if e.leaving {
 		return query.ReasonLeaving, 0
 	}
-	if left, blocked := e.strikes.Blocked(now, c.Fingerprint); blocked && !e.secondCanaryAllowed(now, c) {
+	if left, blocked := e.strikes.Blocked(now, call.Fingerprint); blocked && !e.secondCanaryAllowed(now, call) {
 		return query.ReasonQuarantined, left
 	}
 	if reason := e.closedReason(now, f); reason != query.ReasonNone {
 		return reason, shortRetryAfter
 	}
-	if now >= c.Deadline {
+	if now >= call.Deadline {
 		return query.ReasonDeadline, 0
 	}
 	limit := e.limit(now, f)
 	if limit == 0 {
 		return query.ReasonCold, f.ramp.remaining(now, f.warmUp)
 	}
-	if len(f.queue) >= e.queueLimit(f) && !e.canDisplace(f, c) {
+	if len(f.queue) >= e.queueLimit(f) && !e.canDisplace(f, call) {
 		return query.ReasonQueueFull, shortRetryAfter
 	}
 	return query.ReasonNone, 0
@@ -71,10 +73,11 @@
 
 // secondCanaryAllowed reports whether a request that crashed one server may run
 // a second time. Only the query whose canary crashed it may.
-func (e *Engine) secondCanaryAllowed(now clock.Milli, c Call) bool {
-	return c.SecondCanary && e.strikes.Get(now, c.Fingerprint).Count < 2
+func (e *Engine) secondCanaryAllowed(now clock.Milli, call Call) bool {
+	return call.SecondCanary && e.strikes.Get(now, call.Fingerprint).Count < 2
 }
 
+// queueLimit returns how many calls may be queued for a leaf.
 func (e *Engine) queueLimit(f *leaf) int {
 	perSlot := e.Policy.QueuePerSlot
 	if perSlot == 0 {
@@ -84,23 +87,24 @@
 }
 
 // canDisplace reports whether a full queue accepts a call because another caller
-// has at least two more calls queued. The next dispatch then rejects the newest
-// call of the caller with the most.
-func (e *Engine) canDisplace(f *leaf, c Call) bool {
+// has at least two more calls queued. The queue is then one call too long, which
+// the next dispatch corrects (displace).
+func (e *Engine) canDisplace(f *leaf, call Call) bool {
 	if e.Policy.NoFairness || len(f.queue) > e.queueLimit(f) {
 		return false
 	}
-	own, most := 0, 0
+	ownCount, maxCount := 0, 0
 	count := map[string]int{}
-	for _, q := range f.queue {
-		count[q.Caller]++
-		most = max(most, count[q.Caller])
+	for _, queued := range f.queue {
+		count[queued.Caller]++
+		maxCount = max(maxCount, count[queued.Caller])
 	}
-	own = count[c.Caller]
-	return most > own+1
+	ownCount = count[call.Caller]
+	return maxCount > ownCount+1
 }
 
-// dispatch sends queued calls while the leaf has free slots.
+// dispatch rejects expired calls and sends queued ones while the leaf has free
+// slots and this host may open connections.
 func (e *Engine) dispatch(now clock.Milli, f *leaf) []Action {
 	out := e.expire(now, f)
 	if len(f.queue) == 0 {
@@ -122,35 +126,36 @@
 		if c == nil {
 			break
 		}
-		k := f.dequeue(i)
-		k.conn = c.id
-		if k.Canary {
-			e.canaries[k.Fingerprint] = k.Key
+		call := f.dequeue(i)
+		call.conn = c.id
+		if call.Canary {
+			e.canaries[call.Fingerprint] = call.Key
 		}
-		c.call, c.sentAt = k, now
+		c.call, c.sentAt = call, now
 		f.busy++
-		out = append(out, Send{Leaf: f.Name, Conn: c.id, NewConn: newConn, Call: k.Call})
+		out = append(out, Send{Leaf: f.Name, Conn: c.id, NewConn: newConn, Call: call.Call})
 	}
-	if over := len(f.queue) - e.queueLimit(f); over > 0 {
+	// Submit may have queued one call above the limit, see canDisplace.
+	if excess := len(f.queue) - e.queueLimit(f); excess > 0 {
 		out = append(out, e.displace(now, f)...)
 	}
 	return out
 }
 
-// displace rejects the newest queued call of the caller with the most.
+// displace rejects the newest call of the caller that has the most calls queued.
 func (e *Engine) displace(now clock.Milli, f *leaf) []Action {
 	count := map[string]int{}
-	for _, q := range f.queue {
-		count[q.Caller]++
+	for _, queued := range f.queue {
+		count[queued.Caller]++
 	}
-	worst := 0
-	for i, q := range f.queue {
-		if count[q.Caller] >= count[f.queue[worst].Caller] {
-			worst = i
+	victim := 0
+	for i, queued := range f.queue {
+		if count[queued.Caller] >= count[f.queue[victim].Caller] {
+			victim = i
 		}
 	}
-	k := f.dequeue(worst)
-	return e.finish(now, k, query.Outcome{Kind: query.NotRun, Reason: query.ReasonQueueFull, RetryAfter: shortRetryAfter})
+	call := f.dequeue(victim)
+	return e.finish(now, call, query.Outcome{Kind: query.NotRun, Reason: query.ReasonQueueFull, RetryAfter: shortRetryAfter})
 }
 
 // expire rejects queued calls whose deadline has passed, so that no leaf works
@@ -162,37 +167,40 @@
 			i++
 			continue
 		}
-		k := f.dequeue(i)
-		out = append(out, e.finish(now, k, query.Outcome{Kind: query.NotRun, Reason: query.ReasonDeadline})...)
+		call := f.dequeue(i)
+		out = append(out, e.finish(now, call, query.Outcome{Kind: query.NotRun, Reason: query.ReasonDeadline})...)
 	}
 	return out
 }
 
-func (f *leaf) dequeue(i int) *call {
-	k := f.queue[i]
+func (f *leaf) dequeue(i int) *activeCall {
+	call := f.queue[i]
 	f.queue = append(f.queue[:i], f.queue[i+1:]...)
-	return k
+	return call
 }
 
-// next returns the index of the queued call to send, or -1. It selects the
-// caller with the fewest calls at this leaf, then by Policy.Order.
+// next returns the index of the queued call to send, or -1 if none may be sent.
+// It selects the caller with the fewest calls in flight at this leaf, then by
+// Policy.Order.
 //
 // Only one canary per fingerprint runs at a time: if it crashes its server, the
 // others have not run.
 func (e *Engine) next(f *leaf) int {
 	best := -1
 	inFlight := f.inFlightByCaller()
-	for i, k := range f.queue {
-		if _, running := e.canaries[k.Fingerprint]; running && k.Canary {
+	for i, call := range f.queue {
+		if _, running := e.canaries[call.Fingerprint]; running && call.Canary {
 			continue
 		}
-		if best < 0 || e.prefer(k, f.queue[best], inFlight) {
+		if best < 0 || e.prefer(call, f.queue[best], inFlight) {
 			best = i
 		}
 	}
 	return best
 }
 
+// inFlightByCaller counts the calls in flight at a leaf by caller. It returns nil
+// if the queue leaves no choice.
 func (f *leaf) inFlightByCaller() map[string]int {
 	if len(f.queue) < 2 {
 		return nil
@@ -206,35 +214,36 @@
 	return count
 }
 
-func (e *Engine) prefer(a, b *call, inFlight map[string]int) bool {
+// prefer reports whether a is sent before b, which is earlier in the queue.
+func (e *Engine) prefer(a, b *activeCall, inFlight map[string]int) bool {
 	if !e.Policy.NoFairness && inFlight[a.Caller] != inFlight[b.Caller] {
 		return inFlight[a.Caller] < inFlight[b.Caller]
 	}
 	switch e.Policy.Order {
 	case OrderOldest:
-		return false
+		return false // the queue is in order of arrival
 	case OrderNewest:
 		return a.arrived > b.arrived
-	case OrderDeadline:
+	case OrderDeadline: // the default, below
 	}
 	return a.Deadline < b.Deadline
 }
 
-// finish reports the outcome of a call and removes it. A call that was cancelled
-// at its leaf already has an outcome and gets no second one.
-func (e *Engine) finish(now clock.Milli, k *call, o query.Outcome) []Action {
-	if k.answered {
+// finish reports the outcome of a call and removes it. It returns nil for a call
+// that already has an outcome, such as one that was cancelled at its leaf.
+func (e *Engine) finish(now clock.Milli, call *activeCall, o query.Outcome) []Action {
+	if call.answered {
 		return nil
 	}
-	k.answered = true
-	delete(e.calls, k.Key)
-	if k.Canary && e.canaries[k.Fingerprint] == k.Key {
-		delete(e.canaries, k.Fingerprint)
+	call.answered = true
+	delete(e.calls, call.Key)
+	if call.Canary && e.canaries[call.Fingerprint] == call.Key {
+		delete(e.canaries, call.Fingerprint)
 	}
-	o.Call = k.Key.ID
-	fb := e.feedback(now, k.leaf)
+	o.Call = call.Key.ID
+	fb := e.feedback(now, call.leaf)
 	o.Feedback = &fb
-	return []Action{Reply{Key: k.Key, Outcome: o}}
+	return []Action{Reply{Key: call.Key, Outcome: o}}
 }
 
 // Result is the result of a call on a connection.
@@ -251,7 +260,8 @@
 	DialFailed bool
 }
 
-// CallDone handles the result of a call.
+// CallDone handles the result of a call: it frees the connection, updates the
+// leaf, replies to the entry, and sends the next queued calls.
 func (e *Engine) CallDone(now clock.Milli, r Result) []Action {
 	f := e.leaves[r.Leaf]
 	if f == nil {
@@ -261,21 +271,23 @@
 	if c == nil || c.call == nil || c.call.Key != r.Key {
 		return nil // the call was abandoned and has been answered
 	}
-	k := c.call
+	call := c.call
 	took := now - c.sentAt
 	e.freeConn(now, f, c, r)
 	o := r.Outcome
 	o.Took = took
 	if o.Reason == query.ReasonReset && r.Status.restarted(f) {
-		o.Kind = query.Died
+		o.Kind = query.Died // the server restarted while it had the call
 	}
-	out := e.applyResult(now, f, k, r, &o)
+	out := e.applyResult(now, f, call, r, &o)
 	out = append(out, e.handOver(now, f.server)...)
-	out = append(out, e.finish(now, k, o)...)
+	out = append(out, e.finish(now, call, o)...)
 	out = append(out, e.dispatch(now, f)...)
 	return append(out, e.publish(f, now)...)
 }
 
+// freeConn makes the connection of an ended call idle, or removes it if it was
+// lost or never opened.
 func (e *Engine) freeConn(now clock.Milli, f *leaf, c *conn, r Result) {
 	if r.ConnLost || r.DialFailed {
 		e.detach(f, c)
@@ -286,15 +298,16 @@
 	c.opened, c.lastUsed = true, now
 }
 
-// applyResult updates the state of the leaf and of its request from a result.
-func (e *Engine) applyResult(now clock.Milli, f *leaf, k *call, r Result, o *query.Outcome) []Action {
+// applyResult updates the state of the leaf and of its request from a result. It
+// may change the kind of the outcome, see recordCrash.
+func (e *Engine) applyResult(now clock.Milli, f *leaf, call *activeCall, r Result, o *query.Outcome) []Action {
 	out := e.applyStatus(now, f, r.Status, false)
 	switch o.Kind {
 	case query.OK:
 		f.recordSuccess(now)
 		f.health.latency.record(now, o.Took)
-		if k.Canary {
-			e.proven.Add(k.provenKey())
+		if call.Canary {
+			e.proven.Add(call.provenKey())
 		}
 		if e.detectColdStart(f, o.Took) {
 			f.ramp.restart(now, true)
@@ -303,14 +316,14 @@
 	case query.Shed:
 		// This host stays within the slots, so a leaf that sheds is colder than
 		// assumed, unless another host may be sending to it as well.
-		soleSender := e.leases.exclusive(now, f.server) || e.leases.settled(now, f.server)
+		soleSender := e.leases.exclusive(now, f.server) || e.leases.takeoverComplete(now, f.server)
 		if soleSender && !r.Status.Draining && now-f.ramp.shedAt >= shedRampInterval {
 			f.ramp.shedAt = now
 			f.ramp.restart(now, true)
 			out = append(out, LeafEvent{Leaf: f.Name, Event: "ramp started", Cause: "shed"})
 		}
 	case query.Died:
-		out = append(out, e.recordCrash(now, k, o)...)
+		out = append(out, e.recordCrash(now, call, o)...)
 		out = append(out, e.recordFailure(now, f, true, query.ReasonReset)...)
 	case query.NotRun:
 		if r.DialFailed {
@@ -322,45 +335,48 @@
 	return out
 }
 
-// recordCrash adds a strike to the request if it was a canary. A request that
-// crashes every server never gets past its canary, and a request that a leaf has
-// completed before is not the cause. Without this distinction, the loss of a
-// failure domain would quarantine the popular queries running there, each on two
-// servers.
-func (e *Engine) recordCrash(now clock.Milli, k *call, o *query.Outcome) []Action {
-	e.proven.Drop(k.Fingerprint)
-	if !k.Canary {
+// recordCrash handles the crash of a server under a call. If the call was a
+// canary, its request gets a strike, which is sent to the peers, and queued calls
+// of the request are rejected if it is now blocked. Otherwise the outcome becomes
+// Unknown, without a strike: a request that crashes every server never gets past
+// its canary, so one that a leaf has completed before is not the cause. Without
+// this distinction, the loss of a failure domain would quarantine the popular
+// queries running there, each on two servers.
+func (e *Engine) recordCrash(now clock.Milli, call *activeCall, o *query.Outcome) []Action {
+	e.proven.Drop(call.Fingerprint)
+	if !call.Canary {
 		o.Kind = query.Unknown
 		return nil
 	}
-	strike := e.strikes.Add(now, k.Fingerprint)
+	strike := e.strikes.Add(now, call.Fingerprint)
 	o.Strikes, o.RetryAfter = strike.Count, strike.TimeLeft
-	return append([]Action{ShareStrike{Strike: strike}}, e.purge(now, k.Fingerprint)...)
+	return append([]Action{ShareStrike{Strike: strike}}, e.purge(now, call.Fingerprint)...)
 }
 
 // Cancel abandons a call that its caller no longer needs. A queued call has not
 // run. A call at a leaf keeps its connection and slot until the leaf has
 // answered: freeing the slot early would exceed the leaf's capacity, and a late
-// reply on a reused connection could be taken for the next call's.
+// reply on a reused connection could be taken for the next call's. The leaf is
+// asked to abort the call if another connection is idle.
 func (e *Engine) Cancel(now clock.Milli, key Key) []Action {
-	k := e.calls[key]
-	if k == nil {
+	call := e.calls[key]
+	if call == nil {
 		return nil
 	}
-	f := k.leaf
-	if k.conn == 0 {
-		for i, q := range f.queue {
-			if q == k {
+	f := call.leaf
+	if call.conn == 0 {
+		for i, queued := range f.queue {
+			if queued == call {
 				f.dequeue(i)
 				break
 			}
 		}
-		return e.finish(now, k, query.Outcome{Kind: query.NotRun, Reason: query.ReasonCancelled})
+		return e.finish(now, call, query.Outcome{Kind: query.NotRun, Reason: query.ReasonCancelled})
 	}
-	f.recordAbandoned(now, k)
-	out := e.finish(now, k, query.Outcome{Kind: query.Unknown, Reason: query.ReasonCancelled})
+	f.recordAbandoned(now, call)
+	out := e.finish(now, call, query.Outcome{Kind: query.Unknown, Reason: query.ReasonCancelled})
 	if f.idleConn(true) != nil {
-		out = append(out, e.abort(now, f, k)...)
+		out = append(out, e.abort(now, f, call)...)
 	}
 	return out
 }
@@ -370,17 +386,17 @@
 	var out []Action
 	for _, f := range e.byName {
 		keys := make([]Key, 0, f.busy)
-		for _, q := range f.queue {
-			keys = append(keys, q.Key)
+		for _, queued := range f.queue {
+			keys = append(keys, queued.Key)
 		}
 		for _, c := range f.sortedConns() {
 			if c.call != nil {
 				keys = append(keys, c.call.Key)
 			}
 		}
-		for _, k := range keys {
-			if k.Link == link {
-				out = append(out, e.Cancel(now, k)...)
+		for _, key := range keys {
+			if key.Link == link {
+				out = append(out, e.Cancel(now, key)...)
 			}
 		}
 	}
@@ -388,7 +404,8 @@
 }
 
 // Tick runs all timed work. It must be called every few milliseconds. It
-// reports whether the process appears to have been paused since the last tick.
+// reports whether the process appears to have been paused since the last tick,
+// in which case admission is suspended.
 func (e *Engine) Tick(now clock.Milli) (out []Action, paused bool) {
 	e.init(now)
 	if now-e.lastTick >= pauseThreshold {
@@ -407,14 +424,14 @@
 	return out, paused
 }
 
-// SuspendAdmission rejects new calls after a pause of the process. The state may
-// be stale: a failure domain may have been taken out meanwhile, and the callers
-// of queued calls may have given up. Calls are admitted again once the
-// configuration is known to be current (ResumeAdmission), or after
-// suspendDuration if the host is disconnected from all peers.
+// SuspendAdmission rejects new calls and holds queued ones after a pause of the
+// process. The state may be stale: a failure domain may have been taken out
+// meanwhile, and the callers of queued calls may have disconnected. Calls are
+// admitted again once the configuration is known to be current (ResumeAdmission),
+// or after suspendDuration if the host is disconnected from all peers.
 func (e *Engine) SuspendAdmission(now clock.Milli) {
 	e.suspendedUntil = now + suspendDuration
-	e.leases.resetSettled(now)
+	e.leases.restartTakeover(now)
 }
 
 // ResumeAdmission ends a suspension after a peer confirmed the configuration.
--- a/share/sched/health.go
+++ b/share/sched/health.go
@@ -8,17 +8,17 @@
 	"dandelionstile/share/topo"
 )
 
-// health is the state of a leaf's server apart from its ramp.
+// health is the state of a leaf apart from its ramp.
 type health struct {
 	incarnation     uint64
 	meanLatency     float64 // moving average in ms
 	failures        int     // in a row
 	down            bool    // no new calls until a probe succeeds
 	nextProbeAt     clock.Milli
-	backoff         clock.Milli
+	backoff         clock.Milli // delay of the next probe: 100 ms after the first failure, doubled up to maxProbeBackoff
 	draining        bool
 	drainReportedAt clock.Milli // when the leaf last reported that it drains
-	lastProgress    clock.Milli // on any of its connections
+	lastProgress    clock.Milli // when a call or probe last succeeded on any connection
 	latency         recentLatency
 }
 
@@ -70,7 +70,9 @@
 	return query.ReasonNone
 }
 
-// applyStatus updates a leaf from the status in a reply or probe.
+// applyStatus updates a leaf from the status in a reply or probe. A restart of
+// the server starts the ramp and ends a drain. A drain also ends with a probe
+// that doesn't report it, drainHold after the last status that did.
 func (e *Engine) applyStatus(now clock.Milli, f *leaf, s LeafStatus, fromProbe bool) []Action {
 	var out []Action
 	h := &f.health
@@ -101,7 +103,8 @@
 	return out
 }
 
-// recordSuccess resets the failure state of a leaf.
+// recordSuccess resets the failure state of a leaf, which puts it back into
+// service.
 func (f *leaf) recordSuccess(now clock.Milli) {
 	h := &f.health
 	h.failures, h.backoff = 0, 0
@@ -112,7 +115,9 @@
 	}
 }
 
-// recordFailure counts a failure. A definite one ejects the leaf at once.
+// recordFailure counts a failure. It takes the leaf out of service, rejects its
+// queue and delays the next probe: at once if the failure is definite (the server
+// died or accepts no connection), otherwise after ejectAfter in a row.
 func (e *Engine) recordFailure(now clock.Milli, f *leaf, definite bool, cause query.Reason) []Action {
 	h := &f.health
 	h.failures++
@@ -132,7 +137,9 @@
 
 // probeIfDue probes a leaf once per second, over an idle or a new connection.
 // Probes keep connections open, detect unresponsive ones, and report restarts,
-// drains and snapshots.
+// drains and snapshots. While the leaf has fewer connections than this host may
+// use, each probe opens another and the next follows after 50 ms; a leaf that is
+// down gets a new connection only if none is idle.
 func (e *Engine) probeIfDue(now clock.Milli, f *leaf) []Action {
 	h := &f.health
 	if f.rank < 0 || now < h.nextProbeAt {
@@ -155,22 +162,24 @@
 	return []Action{Probe{Leaf: f.Name, Conn: c.id, NewConn: newConn}}
 }
 
-// idleConn returns an idle connection: the least recently used one for probes,
-// the most recently used one for calls.
-func (f *leaf) idleConn(oldest bool) *conn {
+// idleConn returns an idle connection, or nil: the least recently used one for
+// probes, the most recently used one for calls.
+func (f *leaf) idleConn(leastRecent bool) *conn {
 	var best *conn
 	for _, c := range f.conns {
 		if c.call != nil || c.probing || !c.opened {
 			continue
 		}
-		if best == nil || c.lastUsed == best.lastUsed && c.id < best.id || (c.lastUsed < best.lastUsed) == oldest && c.lastUsed != best.lastUsed {
+		// Of connections used at the same time, the one with the lowest id is
+		// chosen, so that runs are reproducible.
+		if best == nil || c.lastUsed == best.lastUsed && c.id < best.id || (c.lastUsed < best.lastUsed) == leastRecent && c.lastUsed != best.lastUsed {
 			best = c
 		}
 	}
 	return best
 }
 
-// openConn adds a connection if this host's share allows it.
+// openConn adds a connection. It returns nil if this host has used up its share.
 func (e *Engine) openConn(now clock.Milli, f *leaf) *conn {
 	if len(f.conns) >= f.connShare() {
 		return nil
@@ -181,7 +190,8 @@
 	return c
 }
 
-// ProbeDone handles the result of a probe.
+// ProbeDone handles the result of a probe or an abort. A successful abort frees
+// the slot that the aborted call occupied.
 func (e *Engine) ProbeDone(now clock.Milli, leafName string, id ConnID, s LeafStatus, err error) []Action {
 	f := e.leaves[leafName]
 	if f == nil {
@@ -226,9 +236,10 @@
 }
 
 // watchdog closes connections that make no progress. A device on the path may
-// have dropped the state of one connection, which then stays silent while new
+// have removed the state of one connection, which then stays silent while new
 // ones work. The leaf is only charged with a failure if none of its connections
-// makes progress.
+// makes progress. A call on a closed connection ends as Unknown and counts as an
+// orphan, since the leaf may still be working on it.
 func (e *Engine) watchdog(now clock.Milli, f *leaf) []Action {
 	var out []Action
 	callTimeout := e.silenceTimeout(f)
@@ -258,8 +269,9 @@
 	return out
 }
 
-// abort asks a leaf to stop working on a call.
-func (e *Engine) abort(now clock.Milli, f *leaf, k *call) []Action {
+// abort asks a leaf to stop working on a call. It returns nil if no connection is
+// idle and none may be opened.
+func (e *Engine) abort(now clock.Milli, f *leaf, call *activeCall) []Action {
 	c, newConn := f.idleConn(true), false
 	if c == nil {
 		c, newConn = e.openConn(now, f), true
@@ -267,14 +279,14 @@
 	if c == nil {
 		return nil
 	}
-	c.probing, c.sentAt, c.aborting = true, now, k.Key
-	return []Action{Abort{Leaf: f.Name, Conn: c.id, NewConn: newConn, Call: k.Call}}
+	c.probing, c.sentAt, c.aborting = true, now, call.Key
+	return []Action{Abort{Leaf: f.Name, Conn: c.id, NewConn: newConn, Call: call.Call}}
 }
 
 // orphanCount returns how many calls may still be running at the leaf although
 // their connections were closed. Without it, a leaf that is merely slow would get
 // more calls than it has slots, shed, and be treated as cold. An orphan ends when
-// the leaf confirms the abort, or at its deadline.
+// the leaf confirms the abort, after probeTimeout, or at its deadline.
 func (f *leaf) orphanCount(now clock.Milli) int {
 	f.removeOrphans(func(o orphan) bool { return now >= o.until })
 	return len(f.orphans)
@@ -292,12 +304,13 @@
 
 // Bounds of the timeout for calls without progress.
 const (
-	silenceFactor                 = 25
+	silenceFactor                 = 25 // times the leaf's mean latency
 	minSilenceTimeout clock.Milli = 150
 )
 
-// silenceTimeout returns how long a call may go without a reply. It is a multiple
-// of the leaf's mean latency, so that a straggler keeps its connection.
+// silenceTimeout returns how long a call may go without a reply: silenceFactor
+// times the leaf's mean latency, so that a straggler keeps its connection, and at
+// most Policy.SilenceTimeout, which also applies while the mean is unknown.
 func (e *Engine) silenceTimeout(f *leaf) clock.Milli {
 	timeout := e.Policy.SilenceTimeout
 	if timeout == 0 {
@@ -332,7 +345,7 @@
 	return []Action{Publish{Feedback: fb}}
 }
 
-// Feedback returns the state of all leaves, for a newly connected entry.
+// Feedback returns the state of all leaves, to be sent to a newly connected entry.
 func (e *Engine) Feedback(now clock.Milli) []query.Feedback {
 	list := make([]query.Feedback, 0, len(e.byName))
 	for _, f := range e.byName {
@@ -341,6 +354,8 @@
 	return list
 }
 
+// feedback returns the state of a leaf for the entries. Closed is set only for
+// reasons that apply to all hosts: a standby that may not send now leaves it unset.
 func (e *Engine) feedback(now clock.Milli, f *leaf) query.Feedback {
 	return query.Feedback{
 		Leaf: f.Name, Busy: f.busy, Queued: len(f.queue), Limit: e.limit(now, f),
--- a/share/sched/latency.go
+++ b/share/sched/latency.go
@@ -15,9 +15,10 @@
 }
 
 const (
-	latencyWeight = 0.25
-	// latencyHalfLife is the half-life of an above-average latency. A slow leaf
-	// is avoided and yields few new samples.
+	latencyWeight = 0.25 // of a new sample in the moving average
+	// latencyHalfLife is the half-life of the excess over the service's mean. A
+	// slow leaf is avoided and yields few new samples, so its latency would
+	// otherwise stay high.
 	latencyHalfLife = 2 * clock.Second
 )
 
@@ -29,7 +30,8 @@
 	l.ms += (float64(took) - l.ms) * latencyWeight
 }
 
-// decayed returns the average, decayed towards a baseline as it ages.
+// decayed returns the average. Its excess over baseline decays with the time
+// since the last sample.
 func (l *recentLatency) decayed(now clock.Milli, baseline float64) float64 {
 	if l.ms <= baseline {
 		return l.ms
@@ -37,10 +39,10 @@
 	return baseline + (l.ms-baseline)*math.Exp2(-float64(now-l.updatedAt)/float64(latencyHalfLife))
 }
 
-// recordAbandoned records the time that an abandoned call has run as a lower
-// bound of its latency.
-func (f *leaf) recordAbandoned(now clock.Milli, k *call) {
-	c := f.conns[k.conn]
+// recordAbandoned records how long an abandoned call has run, as a lower bound of
+// its latency, if that is above the average.
+func (f *leaf) recordAbandoned(now clock.Milli, call *activeCall) {
+	c := f.conns[call.conn]
 	if c == nil {
 		return
 	}
--- a/share/sched/lease.go
+++ b/share/sched/lease.go
@@ -13,15 +13,17 @@
 	leaseDuration = clock.Second
 	// leaseRenewInterval is the time between two claims.
 	leaseRenewInterval clock.Milli = 300
-	// settleDuration is how long two hosts share a server's leaves equally when
-	// neither holds a lease. It is longer than obtaining a lease takes.
-	settleDuration = 2 * leaseDuration
-	// maxAge limits the ages that are exchanged.
-	maxAge = 10 * clock.Minute
+	// takeoverDuration is how long after a change of candidates or the end of a lease
+	// the other candidate may still have calls at a server. Meanwhile two hosts
+	// without a lease share its warm leaves equally and send nothing to cold ones. It
+	// is longer than obtaining a lease takes.
+	takeoverDuration = 2 * leaseDuration
+	// maxLeafAge limits the ages of leaves that are exchanged.
+	maxLeafAge = 10 * clock.Minute
 )
 
-// LeafAge is the time since the last evidence that a leaf was cold. Known is
-// false if the sender has no evidence.
+// LeafAge is the time since the last evidence that a leaf was cold, not since its
+// start. Known is false if the sender has no evidence.
 type LeafAge struct {
 	Leaf  string
 	Age   clock.Milli
@@ -66,18 +68,20 @@
 	releasing bool
 }
 
-func (l *leases) ensure(now clock.Milli, server, host string) *lease {
+// ensure returns the lease of a server, and creates it if there is none. If the
+// other candidate has changed, the lease held from the former one ends.
+func (l *leases) ensure(now clock.Milli, server, peer string) *lease {
 	if l.servers == nil {
 		l.servers = map[string]*lease{}
 		l.claims = map[uint64]clock.Milli{}
 	}
 	s, ok := l.servers[server]
 	if !ok {
-		s = &lease{peer: host, changedAt: now}
+		s = &lease{peer: peer, changedAt: now}
 		l.servers[server] = s
 	}
-	if s.peer != host {
-		s.peer, s.heldUntil, s.changedAt = host, 0, now
+	if s.peer != peer {
+		s.peer, s.heldUntil, s.changedAt = peer, 0, now
 	}
 	return s
 }
@@ -94,15 +98,16 @@
 	return ok && now < s.grantedUntil
 }
 
-// settled reports whether the other candidate has had time to finish the calls
-// that it may have had at the leaves before this host took over.
-func (l *leases) settled(now clock.Milli, server string) bool {
+// takeoverComplete reports whether the other candidate has had time to finish the
+// calls that it may have had at the leaves before this host took over. The time runs
+// from the last change of candidates or the end of the last granted lease.
+func (l *leases) takeoverComplete(now clock.Milli, server string) bool {
 	s, ok := l.servers[server]
-	return ok && now-max(s.changedAt, s.grantedUntil) >= settleDuration
+	return ok && now-max(s.changedAt, s.grantedUntil) >= takeoverDuration
 }
 
-// resetSettled treats all servers as if another host had just used them.
-func (l *leases) resetSettled(now clock.Milli) {
+// restartTakeover treats all servers as if the other candidate had just used them.
+func (l *leases) restartTakeover(now clock.Milli) {
 	for _, s := range l.servers {
 		s.changedAt = now
 	}
@@ -116,15 +121,16 @@
 // instead of after leaseRenewInterval.
 func (e *Engine) PeerUp() { e.leases.renewedAt = 0 }
 
-// renewClaims renews the claims on the servers for which this host is primary.
+// renewClaims claims the servers for which this host is primary from their other
+// candidates, every leaseRenewInterval. It skips servers whose lease it has granted.
 func (e *Engine) renewClaims(now clock.Milli) []Action {
 	l := &e.leases
 	if e.leaving || (l.renewedAt != 0 && now-l.renewedAt < leaseRenewInterval) {
 		return nil
 	}
 	l.renewedAt = now
-	for id, at := range l.claims {
-		if now-at > leaseDuration {
+	for id, sentAt := range l.claims {
+		if now-sentAt > leaseDuration {
 			delete(l.claims, id)
 		}
 	}
@@ -145,8 +151,8 @@
 	return out
 }
 
-// appendAge adds a leaf's age to the entry of its server. Leaves are sorted by
-// name, so the leaves of a server may not be adjacent.
+// appendAge adds a leaf's age to the list's entry for its server. Leaves are sorted
+// by name, so the leaves of a server may not be adjacent.
 func appendAge(list []ServerAges, now clock.Milli, f *leaf) []ServerAges {
 	for i := range list {
 		if list[i].Server == f.server {
@@ -157,15 +163,17 @@
 	return append(list, ServerAges{Server: f.server, Leaves: []LeafAge{f.age(now)}})
 }
 
+// age returns the time since the leaf was last known to be cold, at most
+// maxLeafAge.
 func (f *leaf) age(now clock.Milli) LeafAge {
 	// A leaf that has passed its whole ramp on this host is known to be warm.
 	known := f.ramp.known || f.ramp.remaining(now, f.warmUp) == 0
-	return LeafAge{Leaf: f.Name, Age: min(f.ramp.age(now), maxAge), Known: known}
+	return LeafAge{Leaf: f.Name, Age: min(f.ramp.sinceCold(now), maxLeafAge), Known: known}
 }
 
-// ages returns the ages of a server's leaves and whether any runs calls of this
-// host.
-func (e *Engine) ages(now clock.Milli, server string) (ServerAges, bool) {
+// serverAges returns, for each leaf of a server, how long ago it was last known to be
+// cold, and whether any leaf may still run calls of this host.
+func (e *Engine) serverAges(now clock.Milli, server string) (ServerAges, bool) {
 	s := ServerAges{Server: server}
 	busy := false
 	for _, f := range e.byName {
@@ -177,19 +185,20 @@
 	return s, busy
 }
 
-// ClaimReceived answers another host's claim. A server is granted unless this
-// host considers itself primary for it, or has only just stopped being a
-// candidate: entries learn of new owners at different times, and until all know,
-// both hosts send half the load each. The answer always includes the known ages,
-// so that a newly started host needn't treat warm leaves as cold.
+// ClaimReceived answers another host's claim. A leaving host grants every server.
+// Others grant a server unless they are primary for it or its candidates changed
+// less than leaseDuration ago: entries learn of new owners at different times, and
+// until all know, both hosts send half the load each. The answer always includes
+// the known ages, so that a newly started host needn't treat warm leaves as cold.
 func (e *Engine) ClaimReceived(now clock.Milli, host string, id uint64, servers []ServerAges) []Action {
 	e.init(now)
 	g := Grant{Host: host, ID: id, Duration: leaseDuration}
 	for _, s := range servers {
 		e.mergeAges(now, s)
-		ages, busy := e.ages(now, s.Server)
+		ages, busy := e.serverAges(now, s.Server)
 		l := e.leases.ensure(now, s.Server, host)
 		if e.leaving || (e.serverRank(s.Server) != 0 && now-l.changedAt >= leaseDuration) {
+			// From here on, this host sends nothing to the server.
 			l.grantedUntil, l.heldUntil = now+leaseDuration, 0
 			ages.Granted = !busy
 			l.pendingClaim = 0
@@ -217,8 +226,8 @@
 	}
 }
 
-// Leave stops admission on this host. Running calls are completed, and the other
-// candidates are told when they may take over.
+// Leave stops admission on this host. Running calls are completed; each server is
+// released to its other candidate once it has none left.
 func (e *Engine) Leave(now clock.Milli) []Action {
 	e.init(now)
 	e.leaving = true
@@ -231,14 +240,14 @@
 	return out
 }
 
-// handOver sends the grant or release that was waiting for this host's calls at a
-// server to end.
+// handOver sends the grant or release of a server that was waiting for this host's
+// calls there to end. It returns nil while there are any.
 func (e *Engine) handOver(now clock.Milli, server string) []Action {
 	l := e.leases.servers[server]
 	if l == nil || (l.pendingClaim == 0 && !l.releasing) {
 		return nil
 	}
-	ages, busy := e.ages(now, server)
+	ages, busy := e.serverAges(now, server)
 	if busy {
 		return nil
 	}
@@ -254,6 +263,8 @@
 	return out
 }
 
+// serverRank returns this host's rank for a server, or -1 if it has none of the
+// server's leaves.
 func (e *Engine) serverRank(server string) int {
 	for _, f := range e.byName {
 		if f.server == server {
@@ -263,6 +274,7 @@
 	return -1
 }
 
+// mergeAges applies the ages of a server's leaves that another candidate reported.
 func (e *Engine) mergeAges(now clock.Milli, s ServerAges) {
 	for _, a := range s.Leaves {
 		if f := e.leaves[a.Leaf]; f != nil && a.Known {
@@ -271,7 +283,9 @@
 	}
 }
 
-// GrantReceived handles the answer to a claim.
+// GrantReceived handles the answer to a claim. It starts the leases granted, unless
+// this host has meanwhile granted the server itself, and sends queued calls. The
+// answer to an unknown or expired claim is ignored.
 func (e *Engine) GrantReceived(now clock.Milli, host string, id uint64, servers []ServerAges, duration clock.Milli) []Action {
 	e.init(now)
 	sent, ok := e.leases.claims[id]
--- a/share/sched/ramp.go
+++ b/share/sched/ramp.go
@@ -9,7 +9,7 @@
 // again. The admitted share of the slots grows with the time since the last
 // evidence of a cold start.
 type ramp struct {
-	coldAt clock.Milli
+	coldAt clock.Milli // time of the last evidence that the leaf was cold
 	// known is false while neither this host nor another candidate has evidence
 	// of the leaf's age. Such a leaf is treated as just started.
 	known       bool
@@ -24,15 +24,15 @@
 	r.slowReplies = 0
 }
 
-// age returns the time since the last evidence of a cold start.
-func (r *ramp) age(now clock.Milli) clock.Milli { return now - r.coldAt }
+// sinceCold returns the time since the last evidence that the leaf was cold.
+func (r *ramp) sinceCold(now clock.Milli) clock.Milli { return now - r.coldAt }
 
 // remaining returns the time until the ramp ends.
-func (r *ramp) remaining(now, warmUp clock.Milli) clock.Milli { return max(0, warmUp-r.age(now)) }
+func (r *ramp) remaining(now, warmUp clock.Milli) clock.Milli { return max(0, warmUp-r.sinceCold(now)) }
 
 // mergeAge applies an age reported by another candidate. The lower of two known
-// ages wins, since it rests on later evidence of a cold start; a higher age than
-// this host's own changes nothing.
+// ages wins, since it rests on later evidence of a cold start. If this host's own
+// age is unknown, it takes the reported one.
 func (r *ramp) mergeAge(now, age clock.Milli) {
 	coldAt := now - age
 	if !r.known || coldAt > r.coldAt {
@@ -42,56 +42,64 @@
 }
 
 // allowed returns how many concurrent calls a leaf can take at this point of the
-// ramp from all hosts together.
+// ramp from all hosts together: a part of the slots that grows linearly, at least
+// one call, and all slots after warmUp.
 func (r *ramp) allowed(now, warmUp clock.Milli, slots int) int {
-	if warmUp <= 0 || r.age(now) >= warmUp {
+	if warmUp <= 0 || r.sinceCold(now) >= warmUp {
 		return slots
 	}
-	return max(1, int(clock.Milli(slots)*r.age(now)/warmUp))
+	return max(1, int(clock.Milli(slots)*r.sinceCold(now)/warmUp))
 }
 
-// limit returns how many concurrent calls this host may send to a leaf.
+// limit returns how many concurrent calls this host may send to a leaf, at most
+// the slots that the configuration allows.
 //
-// Without a lease from the other candidate, this host takes half: of the ramp's
-// limit while the leaf is cold, and of the slots of a warm leaf while the other
-// candidate may still have calls there. Two hosts may both act as primary when
-// host lists are stale or processes pause; without halving, the leaf would get
-// twice its capacity. Two halves never exceed the whole, whichever host is the
-// primary.
+// With a lease from the other candidate, or without another candidate, this host
+// may use what the ramp allows. Without a lease it takes half: of the ramp's limit
+// while the leaf is cold, and of the slots of a warm leaf while the other candidate
+// may still have calls there. Two hosts may both act as primary when host lists are
+// stale or processes pause; without halving, the leaf would get twice its capacity.
+// Two halves never exceed the whole, whichever host is the primary.
+//
+// The limit is 0 shortly after this process started, and for a cold leaf while the
+// other candidate may still have calls there.
 func (e *Engine) limit(now clock.Milli, f *leaf) int {
 	if e.Policy.NoRamp {
 		return f.slotLimit
 	}
 	capacity := f.ramp.allowed(now, f.warmUp, f.Slots)
 	switch {
-	case e.leases.exclusive(now, f.server):
+	case e.leases.exclusive(now, f.server): // no other host sends to the leaf
 	case e.justStarted(now):
 		// The previous process on this host may have granted a lease.
 		return 0
-	case capacity < f.Slots && !e.leases.settled(now, f.server):
+	case capacity < f.Slots && !e.leases.takeoverComplete(now, f.server):
 		// A cold leaf may still be running calls of its former owner.
 		return 0
 	case capacity < f.Slots:
 		capacity /= 2
-	case !e.leases.settled(now, f.server):
-		capacity = max(1-min(f.rank, 1), capacity/2) // a single slot goes to the primary
+	case !e.leases.takeoverComplete(now, f.server):
+		// A warm leaf with a single slot goes to the primary, rank 0.
+		capacity = max(1-min(f.rank, 1), capacity/2)
 	}
 	return min(capacity, f.slotLimit)
 }
 
 const (
-	// A leaf counts as cold again after slowReplyLimit replies in a row that
-	// each took slowFactor times its own mean latency.
+	// A leaf counts as cold again after slowReplyLimit replies in a row that each
+	// took slowFactor times its own mean latency and that of its service.
 	slowFactor     = 4
 	slowReplyLimit = 3
 	// shedRampInterval is the minimum time between two ramps started by sheds.
 	shedRampInterval = 200 * clock.Milli(1)
 )
 
-// detectColdStart detects an unannounced cold start: the same incarnation takes
-// several times its own mean latency while the other leaves of its service do
-// not. Without the comparison, a heavier mix of queries, which slows down all
-// leaves alike, would reduce the capacity of the whole service.
+// detectColdStart reports whether a reply that took this long shows a cold start
+// that the server didn't announce: the same incarnation takes several times its
+// own mean latency while the other leaves of its service do not. Without the
+// comparison, a heavier mix of queries, which slows down all leaves alike, would
+// reduce the capacity of the whole service. Replies that are not slow update the
+// leaf's mean latency.
 func (e *Engine) detectColdStart(f *leaf, took clock.Milli) bool {
 	mean := f.health.meanLatency
 	if mean == 0 {
@@ -100,7 +108,7 @@
 	}
 	if float64(took) < slowFactor*max(mean, 1) || float64(took) < slowFactor*e.serviceMean(f) {
 		f.ramp.slowReplies = 0
-		f.health.meanLatency += (float64(took) - mean) / 16
+		f.health.meanLatency += (float64(took) - mean) / 16 // moving average
 		return false
 	}
 	f.ramp.slowReplies++
--- a/share/sched/sched.go
+++ b/share/sched/sched.go
@@ -65,8 +65,8 @@
 	NewConn bool
 }
 
-// Abort asks a leaf, over an idle connection, to stop working on a call. Its
-// result is reported as that of a probe.
+// Abort asks a leaf, over an idle or new connection, to stop working on a call.
+// Its result is reported with ProbeDone.
 type Abort struct {
 	Leaf    string
 	Conn    ConnID
@@ -90,14 +90,15 @@
 // Publish sends the changed state of a leaf to the entries.
 type Publish struct{ Feedback query.Feedback }
 
-// Claim requests a lease on servers from the other candidate.
+// Claim requests a lease on servers from the other candidate. It includes the
+// ages of their leaves as this host knows them.
 type Claim struct {
 	Host    string
 	ID      uint64
 	Servers []ServerAges
 }
 
-// Grant answers a claim.
+// Grant answers a claim: the servers with Granted set are leased for Duration.
 type Grant struct {
 	Host     string
 	ID       uint64
@@ -185,7 +186,7 @@
 
 	leaves         map[string]*leaf
 	byName         []*leaf
-	calls          map[Key]*call
+	calls          map[Key]*activeCall
 	strikes        deny.Table
 	proven         deny.ProvenSet
 	canaries       map[uint64]Key
@@ -205,16 +206,16 @@
 	server    string
 	service   string
 	address   string
-	rank      int // of this host among the server's candidates; -1 if it is none
-	warmUp    clock.Milli
-	slotLimit int // slots, from the inventory and the server limits
-	outReason query.Reason
+	rank      int          // of this host among the server's candidates: 0 primary, 1 standby, -1 none
+	warmUp    clock.Milli  // duration of the ramp after a cold start
+	slotLimit int          // slots, from the inventory and the server limits
+	outReason query.Reason // why the configuration takes the leaf out of service, or ReasonNone
 
 	conns     map[ConnID]*conn
-	busy      int
-	orphans   []orphan
-	queue     []*call
-	holds     []topo.SnapshotID
+	busy      int      // calls in flight, one per connection
+	orphans   []orphan // see orphanCount
+	queue     []*activeCall
+	holds     []topo.SnapshotID // snapshots that the leaf last reported
 	ramp      ramp
 	health    health
 	published query.Feedback // as last sent to the entries
@@ -222,12 +223,12 @@
 
 type conn struct {
 	id       ConnID
-	call     *call // nil if idle
+	call     *activeCall // nil if idle
 	probing  bool
 	aborting Key         // the call that the current probe aborts
 	sentAt   clock.Milli // when the call or probe was sent
 	lastUsed clock.Milli // when it last made progress
-	opened   bool
+	opened   bool        // set once a reply has arrived over it
 }
 
 // orphan is a call whose connection was closed while the leaf may still be
@@ -237,7 +238,7 @@
 	until clock.Milli
 }
 
-type call struct {
+type activeCall struct {
 	Call
 	leaf    *leaf
 	arrived clock.Milli
@@ -247,8 +248,10 @@
 	answered bool
 }
 
-// Configure applies a configuration and a host list. It rejects queued calls
-// for leaves that are now out of service.
+// Configure applies a configuration and a host list. The engine keeps the leaves
+// in this failure domain whose server this host is a candidate for or still has
+// calls at. Configure rejects queued calls for leaves that were removed or taken
+// out of service, and publishes changed states.
 func (e *Engine) Configure(now clock.Milli, cfg *topo.Config, hosts []topo.Host) []Action {
 	e.init(now)
 	var out []Action
@@ -270,7 +273,7 @@
 			f := e.leaves[l.Name]
 			if f == nil {
 				f = &leaf{conns: map[ConnID]*conn{}}
-				f.ramp.restart(now, false)
+				f.ramp.restart(now, false) // cold until the other candidate reports its age
 			}
 			f.Leaf, f.server, f.service, f.address, f.rank = l, s.Name, s.Service, s.Address, rank
 			f.warmUp, f.slotLimit = service.WarmUp, l.Slots
@@ -312,7 +315,7 @@
 func (e *Engine) init(now clock.Milli) {
 	if e.leaves == nil {
 		e.leaves = map[string]*leaf{}
-		e.calls = map[Key]*call{}
+		e.calls = map[Key]*activeCall{}
 		e.canaries = map[uint64]Key{}
 		e.serviceMeans = map[string]float64{}
 		e.lastTick = now
@@ -331,6 +334,7 @@
 	return false
 }
 
+// rankOf returns the position of this host among a server's owners, or -1.
 func rankOf(owners []topo.Host, self string) int {
 	for i, h := range owners {
 		if h.Name == self {
@@ -351,7 +355,7 @@
 }
 
 // removeLeaf rejects the queue of a leaf that this host no longer serves and
-// closes its idle connections.
+// closes its connections that have no call.
 func (e *Engine) removeLeaf(now clock.Milli, f *leaf) []Action {
 	out := e.flush(now, f, query.ReasonNotOwner)
 	for _, c := range f.sortedConns() {
@@ -368,8 +372,8 @@
 	var out []Action
 	waiting := f.queue
 	f.queue = nil
-	for _, c := range waiting {
-		out = append(out, e.finish(now, c, query.Outcome{Kind: query.NotRun, Reason: reason})...)
+	for _, call := range waiting {
+		out = append(out, e.finish(now, call, query.Outcome{Kind: query.NotRun, Reason: reason})...)
 	}
 	return out
 }
--- a/share/sched/sched_test.go
+++ b/share/sched/sched_test.go
@@ -13,7 +13,8 @@
 
 var errDown = errors.New("connection refused")
 
-// testConfig has one backend server with one leaf of four slots.
+// testConfig has one backend server with one leaf of four slots, which warms up
+// for 1 s.
 func testConfig() *topo.Config {
 	return &topo.Config{Version: 1, Inventory: topo.Inventory{
 		Domains:  []topo.Domain{{Name: "a", Region: "r"}},
@@ -28,7 +29,8 @@
 // alone is a host list with only this host, which makes it primary for all servers.
 var alone = []topo.Host{{Name: "host-a", Domain: "a"}}
 
-// warmEngine returns an engine with a warm leaf and answered probes.
+// warmEngine returns an engine whose leaf is warm: probes were answered for longer
+// than its warm-up.
 func warmEngine(t *testing.T) (*Engine, clock.Milli) {
 	t.Helper()
 	e := &Engine{Self: "host-a", Domain: "a"}
@@ -85,7 +87,7 @@
 
 // A server restarts while idle and closes its connections. If the next query is
 // sent over one of them, it fails, is blamed for the restart, and harmless
-// requests are refused.
+// requests are rejected.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	e, now := warmEngine(t)
 	for _, c := range e.leaves["l"].sortedConns() {
@@ -101,12 +103,12 @@
 	assert.Equal(t, replies(out)[0].Reason, query.ReasonUnreachable)
 }
 
-// A call for a leaf without room waits until its deadline. It must be rejected at
-// once, with a time to retry after.
+// A call for a leaf without capacity waits in vain until its deadline, and its
+// caller doesn't know when to retry. It must be rejected at once with a Retry-After.
 func TestFullQueueIsRefusedAtOnce(t *testing.T) {
 	e, now := warmEngine(t)
 	var last []Action
-	for id := range uint64(4 + 16 + 1) {
+	for id := range uint64(4 + 16 + 1) { // 4 slots, a queue of 4 per slot, and one call too many
 		last = submit(e, now, id+1)
 	}
 	got := replies(last)
@@ -125,7 +127,7 @@
 		submit(e, now, id+1)
 	}
 	assert.Equal(t, e.leaves["l"].busy, 1)
-	now += 500
+	now += 500 // half of the warm-up: two of four slots
 	e.dispatch(now, e.leaves["l"])
 	assert.Equal(t, e.leaves["l"].busy, 2)
 }
@@ -143,8 +145,8 @@
 	assert.Equal(t, e.leaves["l"].busy, 0)
 }
 
-// A host is paused while a rule takes its failure domain out, then sends the calls
-// from its queue.
+// A process is paused while a rule takes its failure domain out. If it sent the
+// calls from its queue when it continues, they would run in that domain.
 func TestPauseHoldsNewWorkBack(t *testing.T) {
 	e, now := warmEngine(t)
 	now += 5000
@@ -157,7 +159,8 @@
 	assert.Equal(t, len(sends(submit(e, now, 2))), 1)
 }
 
-// A failure domain is taken out while calls are queued for one of its leaves.
+// A failure domain is taken out while calls are queued for one of its leaves. They
+// must neither run there nor wait for their deadline.
 func TestDomainOutFlushesTheQueue(t *testing.T) {
 	e, now := warmEngine(t)
 	for id := range uint64(6) {
@@ -166,7 +169,7 @@
 	cfg := testConfig()
 	cfg.Rules.DomainsOut = []string{"a"}
 	got := replies(e.Configure(now, cfg, alone))
-	assert.Equal(t, len(got), 2)
+	assert.Equal(t, len(got), 2) // six calls for four slots
 	assert.Equal(t, got[0].Reason, query.ReasonDomainOut)
 	assert.Equal(t, got[0].Kind, query.NotRun)
 	assert.Equal(t, replies(submit(e, now, 9))[0].Reason, query.ReasonDomainOut)
@@ -185,8 +188,8 @@
 	assert.Equal(t, len(sends(submit(e, now+drainHold, 3))), 1)
 }
 
-// A new query arrives several times at once and crashes the server. Only one call
-// may have run; the others are rejected as not run.
+// A new query that crashes servers arrives several times at once. If all calls ran,
+// each could take a server down; all but one must be rejected as not run.
 func TestOnlyOneCanaryOfAQueryRuns(t *testing.T) {
 	e, now := warmEngine(t)
 	var sent []Send
@@ -211,8 +214,8 @@
 	assert.Equal(t, notRun, 2)
 }
 
-// A server crashes while running queries that it has completed many times. They
-// must not get a strike.
+// A server crashes under a call that is not a canary, so a leaf has completed its
+// query before. The query must not get a strike.
 func TestProvenQueryIsNotBlamed(t *testing.T) {
 	e, now := warmEngine(t)
 	s := sends(submit(e, now, 1))[0]
@@ -224,8 +227,8 @@
 	assert.Equal(t, len(e.Strikes(now)), 0)
 }
 
-// Two aggregators both act as primary for a cold leaf, and each sends it the full
-// load of its ramp.
+// Two aggregators with stale host lists both act as primary for a cold leaf. If each
+// sent it the full load of its ramp, the leaf would collapse.
 func TestTwoPrimariesShareAColdLeaf(t *testing.T) {
 	hosts := []topo.Host{{Name: "host-a", Domain: "a"}, {Name: "host-b", Domain: "a"}}
 	sum := 0
@@ -245,7 +248,8 @@
 }
 
 // A process restarts and doesn't know that it had granted a lease. The other host
-// relies on the lease and reports at once that the leaf is warm.
+// relies on the lease and reports at once that the leaf is warm. Calls sent before
+// the lease ends would exceed the leaf's slots.
 func TestLeaseOutlivesARestart(t *testing.T) {
 	hosts := []topo.Host{{Name: "host-a", Domain: "a"}, {Name: "host-b", Domain: "a"}}
 	e := &Engine{Self: "host-a", Domain: "a"}
@@ -260,11 +264,11 @@
 	}
 	assert.Equal(t, e.leaves["l"].ramp.remaining(now+10, 1000), clock.Milli(0))
 	assert.Equal(t, e.limit(now+leaseDuration-1, e.leaves["l"]), 0)
-	assert.Equal(t, e.limit(now+leaseDuration, e.leaves["l"]), 2)
+	assert.Equal(t, e.limit(now+leaseDuration, e.leaves["l"]), 2) // half of four slots: no lease was granted here
 }
 
 // Three connections stop making progress under their calls while a fourth works.
-// The calls are abandoned and the leaf stays in service.
+// Counting them as failures of the leaf would take a healthy server out of service.
 func TestSilentConnectionDoesNotEjectItsLeaf(t *testing.T) {
 	e, now := warmEngine(t)
 	silent := map[ConnID]bool{}
@@ -274,7 +278,7 @@
 	other := sends(submit(e, now, 9))[0]
 	finishCall(e, now+900, other, query.OK, LeafStatus{Incarnation: 1})
 	lost := 0
-	for _, a := range tick(e, now+999+1) {
+	for _, a := range tick(e, now+999+1) { // defaultSilenceTimeout after the calls were sent
 		if closed, ok := a.(CloseConn); ok && silent[closed.Conn] {
 			lost++
 		}
--- a/share/sched/state.go
+++ b/share/sched/state.go
@@ -13,8 +13,8 @@
 func (e *Engine) Strikes(now clock.Milli) []deny.Strike { return e.strikes.Active(now) }
 
 // MergeStrike applies a strike reported by another host and reports whether it
-// was new. If the fingerprint is now blocked, queued calls with it are rejected
-// as not run.
+// was new. A new strike makes the request unproven; if it blocks the request, the
+// queued calls with its fingerprint are rejected as not run.
 func (e *Engine) MergeStrike(now clock.Milli, s deny.Strike) (bool, []Action) {
 	e.init(now)
 	if !e.strikes.Merge(now, s) {
@@ -28,8 +28,8 @@
 }
 
 // HostDown handles the loss of the link to another host. It ends the leases
-// granted to that host, except where a leaf is cold and may still be running its
-// calls.
+// granted to that host, except on servers whose leaves are all cold, since they may
+// still be running its calls.
 func (e *Engine) HostDown(now clock.Milli, host string) {
 	e.init(now)
 	for _, f := range e.byName {
@@ -45,17 +45,17 @@
 	var out []Action
 	for _, f := range e.byName {
 		kept := f.queue[:0]
-		var matched []*call
-		for _, c := range f.queue {
-			if c.Fingerprint == fingerprint {
-				matched = append(matched, c)
+		var matched []*activeCall
+		for _, call := range f.queue {
+			if call.Fingerprint == fingerprint {
+				matched = append(matched, call)
 			} else {
-				kept = append(kept, c)
+				kept = append(kept, call)
 			}
 		}
 		f.queue = kept
-		for _, c := range matched {
-			out = append(out, e.finish(now, c, query.Outcome{Kind: query.NotRun, Reason: query.ReasonQuarantined})...)
+		for _, call := range matched {
+			out = append(out, e.finish(now, call, query.Outcome{Kind: query.NotRun, Reason: query.ReasonQuarantined})...)
 		}
 	}
 	return out
