--- a/share/fanout/answer.go
+++ b/share/fanout/answer.go
@@ -5,7 +5,8 @@
 	"dandelionstile/share/query"
 )
 
-// answerIfComplete answers a query once all shards are settled.
+// answerIfComplete answers a query once all shards are settled. It returns nil while
+// any is open or a strike of the query is being reported.
 func (e *Engine) answerIfComplete(now clock.Milli, q *activeQuery) []Action {
 	if q.openShards > 0 || q.done || q.sharingStrike {
 		return nil
@@ -13,7 +14,8 @@
 	return e.answer(now, q)
 }
 
-// answerPartial settles all open shards and answers the query.
+// answerPartial settles all open shards and answers the query. A shard is missing for
+// the cause, or for its last failure if no call is in flight.
 func (e *Engine) answerPartial(now clock.Milli, q *activeQuery, cause query.Reason) []Action {
 	for i := range q.shards {
 		st := &q.shards[i]
@@ -48,6 +50,7 @@
 	}})
 }
 
+// answerRefused ends a query without rows. The wait is the answer's Retry-After.
 func (e *Engine) answerRefused(now clock.Milli, q *activeQuery, reason query.Reason, wait clock.Milli) []Action {
 	out := e.cancelAll(q)
 	q.addStep(now, Step{Event: EventRefused, Cause: reason})
@@ -81,6 +84,7 @@
 	return calls, extra
 }
 
+// endQuery removes a query and adjusts the admission limit to its coverage.
 func (e *Engine) endQuery(now clock.Milli, q *activeQuery, c query.Coverage) {
 	q.done = true
 	q.service.admission.release(now, q.Caller, c)
--- a/share/fanout/budget.go
+++ b/share/fanout/budget.go
@@ -19,6 +19,7 @@
 // budgetBurst is the maximum number of extra calls that can be saved up.
 const budgetBurst = 20
 
+// earn adds the tokens for first calls. A new budget is full.
 func (b *budget) earn(calls, percent int) {
 	if !b.initialized {
 		b.initialized = true
@@ -27,6 +28,7 @@
 	b.tokens = min(b.tokens+float64(calls*percent)/100, budgetBurst)
 }
 
+// spend takes n tokens, or none and reports false if there are fewer.
 func (b *budget) spend(n float64) bool {
 	if b.tokens < n {
 		return false
@@ -48,7 +50,7 @@
 const (
 	// histogramDuration is how long a histogram records before it is rotated.
 	histogramDuration = 5 * clock.Second
-	// minSamples is the number of calls below which quantiles are not used.
+	// minSamples is the number of recorded calls below which no quantile is computed.
 	minSamples = 50
 	// defaultHedgeDelay applies until minSamples calls have been recorded.
 	defaultHedgeDelay = 50 * clock.Milli(1)
@@ -57,8 +59,11 @@
 	hedgeUpdateInterval = 100 * clock.Milli(1)
 )
 
+// newHistogram returns a histogram for 1 ms to 1 minute with two significant digits.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60000, 2) }
 
+// record adds a call time. The two histograms take turns, so that old call times no
+// longer count.
 func (t *timing) record(now, took clock.Milli) {
 	if t.current == nil {
 		t.current, t.previous, t.rotatedAt = newHistogram(), newHistogram(), now
@@ -71,7 +76,8 @@
 	_ = t.current.RecordValue(int64(max(1, min(took, 60000)))) // can't fail: the value is in range
 }
 
-// delay returns how long a call runs before it is hedged.
+// delay returns how long a call runs before it is hedged: the quantile of recent call
+// times, computed again every hedgeUpdateInterval. It also updates the median.
 func (t *timing) delay(now clock.Milli, quantile float64) clock.Milli {
 	if t.current == nil {
 		return defaultHedgeDelay
@@ -81,6 +87,7 @@
 	}
 	t.nextUpdateAt = now + hedgeUpdateInterval
 	t.hedgeDelay = defaultHedgeDelay
+	// The histogram with more samples.
 	h := t.previous
 	if h.TotalCount() < t.current.TotalCount() {
 		h = t.current
@@ -93,14 +100,14 @@
 }
 
 // admission limits how many queries of one service an entry runs at once. When
-// leaves reject shards for lack of room, whole queries are rejected before they
+// leaves reject shards for lack of capacity, whole queries are rejected before they
 // cost anything: a query that misses one shard of twenty has wasted the work of
 // the other nineteen. The limit follows additive increase, multiplicative
 // decrease.
 type admission struct {
 	limit       float64
 	admitted    int
-	callers     map[string]int
+	callers     map[string]int // admitted queries by caller
 	decreasedAt clock.Milli
 	initialized bool
 }
@@ -116,9 +123,9 @@
 	overloadRetryAfter = 200 * clock.Milli(1)
 )
 
-// admit reports whether a query of a caller is admitted. At the limit, a caller
-// below its fair share is still admitted, so that a greedy caller can't lock out
-// the others.
+// admit reports whether a query of a caller is admitted, and counts it. At the limit,
+// a caller below its fair share is still admitted, so that a greedy caller can't lock
+// out the others. With force, every query is admitted.
 func (a *admission) admit(caller string, force bool) bool {
 	if !a.initialized {
 		a.initialized = true
@@ -139,15 +146,17 @@
 	return true
 }
 
-// release removes a query and adjusts the limit to its coverage.
+// release removes a query. It lowers the limit, at most once per
+// limitDecreaseInterval, if leaves lacked capacity for the query, and otherwise raises
+// it if it was nearly used up.
 func (a *admission) release(now clock.Milli, caller string, c query.Coverage) {
-	busy := float64(a.admitted) >= 0.8*a.limit
+	nearLimit := float64(a.admitted) >= 0.8*a.limit
 	a.admitted--
 	a.callers[caller]--
 	if a.callers[caller] <= 0 {
 		delete(a.callers, caller)
 	}
-	if lackedRoom(c) {
+	if lackedCapacity(c) {
 		if now-a.decreasedAt >= limitDecreaseInterval {
 			a.decreasedAt = now
 			// Decreases from the actual number of queries, which may be far below
@@ -156,13 +165,14 @@
 		}
 		return
 	}
-	if busy {
+	if nearLimit {
+		// Grows by about 2 while as many queries end as the limit admits.
 		a.limit = min(maxQueryLimit, a.limit+1/max(1, a.limit)*2)
 	}
 }
 
-// lackedRoom reports whether an answer misses shards because leaves had no room.
-func lackedRoom(c query.Coverage) bool {
+// lackedCapacity reports whether an answer misses shards because leaves had no capacity.
+func lackedCapacity(c query.Coverage) bool {
 	for _, m := range c.Missing {
 		switch m.Reason {
 		case query.ReasonQueueFull, query.ReasonShed:
--- a/share/fanout/canary.go
+++ b/share/fanout/canary.go
@@ -15,7 +15,8 @@
 	return deny.ProvenKey{Fingerprint: q.fingerprint, Layout: q.pin.Layout, Version: q.pin.Version}
 }
 
-// sendCanary sends the query to one leaf before the other leaves get it.
+// sendCanary sends the query to one leaf before the other leaves get it. It reports
+// false if no leaf can run it.
 func (e *Engine) sendCanary(now clock.Milli, q *activeQuery) ([]Action, bool) {
 	c, shard, ok := e.canaryLeaf(now, q)
 	if !ok {
@@ -24,29 +25,32 @@
 	q.canaries++
 	q.canaryAttempts++
 	b := batches{}
-	e.send(now, q, shard, c, true, EventCanary, &b)
+	e.addCall(now, q, shard, c, true, EventCanary, &b)
 	return b.actions(), true
 }
 
 // provenElsewhere handles an aggregator's report that a leaf has completed the
-// query before. The query goes out to all shards, including the leaf that did not
-// run the canary.
+// query before, so the canary was not run. In the canary phase the query is sent to
+// all shards; otherwise a replica is called for the shard of that canary. The leaf
+// that didn't run the canary may be called again.
 func (e *Engine) provenElsewhere(now clock.Milli, q *activeQuery, a *attempt) []Action {
 	st := &q.shards[a.shard]
 	delete(st.tried, a.leaf.name)
 	e.proven.Add(q.provenKey())
-	if q.canary {
+	if q.canaryPhase {
 		return e.fanOut(now, q)
 	}
 	b := batches{}
 	if list := e.candidates(now, q, a.shard); len(list) > 0 && st.inFlight == 0 {
-		e.send(now, q, a.shard, e.choose(list), false, EventSent, &b)
+		e.addCall(now, q, a.shard, e.choose(list), false, EventSent, &b)
 	}
 	return b.actions()
 }
 
 // canaryFailed retries the canary on another leaf. A leaf that rejected it has not
-// run it and proves nothing, but no more than maxCanaries leaves may run it.
+// run it and proves nothing, but no more than maxCanaries leaves may run it. While
+// another canary is in flight, it waits for that one; if none may be sent, the query
+// is answered without the open shards.
 func (e *Engine) canaryFailed(now clock.Milli, q *activeQuery, o query.Outcome) []Action {
 	if !o.Kind.MayHaveRun() || o.Reason == query.ReasonSilent {
 		// A silent connection is no evidence against the request: a crashed server
@@ -67,8 +71,8 @@
 // canaryCrashed handles the crash of a server under a query's canary. The server
 // may have crashed for another reason, so the query gets a second canary; if that
 // crashes too, the query is quarantined. The peers learn of each crash before the
-// second canary and before the refusal, so that a resend through another host
-// doesn't run meanwhile.
+// second canary and before the refusal (StrikeShared), so that a resend through
+// another host doesn't run meanwhile.
 func (e *Engine) canaryCrashed(now clock.Milli, q *activeQuery) []Action {
 	q.crashes++
 	strike := e.strikes.Get(now, q.fingerprint)
@@ -93,7 +97,8 @@
 	e.proven.Drop(fingerprint)
 }
 
-// StrikeShared reports that the peers know of a query's strike.
+// StrikeShared continues a query once the peers know of its strike, or after
+// strikeShareTimeout: with a second canary if one is left, or else with a refusal.
 func (e *Engine) StrikeShared(now clock.Milli, id uint64) []Action {
 	q := e.queries[id]
 	if q == nil || !q.sharingStrike {
@@ -109,8 +114,8 @@
 	return e.answerRefused(now, q, query.ReasonCrashed, strike.TimeLeft)
 }
 
-// hedgeCanary sends a second canary if the first is slow. There is never a third,
-// since a request may crash at most two servers.
+// hedgeCanary sends a second canary if the first is slow and the budget allows it.
+// There is never a third, since a request may crash at most two servers.
 func (e *Engine) hedgeCanary(now clock.Milli, q *activeQuery) []Action {
 	if e.Policy.NoHedge || q.canaries >= maxCanaries {
 		return nil
@@ -122,7 +127,7 @@
 		}
 	}
 	if !e.spendBudget(q.service) {
-		q.canaries = maxCanaries
+		q.canaries = maxCanaries // not tried again at the next tick
 		return nil
 	}
 	out, sent := e.sendCanary(now, q)
--- a/share/fanout/choose.go
+++ b/share/fanout/choose.go
@@ -13,7 +13,7 @@
 	host string
 	// latency is the expected time in ms, including the round trip.
 	latency float64
-	rtt     float64
+	rtt     float64 // round-trip time to the host in ms
 }
 
 // candidates returns the usable replicas of a shard that were not tried yet.
@@ -24,14 +24,16 @@
 		if st.tried[f.name] || !e.usable(f, q.pin) {
 			continue
 		}
-		if c, ok := e.candidate(now, f, nil); ok {
+		if c, ok := e.candidateFor(now, f, nil); ok {
 			list = append(list, c)
 		}
 	}
 	return list
 }
 
-func (e *Engine) candidate(now clock.Milli, f *leaf, skip map[string]bool) (candidate, bool) {
+// candidateFor returns a leaf with the aggregator through which to call it. It reports
+// false if no aggregator outside skip is connected.
+func (e *Engine) candidateFor(now clock.Milli, f *leaf, skip map[string]bool) (candidate, bool) {
 	name := e.aggregatorFor(f, skip)
 	if name == "" {
 		return candidate{}, false
@@ -100,6 +102,7 @@
 	return best
 }
 
+// chooseNear selects one of the nearby candidates by the policy.
 func (e *Engine) chooseNear(near []candidate) candidate {
 	if len(near) == 1 {
 		return near[0]
@@ -126,9 +129,10 @@
 	return near[i]
 }
 
-// canaryLeaf chooses the leaf that runs an unproven request first. All entries of a
-// failure domain choose the same leaf, so one aggregator sees all canaries of a
-// fingerprint and runs one at a time.
+// canaryLeaf chooses the leaf that runs an unproven request first, and its shard. Leaves
+// of this failure domain are preferred. All entries of a failure domain choose the same
+// leaf, so one aggregator sees all canaries of a fingerprint and runs one at a time. It
+// reports false if no leaf can be called.
 func (e *Engine) canaryLeaf(now clock.Milli, q *activeQuery) (candidate, int, bool) {
 	var names []string
 	var found []candidate
--- a/share/fanout/engine.go
+++ b/share/fanout/engine.go
@@ -58,7 +58,7 @@
 }
 
 // ShareStrike sends a strike to all peers. If Query is set, the program calls
-// StrikeShared once they have it.
+// StrikeShared once the peers have acknowledged it.
 type ShareStrike struct {
 	Query  uint64
 	Strike deny.Strike
@@ -112,15 +112,15 @@
 	Choice Choice
 	// BudgetPercent is the number of extra leaf calls allowed per 100 first calls.
 	BudgetPercent int
-	// HedgeQuantile is the quantile of leaf call times, in percent, after which a
-	// call is hedged.
+	// HedgeQuantile is the quantile of a service's leaf call times, in percent. A
+	// call that runs longer is hedged.
 	HedgeQuantile float64
 	NoHedge       bool
 	NoCanary      bool
-	// NoBackpressure admits every query. Only the baseline sets it.
+	// NoBackpressure admits every query. Only the benchmark's baseline sets it.
 	NoBackpressure bool
-	// FixedRetries is the number of retries per failed call, without a budget.
-	// Only the baseline sets it.
+	// FixedRetries, if set, raises maxAttempts by that many and disables the budget.
+	// Only the benchmark's baseline sets it.
 	FixedRetries int
 }
 
@@ -146,7 +146,7 @@
 	Self   string
 	Domain string
 	Policy Policy
-	// Random must be seeded by the program; tests use a fixed seed.
+	// Random must be seeded by the program; the default has a fixed seed.
 	Random *rand.Rand
 
 	cfg           *topo.Config
@@ -155,7 +155,7 @@
 	earlyFeedback map[string]query.Feedback // on leaves that no configuration names yet
 	hosts         map[string]*host
 	queries       map[uint64]*activeQuery
-	arrivals      []*activeQuery // by arrival; may include finished ones
+	arrivals      []*activeQuery // in order of arrival; may include answered ones
 	attempts      map[uint64]*attempt
 	strikes       deny.Table
 	proven        deny.ProvenSet
@@ -187,29 +187,29 @@
 	outReason   query.Reason
 	feedback    query.Feedback
 	hasFeedback bool
-	inFlight    int     // this entry's calls at the leaf
-	meanLatency float64 // moving average of this entry's calls, in ms
-	updatedAt   clock.Milli
+	inFlight    int         // this entry's calls at the leaf
+	meanLatency float64     // moving average of this entry's calls, in ms
+	updatedAt   clock.Milli // when meanLatency last changed
 }
 
 // Configure applies a configuration and a host list. Running queries keep their
-// pins.
+// pins. Feedback that arrived before its leaf was configured is applied now.
 func (e *Engine) Configure(cfg *topo.Config, hosts []topo.Host) {
 	e.init()
 	e.cfg = cfg
 	services := map[string]*service{}
 	for _, s := range cfg.Inventory.Services {
-		v := e.services[s.Name]
-		if v == nil {
-			v = &service{}
+		svc := e.services[s.Name]
+		if svc == nil {
+			svc = &service{}
 		}
-		v.Service = s
-		v.dirty = true
-		v.shards = map[uint32][][]*leaf{}
+		svc.Service = s
+		svc.dirty = true
+		svc.shards = map[uint32][][]*leaf{}
 		for _, l := range s.Layouts {
-			v.shards[l.ID] = make([][]*leaf, l.Shards)
+			svc.shards[l.ID] = make([][]*leaf, l.Shards)
 		}
-		services[s.Name] = v
+		services[s.Name] = svc
 	}
 	leaves := map[string]*leaf{}
 	e.owners.SetHosts(hosts)
@@ -220,7 +220,7 @@
 	}
 	limits := cfg.ServerLimits()
 	for _, s := range cfg.Inventory.Servers {
-		v := services[s.Service]
+		svc := services[s.Service]
 		var owners []string
 		for _, h := range e.owners.Owners(s.Domain, s.Name) {
 			owners = append(owners, h.Name)
@@ -230,11 +230,11 @@
 			if f == nil {
 				f = &leaf{name: l.Name}
 			}
-			f.server, f.domain, f.service, f.owners = s.Name, s.Domain, v, owners
+			f.server, f.domain, f.service, f.owners = s.Name, s.Domain, svc, owners
 			f.outReason = serverOutReason(cfg, limits, s)
 			leaves[l.Name] = f
 			for _, h := range l.Holds {
-				v.shards[h.Layout][h.Shard] = append(v.shards[h.Layout][h.Shard], f)
+				svc.shards[h.Layout][h.Shard] = append(svc.shards[h.Layout][h.Shard], f)
 			}
 		}
 	}
@@ -252,6 +252,8 @@
 // yet.
 const maxEarlyFeedback = 100000
 
+// serverOutReason returns why the configuration takes a server out of service, or
+// ReasonNone.
 func serverOutReason(cfg *topo.Config, limits map[string]topo.ServerLimit, s topo.Server) query.Reason {
 	if cfg.DomainOut(s.Domain) {
 		return query.ReasonDomainOut
@@ -279,7 +281,8 @@
 // Config returns the configuration in force, or nil.
 func (e *Engine) Config() *topo.Config { return e.cfg }
 
-// SetFeedback applies an aggregator's report on a leaf.
+// SetFeedback applies an aggregator's report on a leaf. It has the service's pin
+// chosen again if the leaf was opened or closed or its snapshots changed.
 func (e *Engine) SetFeedback(fb query.Feedback) {
 	e.init()
 	f := e.leaves[fb.Leaf]
--- a/share/fanout/engine_test.go
+++ b/share/fanout/engine_test.go
@@ -11,7 +11,7 @@
 	"dandelionstile/share/topo"
 )
 
-// pin is the snapshot that test leaves hold by default.
+// pin is the only snapshot that the leaves hold in most tests.
 var pin = topo.SnapshotID{Layout: 1, Version: 1}
 
 // testConfig has one service of two shards with two replicas each, in two
@@ -68,16 +68,16 @@
 	return query.Answer{}, false
 }
 
-func ask(e *Engine, now clock.Milli, id uint64) []Action {
+func startQuery(e *Engine, now clock.Milli, id uint64) []Action {
 	return e.StartQuery(now, Request{ID: id, Service: "search", Text: "red", Caller: "c", Limit: 10, Deadline: now + 500})
 }
 
-func ok(call uint64, key string) query.Outcome {
+func okOutcome(call uint64, key string) query.Outcome {
 	return query.Outcome{Call: call, Kind: query.OK, Rows: []query.Row{{Key: key, Score: 1}}}
 }
 
 // The links of a new entry come up before its configuration, so it gets the state
-// of leaves it doesn't know yet. If it dropped them, it would refuse queries until
+// of leaves it doesn't know yet. If it discarded that, it would refuse queries until
 // a leaf changes.
 func TestFeedbackBeforeConfiguration(t *testing.T) {
 	e := &Engine{Self: "host-a", Domain: "a", Policy: Policy{NoCanary: true}}
@@ -88,18 +88,18 @@
 	}
 	cfg, hosts := testConfig()
 	e.Configure(cfg, hosts)
-	assert.Equal(t, len(calls(ask(e, 1, 1))), 2)
+	assert.Equal(t, len(calls(startQuery(e, 1, 1))), 2)
 }
 
-// proven returns an engine whose test query needs no canary.
-func proven() *Engine { return testEngine(Policy{NoCanary: true}) }
+// newEngineWithoutCanary returns an engine that sends no canaries, as for a proven query.
+func newEngineWithoutCanary() *Engine { return testEngine(Policy{NoCanary: true}) }
 
 func TestCompleteAnswer(t *testing.T) {
-	e := proven()
-	sent := calls(ask(e, 1, 1))
+	e := newEngineWithoutCanary()
+	sent := calls(startQuery(e, 1, 1))
 	assert.Equal(t, len(sent), 2)
-	e.CallDone(5, ok(sent[0].ID, "x"))
-	a, done := answerOf(e.CallDone(6, ok(sent[1].ID, "y")))
+	e.CallDone(5, okOutcome(sent[0].ID, "x"))
+	a, done := answerOf(e.CallDone(6, okOutcome(sent[1].ID, "y")))
 	assert.Assert(t, done)
 	assert.Assert(t, a.Coverage.Complete())
 	assert.Equal(t, len(a.Rows), 2)
@@ -109,9 +109,9 @@
 // The replicas of a shard are lost one after the other. The answer must not claim
 // full coverage.
 func TestLostReplicasAreReported(t *testing.T) {
-	e := proven()
-	sent := calls(ask(e, 1, 1))
-	e.CallDone(5, ok(sent[0].ID, "x"))
+	e := newEngineWithoutCanary()
+	sent := calls(startQuery(e, 1, 1))
+	e.CallDone(5, okOutcome(sent[0].ID, "x"))
 	again := calls(e.CallDone(6, query.Outcome{Call: sent[1].ID, Kind: query.Unknown, Reason: query.ReasonReset}))
 	assert.Equal(t, len(again), 1)
 	a, done := answerOf(e.CallDone(7, query.Outcome{Call: again[0].ID, Kind: query.Unknown, Reason: query.ReasonReset}))
@@ -121,27 +121,27 @@
 	assert.Equal(t, a.Extra, 1)
 }
 
-// A late reply of an overtaken call must not be merged into an answered query, or
-// into the next one.
+// A call is overtaken and its reply arrives late. It must not be merged into a query
+// that is already answered, or into the next one.
 func TestLateReplyChangesNothing(t *testing.T) {
-	e := proven()
-	sent := calls(ask(e, 1, 1))
-	e.CallDone(5, ok(sent[0].ID, "x"))
-	_, done := answerOf(e.CallDone(6, ok(sent[1].ID, "y")))
+	e := newEngineWithoutCanary()
+	sent := calls(startQuery(e, 1, 1))
+	e.CallDone(5, okOutcome(sent[0].ID, "x"))
+	_, done := answerOf(e.CallDone(6, okOutcome(sent[1].ID, "y")))
 	assert.Assert(t, done)
-	assert.Equal(t, len(e.CallDone(7, ok(sent[1].ID, "y"))), 0)
-	next := calls(ask(e, 8, 2))
-	e.CallDone(9, ok(next[0].ID, "z"))
-	a, _ := answerOf(e.CallDone(9, ok(next[1].ID, "w")))
+	assert.Equal(t, len(e.CallDone(7, okOutcome(sent[1].ID, "y"))), 0)
+	next := calls(startQuery(e, 8, 2))
+	e.CallDone(9, okOutcome(next[0].ID, "z"))
+	a, _ := answerOf(e.CallDone(9, okOutcome(next[1].ID, "w")))
 	assert.Equal(t, len(a.Rows), 2)
 }
 
-// The index is updated while a query runs and no replica holds its snapshot any
-// more. The query starts over on the next one, since an answer uses one snapshot.
+// The index is updated while a query runs, and no replica holds the query's snapshot
+// any more. Mixing the results of two snapshots would be wrong: the query starts over.
 func TestQueryStartsOverOnTheNextSnapshot(t *testing.T) {
-	e := proven()
-	sent := calls(ask(e, 1, 1))
-	e.CallDone(2, ok(sent[0].ID, "old"))
+	e := newEngineWithoutCanary()
+	sent := calls(startQuery(e, 1, 1))
+	e.CallDone(2, okOutcome(sent[0].ID, "old"))
 	next := topo.SnapshotID{Layout: 1, Version: 2}
 	for _, name := range []string{"a0", "a1", "b0", "b1"} {
 		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Holds: []topo.SnapshotID{next}})
@@ -149,8 +149,8 @@
 	out := e.CallDone(3, query.Outcome{Call: sent[1].ID, Kind: query.NotRun, Reason: query.ReasonSnapshot})
 	again := calls(out)
 	assert.Equal(t, len(again), 2)
-	e.CallDone(4, ok(again[0].ID, "new"))
-	a, done := answerOf(e.CallDone(5, ok(again[1].ID, "new too")))
+	e.CallDone(4, okOutcome(again[0].ID, "new"))
+	a, done := answerOf(e.CallDone(5, okOutcome(again[1].ID, "new too")))
 	assert.Assert(t, done)
 	assert.Equal(t, a.Pin, next)
 	for _, r := range a.Rows {
@@ -159,26 +159,26 @@
 	assert.Equal(t, a.Extra, 1) // the call whose result was discarded
 }
 
-// Backends fail and retries of every query add load that keeps them down. The
-// budget must be exhausted.
-func TestRetryBudgetRunsDry(t *testing.T) {
-	e := proven()
+// Leaves fail and retries of every query add load that keeps them down. The budget
+// must limit the retries.
+func TestRetryBudgetIsExhausted(t *testing.T) {
+	e := newEngineWithoutCanary()
 	extra, first := 0, 0
 	for id := range uint64(200) {
-		sent := calls(ask(e, clock.Milli(id+1), id+1))
+		sent := calls(startQuery(e, clock.Milli(id+1), id+1))
 		first += len(sent)
 		for _, c := range sent {
 			extra += len(calls(e.CallDone(clock.Milli(id+1), query.Outcome{Call: c.ID, Kind: query.Unknown, Reason: query.ReasonReset})))
 		}
 		e.Tick(clock.Milli(id + 1))
 	}
-	assert.Assert(t, float64(extra) <= budgetBurst+float64(first*defaultBudgetPercent)/100+1, "%d extra calls for %d", extra, first)
+	assert.Assert(t, float64(extra) <= budgetBurst+float64(first*defaultBudgetPercent)/100+1, "%d extra calls for %d first calls", extra, first)
 }
 
-// A queued hedge has no benefit and adds load to leaves that are already full.
+// A hedge that is queued has no benefit and adds load to leaves that are already full.
 func TestHedgeGoesOnlyToAFreeLeaf(t *testing.T) {
-	e := proven()
-	sent := calls(ask(e, 1, 1))
+	e := newEngineWithoutCanary()
+	sent := calls(startQuery(e, 1, 1))
 	for _, name := range []string{"a0", "a1", "b0", "b1"} {
 		e.SetFeedback(query.Feedback{Leaf: name, Limit: 2, Busy: 2, Holds: []topo.SnapshotID{pin}})
 	}
@@ -191,39 +191,40 @@
 	assert.Assert(t, hedges[0].Leaf != sent[0].Leaf)
 }
 
-// A failure domain that is out must get no calls, even for a shard that only it
-// holds; the answer states why the shard is missing.
-func TestDomainOutIsNotAsked(t *testing.T) {
-	e := proven()
+// A failure domain that is out must get no calls. If all domains are out, queries are
+// refused.
+func TestDomainOutGetsNoCalls(t *testing.T) {
+	e := newEngineWithoutCanary()
 	cfg, hosts := testConfig()
 	cfg.Rules.DomainsOut = []string{"a", "b"}
 	e.Configure(cfg, hosts)
-	a, done := answerOf(ask(e, 1, 1))
+	a, done := answerOf(startQuery(e, 1, 1))
 	assert.Assert(t, done)
 	assert.Equal(t, a.Refused, query.ReasonNotReady)
 	cfg.Rules.DomainsOut = []string{"b"}
 	e.Configure(cfg, hosts)
-	for _, c := range calls(ask(e, 2, 2)) {
+	for _, c := range calls(startQuery(e, 2, 2)) {
 		assert.Assert(t, c.Leaf[0] == 'a')
 	}
 }
 
 // A query crashes every server that runs it. It gets one canary, and a second once
-// all hosts know of the first crash; then it is refused at once.
+// all hosts know of the first crash; after that it is refused at once and crashes no
+// further server.
 func TestCrashingQueryRunsTwiceAtMost(t *testing.T) {
 	e := testEngine(Policy{})
-	canary := calls(ask(e, 1, 1))
+	canary := calls(startQuery(e, 1, 1))
 	assert.Equal(t, len(canary), 1)
-	out := e.CallDone(2, query.Outcome{Call: canary[0].ID, Kind: query.Died, Strikes: 1, RetryAfter: 1000})
+	out := e.CallDone(2, query.Outcome{Call: canary[0].ID, Kind: query.Died, Strikes: 1, RetryAfter: 1000}) // deny.SuspectTime
 	assert.Equal(t, len(calls(out)), 0)
 	second := calls(e.StrikeShared(3, 1))
 	assert.Equal(t, len(second), 1)
 	assert.Assert(t, second[0].SecondCanary)
-	e.CallDone(4, query.Outcome{Call: second[0].ID, Kind: query.Died, Strikes: 2, RetryAfter: 600000})
+	e.CallDone(4, query.Outcome{Call: second[0].ID, Kind: query.Died, Strikes: 2, RetryAfter: 600000}) // deny.QuarantineTime
 	a, done := answerOf(e.StrikeShared(5, 1))
 	assert.Assert(t, done)
 	assert.Equal(t, a.Refused, query.ReasonCrashed)
-	a, done = answerOf(ask(e, 6, 2))
+	a, done = answerOf(startQuery(e, 6, 2))
 	assert.Assert(t, done)
 	assert.Equal(t, a.Refused, query.ReasonQuarantined)
 	assert.Assert(t, a.RetryAfter > 0)
@@ -255,8 +256,8 @@
 	assert.Equal(t, again[0].(UpdateAnswered).Result.Kind, query.Unknown)
 }
 
-// An update that was refused before it ran is retried on another replica. If all
-// replicas refuse it, its caller may resend it.
+// An update that was rejected before it ran is retried on another replica. If all
+// replicas reject it, its caller may resend it.
 func TestRefusedUpdateMayRunElsewhere(t *testing.T) {
 	e := testEngine(Policy{})
 	u, sent := startUpdate(t, e)
@@ -271,7 +272,8 @@
 	assert.Assert(t, isSend)
 }
 
-// An update arrives twice at once. It runs once, and both callers get its result.
+// A caller resends an update before the first request is answered. It must run once,
+// and both requests get its result. The same id with other contents is rejected.
 func TestSameUpdateTwiceAtOnce(t *testing.T) {
 	e := testEngine(Policy{})
 	u, sent := startUpdate(t, e)
@@ -300,8 +302,8 @@
 	assert.Assert(t, out[0].(UpdateAnswered).Result.RetryAfter > 0)
 }
 
-// One caller reaches the admission limit. Another, far below its fair share, must
-// still be admitted.
+// One caller fills the admission limit. Another, far below its fair share, must still
+// be admitted.
 func TestGreedyCallerDoesNotLockOthersOut(t *testing.T) {
 	var d admission
 	for d.admit("greedy", false) {
@@ -310,22 +312,23 @@
 	assert.Assert(t, !d.admit("greedy", false))
 }
 
-// A query is refused while its first crash is reported to the peers. Its caller
-// must get a time to retry after.
-func TestQuarantinedAnswerSaysWhenToComeBack(t *testing.T) {
+// An aggregator rejects a canary as quarantined, without a Retry-After, before this
+// entry knows of the strike. The caller must still get a time to retry after.
+func TestQuarantinedAnswerHasRetryAfter(t *testing.T) {
 	e := testEngine(Policy{})
-	canary := calls(ask(e, 1, 1))
+	canary := calls(startQuery(e, 1, 1))
 	a, done := answerOf(e.CallDone(2, query.Outcome{Call: canary[0].ID, Kind: query.NotRun, Reason: query.ReasonQuarantined}))
 	assert.Assert(t, done)
 	assert.Equal(t, a.Refused, query.ReasonQuarantined)
 	assert.Assert(t, a.RetryAfter > 0)
 }
 
-// A caller disconnects while calls of its query are in flight. They are cancelled
-// to free their slots, and late outcomes have no effect.
-func TestCallsEndWhenTheCallerLeaves(t *testing.T) {
-	e := proven()
-	sent := calls(ask(e, 1, 1))
+// A caller disconnects while calls of its query are in flight. If they weren't
+// cancelled, they would occupy slots for an answer that nobody reads. Late outcomes
+// have no effect.
+func TestCallsAreCancelledWhenTheCallerDisconnects(t *testing.T) {
+	e := newEngineWithoutCanary()
+	sent := calls(startQuery(e, 1, 1))
 	actions := e.CancelQuery(5, 1)
 	called := 0
 	for _, a := range actions {
@@ -338,6 +341,6 @@
 	assert.Assert(t, done)
 	assert.Equal(t, a.Refused, query.ReasonCallerGone)
 	assert.Assert(t, e.Idle())
-	assert.Equal(t, len(e.CallDone(6, ok(sent[0].ID, "x"))), 0)
+	assert.Equal(t, len(e.CallDone(6, okOutcome(sent[0].ID, "x"))), 0)
 	assert.Equal(t, len(e.CancelQuery(7, 1)), 0)
 }
--- a/share/fanout/hosts.go
+++ b/share/fanout/hosts.go
@@ -22,6 +22,7 @@
 // would otherwise get calls all that time.
 const hostSilenceTimeout = 150 * clock.Milli(1)
 
+// recordSend counts a call sent to a host.
 func (h *host) recordSend(now clock.Milli) {
 	if h.inFlight == 0 {
 		h.busySince = now
@@ -33,7 +34,9 @@
 // few calls may all be at slow leaves.
 const minCallsForSilence = 4
 
-// silent reports whether a host appears to be stalled.
+// silent reports whether a host appears to be stalled: it has at least
+// minCallsForSilence calls in flight and has not replied for hostSilenceTimeout plus
+// the round trip.
 func (h *host) silent(now clock.Milli) bool {
 	return h.inFlight >= minCallsForSilence && now-max(h.lastReplyAt, h.busySince) > hostSilenceTimeout+clock.Milli(h.rtt)
 }
@@ -60,6 +63,7 @@
 	h.rtt += (rtt - h.rtt) / 4
 }
 
+// host returns the state of a host, and creates it if there is none.
 func (e *Engine) host(name string) *host {
 	h, ok := e.hosts[name]
 	if !ok {
@@ -93,7 +97,7 @@
 
 // aggregatorFor returns the aggregator through which to call a leaf: the first
 // candidate that is connected, responsive and not leaving, or else the first that
-// is connected. Hosts in skip have already refused.
+// is connected, or "" if none is. Hosts in skip have already rejected the call.
 func (e *Engine) aggregatorFor(f *leaf, skip map[string]bool) string {
 	fallback := ""
 	for _, name := range f.owners {
--- a/share/fanout/outcome.go
+++ b/share/fanout/outcome.go
@@ -6,7 +6,7 @@
 )
 
 // CallDone handles the outcome of a call. A late outcome, of a query that was
-// answered or pinned again meanwhile, has no effect.
+// answered or pinned again meanwhile, has no effect except for its feedback.
 func (e *Engine) CallDone(now clock.Milli, o query.Outcome) []Action {
 	if o.Feedback != nil {
 		e.SetFeedback(*o.Feedback)
@@ -37,6 +37,8 @@
 	return e.callFailed(now, q, a, o)
 }
 
+// callSucceeded adds the rows of a shard and cancels its other calls. The first
+// canary to succeed proves the query and releases the calls to all shards.
 func (e *Engine) callSucceeded(now clock.Milli, q *activeQuery, a *attempt, o query.Outcome) []Action {
 	took := now - a.sentAt
 	q.service.timing.record(now, took)
@@ -45,14 +47,15 @@
 	e.settle(now, q, a.shard, query.ReasonNone)
 	e.recordOvertaken(now, q, a.shard)
 	out := e.cancelShard(q, a.shard)
-	if q.canary {
+	if q.canaryPhase {
 		e.proven.Add(q.provenKey())
 		return append(out, e.fanOut(now, q)...)
 	}
 	return append(out, e.answerIfComplete(now, q)...)
 }
 
-// recordLatency updates the mean latency of a leaf.
+// recordLatency updates the mean latency of a leaf, a moving average in which a new
+// sample weighs 1/8.
 func (f *leaf) recordLatency(now, took clock.Milli) {
 	f.updatedAt = now
 	if f.meanLatency == 0 {
@@ -62,9 +65,10 @@
 	f.meanLatency += (float64(took) - f.meanLatency) / 8
 }
 
-// settle ends a shard, with a result if the reason is ReasonNone.
-func (e *Engine) settle(now clock.Milli, q *activeQuery, i int, reason query.Reason) {
-	st := &q.shards[i]
+// settle ends a shard: with a result if the reason is ReasonNone, and as missing
+// otherwise. It does nothing if the shard has ended.
+func (e *Engine) settle(now clock.Milli, q *activeQuery, shard int, reason query.Reason) {
+	st := &q.shards[shard]
 	if st.settled {
 		return
 	}
@@ -72,11 +76,11 @@
 	st.missingReason = reason
 	q.openShards--
 	if reason != query.ReasonNone {
-		q.addStep(now, Step{Event: EventMissing, Shard: i, Cause: reason})
+		q.addStep(now, Step{Event: EventMissing, Shard: shard, Cause: reason})
 	}
 }
 
-// cancelShard cancels the calls of a shard in flight.
+// cancelShard cancels the calls in flight of a shard.
 func (e *Engine) cancelShard(q *activeQuery, shard int) []Action {
 	if q.shards[shard].inFlight == 0 {
 		return nil
@@ -95,11 +99,13 @@
 	}
 }
 
-// cancelAll cancels all calls of a query in flight.
+// cancelAll cancels all calls in flight of a query.
 func (e *Engine) cancelAll(q *activeQuery) []Action {
 	return e.cancel(q, func(*attempt) bool { return true })
 }
 
+// cancel removes the matching calls in flight of a query and returns their
+// cancellations. Their outcomes are ignored from then on.
 func (e *Engine) cancel(q *activeQuery, match func(*attempt) bool) []Action {
 	byHost := map[string][]uint64{}
 	kept := q.inFlight[:0]
--- a/share/fanout/pins.go
+++ b/share/fanout/pins.go
@@ -16,7 +16,9 @@
 }
 
 // choosePin chooses the newest snapshot that has a usable replica of every shard,
-// or else the one that covers most shards. An answer uses a single snapshot.
+// or else the one that covers the largest share of its shards. An answer uses a single
+// snapshot. The choice is kept until the service is dirty; it reports false if no leaf
+// is usable.
 func (e *Engine) choosePin(s *service) (topo.SnapshotID, bool) {
 	if !s.dirty {
 		return s.pin, s.pinned
@@ -56,7 +58,9 @@
 	return e.choosePin(s)
 }
 
-// Coverage returns how many shards of a service's current pin can be answered now.
+// Coverage returns which shards of a service's current pin can be answered now. Without
+// a pin, all shards of the service's last layout are missing. An unknown service has
+// none.
 func (e *Engine) Coverage(name string) query.Coverage {
 	s := e.services[name]
 	if s == nil {
@@ -91,7 +95,9 @@
 	return false
 }
 
-// noReplicaReason returns why no replica of a shard can be called.
+// noReplicaReason returns why no replica of a shard can be called: unreachable if no
+// aggregator of one that is in service is connected, and else why replicas are out of
+// service.
 func (e *Engine) noReplicaReason(replicas []*leaf) query.Reason {
 	reason := query.ReasonNoReplica
 	for _, f := range replicas {
--- a/share/fanout/query.go
+++ b/share/fanout/query.go
@@ -26,38 +26,38 @@
 	fingerprint    uint64
 	key            string // the fingerprint in hexadecimal, for placement
 	arrived        clock.Milli
-	answerBy       clock.Milli // when it is answered with the results so far
-	pin            topo.SnapshotID
-	pinCount       int // how often it was pinned
+	answerBy       clock.Milli     // when it is answered with the results so far
+	pin            topo.SnapshotID // the snapshot that it runs on
+	pinCount       int             // how often it was pinned
 	shards         []shardState
-	openShards     int // shards that are not settled
-	canary         bool
-	canaries       int // canaries that are running or have run
-	canaryAttempts int
+	openShards     int  // shards that are not settled
+	canaryPhase    bool // only canaries are sent; the other calls wait for one to succeed
+	canaries       int  // canaries that are running or may have run, at most maxCanaries
+	canaryAttempts int  // canaries sent, also those that were rejected
 	inFlight       []*attempt
 	rows           []query.Row
-	priorCalls     int // calls for former pins
-	firstCalls     int // shards of the current pin that were called
-	crashes        int // servers that crashed under its canaries
-	sharingStrike  bool
-	strikeDeadline clock.Milli
+	priorCalls     int         // calls for former pins
+	firstCalls     int         // shards of the current pin that were called
+	crashes        int         // servers that crashed under its canaries
+	sharingStrike  bool        // the answer or next canary waits for StrikeShared
+	strikeDeadline clock.Milli // when it stops waiting
 	done           bool
 	steps          []Step
 }
 
 // shardState is the state of one shard of a query.
 type shardState struct {
-	settled       bool
+	settled       bool         // has a result or was given up
 	missingReason query.Reason // why it has no result; set when settled without one
 	attempts      int
 	reached       int // calls that may have reached a leaf
 	inFlight      int
 	tried         map[string]bool // leaves that were called
-	refusedBy     map[string]bool // aggregators that refused for reasons of their own
-	lastReason    query.Reason
-	retryAt       clock.Milli
-	waits         int
-	sentAt        clock.Milli // when the latest attempt was sent
+	rejectedBy    map[string]bool // aggregators that rejected a call for reasons of their own
+	lastReason    query.Reason    // why the last call failed
+	retryAt       clock.Milli     // when to retry after a wait; 0 if not waiting
+	waits         int             // how often it was retried after a wait
+	sentAt        clock.Milli     // when the latest attempt was sent
 	hedged        bool
 }
 
@@ -76,7 +76,8 @@
 	q.steps = append(q.steps, s)
 }
 
-// StartQuery starts a query. The answer may be among the returned actions.
+// StartQuery starts a query: it is refused, or pinned to a snapshot and sent to a
+// canary or to all shards. The answer may be among the returned actions.
 func (e *Engine) StartQuery(now clock.Milli, r Request) []Action {
 	e.init()
 	e.now = now
@@ -99,26 +100,28 @@
 		Request: r, service: s, fingerprint: fingerprint,
 		key: strconv.FormatUint(fingerprint, 16), arrived: now,
 	}
-	span := max(0, r.Deadline-now-replyReserve)
-	q.answerBy = now + span*clock.Milli(s.Patience)/100
+	// Patience is the part of the time, in percent, after which a partial answer is
+	// returned.
+	timeLeft := max(0, r.Deadline-now-replyReserve)
+	q.answerBy = now + timeLeft*clock.Milli(s.Patience)/100
 	e.queries[r.ID] = q
 	e.arrivals = append(e.arrivals, q)
 	q.addStep(now, Step{Event: EventPinned, Cause: query.Reason(pin.String())})
 	q.pinTo(pin, len(s.shards[pin.Layout]))
 	if !e.Policy.NoCanary && (e.strikes.HasStrikes(fingerprint) || !e.proven.Has(q.provenKey())) {
-		q.canary = true
+		q.canaryPhase = true
 		// A server that the query crashed earlier counts as a canary.
 		q.canaries = min(e.strikes.Get(now, fingerprint).Count, maxCanaries-1)
 		if out, sent := e.sendCanary(now, q); sent {
 			if s.Patience < 100 && q.canaries < maxCanaries {
 				// The service favors tail latency: the first canary to return
 				// releases the other calls.
-				more, _ := e.sendCanary(now, q)
-				out = append(out, more...)
+				parallelCanary, _ := e.sendCanary(now, q)
+				out = append(out, parallelCanary...)
 			}
 			return out
 		}
-		q.canary = false
+		q.canaryPhase = false // no leaf can run a canary
 	}
 	return e.fanOut(now, q)
 }
@@ -127,10 +130,12 @@
 // updates without a result.
 const defaultRetryAfter = 500 * clock.Milli(1)
 
+// refuse answers a query that was not started.
 func refuse(id uint64, reason query.Reason, wait clock.Milli) []Action {
 	return []Action{Answered{Query: id, Answer: query.Answer{Refused: reason, RetryAfter: wait}}}
 }
 
+// pinTo pins a query to a snapshot and discards its results for the former pin.
 func (q *activeQuery) pinTo(pin topo.SnapshotID, shards int) {
 	q.priorCalls, _ = q.callCounts()
 	q.pin = pin
@@ -141,9 +146,11 @@
 	q.openShards = shards
 }
 
-// fanOut calls all shards that have neither a result nor a call in flight.
+// fanOut ends the canary phase: it calls a leaf for every open shard without a call
+// in flight, gives up the shards that no leaf can serve, and answers the query if
+// none is left open.
 func (e *Engine) fanOut(now clock.Milli, q *activeQuery) []Action {
-	q.canary = false
+	q.canaryPhase = false
 	b := batches{}
 	for i := range q.shards {
 		st := &q.shards[i]
@@ -155,7 +162,7 @@
 			e.settle(now, q, i, e.missingReason(q, i))
 			continue
 		}
-		e.send(now, q, i, e.choose(list), false, EventSent, &b)
+		e.addCall(now, q, i, e.choose(list), false, EventSent, &b)
 	}
 	q.service.budget.earn(q.firstCalls, e.budgetPercent())
 	return append(b.actions(), e.answerIfComplete(now, q)...)
@@ -168,16 +175,18 @@
 	return e.Policy.BudgetPercent
 }
 
+// missingReason returns why a shard has no result: the reason of its last failed
+// call, or else why no replica can be called.
 func (e *Engine) missingReason(q *activeQuery, shard int) query.Reason {
-	if last := q.shards[shard].lastReason; last != query.ReasonNone {
-		return last
+	if lastReason := q.shards[shard].lastReason; lastReason != query.ReasonNone {
+		return lastReason
 	}
 	return e.noReplicaReason(q.service.shards[q.pin.Layout][shard])
 }
 
-// send adds a call to a batch.
-func (e *Engine) send(now clock.Milli, q *activeQuery, i int, c candidate, canary bool, ev Event, b *batches) {
-	st := &q.shards[i]
+// addCall adds a call to a batch and counts it as in flight.
+func (e *Engine) addCall(now clock.Milli, q *activeQuery, shard int, c candidate, canary bool, event Event, b *batches) {
+	st := &q.shards[shard]
 	if st.tried == nil {
 		st.tried = map[string]bool{}
 	}
@@ -193,13 +202,13 @@
 	c.leaf.inFlight++
 	e.host(c.host).recordSend(now)
 	e.lastCall++
-	a := &attempt{id: e.lastCall, query: q, shard: i, leaf: c.leaf, host: c.host, sentAt: now}
+	a := &attempt{id: e.lastCall, query: q, shard: shard, leaf: c.leaf, host: c.host, sentAt: now}
 	e.attempts[a.id] = a
 	q.inFlight = append(q.inFlight, a)
-	if ev != EventSent {
-		q.addStep(now, Step{Event: ev, Shard: i, Leaf: c.leaf.name, Host: c.host, Cause: st.lastReason})
+	if event != EventSent {
+		q.addStep(now, Step{Event: event, Shard: shard, Leaf: c.leaf.name, Host: c.host, Cause: st.lastReason})
 	}
-	b.add(q, c.host, CallSpec{ID: e.lastCall, Leaf: c.leaf.name, Shard: i, Canary: canary, SecondCanary: q.crashes > 0})
+	b.add(q, c.host, CallSpec{ID: e.lastCall, Leaf: c.leaf.name, Shard: shard, Canary: canary, SecondCanary: q.crashes > 0})
 }
 
 // batches groups the calls of a query by aggregator.
--- a/share/fanout/retry.go
+++ b/share/fanout/retry.go
@@ -9,7 +9,10 @@
 // maxWaits limits how often a shard is retried after a wait.
 const maxWaits = 3
 
-// callFailed decides how to continue after a call without a result.
+// callFailed decides how to continue after a call without a result: in this order,
+// another attempt at once, another after a wait, another snapshot for the whole query,
+// or giving the shard up. It does nothing while a hedge of the shard is
+// in flight. Canaries and quarantined queries are handled apart.
 func (e *Engine) callFailed(now clock.Milli, q *activeQuery, a *attempt, o query.Outcome) []Action {
 	st := &q.shards[a.shard]
 	if o.Reason == query.ReasonProven {
@@ -21,13 +24,13 @@
 	case o.Kind == query.Died:
 		e.recordCrash(now, q.fingerprint, o.Strikes, o.RetryAfter)
 		return e.canaryCrashed(now, q)
-	case o.Reason == query.ReasonQuarantined && q.crashes > 0 && q.canary:
+	case o.Reason == query.ReasonQuarantined && q.crashes > 0 && q.canaryPhase:
 		// The aggregator learned of the first canary's crash before the second ran.
 		return e.canaryFailed(now, q, o)
 	case o.Reason == query.ReasonQuarantined:
 		left := max(o.RetryAfter, e.strikes.Get(now, q.fingerprint).TimeLeft, deny.SuspectTime)
 		return e.answerRefused(now, q, query.ReasonQuarantined, left)
-	case q.canary:
+	case q.canaryPhase:
 		return e.canaryFailed(now, q, o)
 	case st.inFlight > 0:
 		return nil // a hedge is in flight
@@ -49,14 +52,16 @@
 	return e.answerIfComplete(now, q)
 }
 
-// retry calls another replica, or the same leaf through its other candidate.
+// retry calls another replica, or the same leaf through its other candidate. It
+// reports false, and adds no call, if the time or the attempts are used up, no replica
+// is left, or the budget is empty.
 func (e *Engine) retry(now clock.Milli, q *activeQuery, a *attempt, o query.Outcome, b *batches) bool {
 	st := &q.shards[a.shard]
 	if now >= q.answerBy || st.attempts >= maxAttempts+e.Policy.FixedRetries {
 		return false
 	}
 	if c, ok := e.otherAggregator(now, q, a, o); ok {
-		e.send(now, q, a.shard, c, false, EventRetried, b)
+		e.addCall(now, q, a.shard, c, false, EventRetried, b)
 		return true
 	}
 	list := e.candidates(now, q, a.shard)
@@ -70,12 +75,12 @@
 		st.lastReason = o.Reason
 		return false
 	}
-	e.send(now, q, a.shard, e.choose(list), false, EventRetried, b)
+	e.addCall(now, q, a.shard, e.choose(list), false, EventRetried, b)
 	return true
 }
 
 // otherAggregator returns the same leaf through its other candidate if the first
-// refused for reasons of its own.
+// rejected the call for reasons of its own.
 func (e *Engine) otherAggregator(now clock.Milli, q *activeQuery, a *attempt, o query.Outcome) (candidate, bool) {
 	if o.Kind != query.NotRun {
 		return candidate{}, false
@@ -86,23 +91,23 @@
 		return candidate{}, false
 	}
 	st := &q.shards[a.shard]
-	if st.refusedBy == nil {
-		st.refusedBy = map[string]bool{}
+	if st.rejectedBy == nil {
+		st.rejectedBy = map[string]bool{}
 	}
-	st.refusedBy[a.host] = true
-	return e.candidate(now, a.leaf, st.refusedBy)
+	st.rejectedBy[a.host] = true
+	return e.candidateFor(now, a.leaf, st.rejectedBy)
 }
 
 // spendBudget takes one extra call from the budget and reports whether it may be
-// made.
+// made. With fixed retries there is no budget.
 func (e *Engine) spendBudget(s *service) bool {
 	return e.Policy.FixedRetries > 0 || s.budget.spend(1)
 }
 
 // retryWait returns how long to wait before a shard is retried, and whether to
-// retry at all: only if nothing ran and the cause is brief. All services wait for a
-// leaf that changes owner or warms up; only services that favor coverage wait for a
-// full one.
+// retry at all: only if nothing ran, the cause is brief, and the wait ends before the
+// query must be answered. All services wait for a leaf that changes owner or warms up;
+// only services that favor coverage, with a Patience of 100, wait for a full one.
 func (e *Engine) retryWait(now clock.Milli, q *activeQuery, st *shardState, o query.Outcome) (clock.Milli, bool) {
 	if o.Kind != query.NotRun || st.waits >= maxWaits {
 		return 0, false
@@ -131,7 +136,9 @@
 )
 
 // repin restarts a query on the snapshot that is now best, if its own is gone. Its
-// results are discarded, since an answer uses a single snapshot.
+// results are discarded, since an answer uses a single snapshot. It reports false if
+// there is no other snapshot, the query was pinned again before, more than half of its
+// time has passed, or the budget doesn't cover the calls to repeat.
 func (e *Engine) repin(now clock.Milli, q *activeQuery) ([]Action, bool) {
 	q.service.dirty = true
 	pin, ok := e.choosePin(q.service)
--- a/share/fanout/tick.go
+++ b/share/fanout/tick.go
@@ -28,6 +28,8 @@
 	return append(out, e.tickUpdates(now)...)
 }
 
+// tick runs the timed work of one query. A query whose strike is being reported only
+// waits for that.
 func (e *Engine) tick(now clock.Milli, q *activeQuery) []Action {
 	if q.sharingStrike {
 		if now >= q.strikeDeadline {
@@ -42,7 +44,7 @@
 		}
 		return e.answerPartial(now, q, reason)
 	}
-	if q.canary {
+	if q.canaryPhase {
 		return e.hedgeCanary(now, q)
 	}
 	b := batches{}
@@ -70,29 +72,30 @@
 	return e.Policy.HedgeQuantile
 }
 
-// retryShard calls a shard again after a wait.
-func (e *Engine) retryShard(now clock.Milli, q *activeQuery, i int, b *batches) {
-	st := &q.shards[i]
+// retryShard calls a shard again after a wait. All replicas may be called, also those
+// tried before. It gives the shard up if none can be.
+func (e *Engine) retryShard(now clock.Milli, q *activeQuery, shard int, b *batches) {
+	st := &q.shards[shard]
 	st.retryAt = 0
 	st.attempts = 0
 	st.tried = nil
-	st.refusedBy = nil
-	list := e.candidates(now, q, i)
+	st.rejectedBy = nil
+	list := e.candidates(now, q, shard)
 	if len(list) == 0 {
-		e.settle(now, q, i, e.missingReason(q, i))
+		e.settle(now, q, shard, e.missingReason(q, shard))
 		return
 	}
-	e.send(now, q, i, e.choose(list), false, EventRetried, b)
+	e.addCall(now, q, shard, e.choose(list), false, EventRetried, b)
 }
 
-// hedge calls a second replica if a call is slow. Only leaves with a free slot are
-// called, and only within the budget: a queued hedge has no benefit.
-func (e *Engine) hedge(now clock.Milli, q *activeQuery, i int, b *batches) {
+// hedge calls a second replica if a call is slow, once per shard. Only leaves with a
+// free slot are called, and only within the budget: a queued hedge has no benefit.
+func (e *Engine) hedge(now clock.Milli, q *activeQuery, shard int, b *batches) {
 	if e.Policy.NoHedge {
 		return
 	}
-	st := &q.shards[i]
-	list := e.candidates(now, q, i)
+	st := &q.shards[shard]
+	list := e.candidates(now, q, shard)
 	free := list[:0]
 	for _, c := range list {
 		if c.leaf.hasFreeSlot() && now+clock.Milli(c.rtt) < q.answerBy {
@@ -104,8 +107,8 @@
 	}
 	st.hedged = true
 	if !e.spendBudget(q.service) {
-		q.addStep(now, Step{Event: EventHeldByBudget, Shard: i})
+		q.addStep(now, Step{Event: EventHeldByBudget, Shard: shard})
 		return
 	}
-	e.send(now, q, i, e.choose(free), false, EventHedged, b)
+	e.addCall(now, q, shard, e.choose(free), false, EventHedged, b)
 }
--- a/share/fanout/update.go
+++ b/share/fanout/update.go
@@ -12,7 +12,7 @@
 	"dandelionstile/share/query"
 )
 
-// Update is a caller's update. It runs on one leaf.
+// Update is a caller's update. It runs on one leaf, at most once.
 type Update struct {
 	// RequestID identifies the request on this entry.
 	RequestID uint64
@@ -45,7 +45,7 @@
 	Strikes int
 }
 
-// SendUpdate sends an update to an aggregator. It is sent once.
+// SendUpdate sends an update to an aggregator. The program must not send it again.
 type SendUpdate struct {
 	Host        string
 	Call        uint64
@@ -113,8 +113,9 @@
 	return e.updates.registry.Mint(now, n)
 }
 
-// StartUpdate starts an update. An id minted by another host is forwarded to that
-// owner, which alone decides whether the update runs.
+// StartUpdate starts an update, or answers it with the result that its id already
+// has. A quarantined update is rejected. An update whose id another host minted is forwarded to that owner, which alone
+// decides whether the update runs.
 func (e *Engine) StartUpdate(now clock.Milli, u Update) []Action {
 	e.init()
 	registry := &e.updates.registry
@@ -137,11 +138,12 @@
 		return answerUpdate(u.RequestID, result)
 	case dedup.Reused, dedup.NeverMinted:
 		return answerUpdate(u.RequestID, UpdateResult{Kind: query.NotRun, Reason: query.ReasonReused})
-	case dedup.Foreign, dedup.Unknown:
+	case dedup.Foreign, dedup.Unknown: // below
 	}
 	return answerUpdate(u.RequestID, UpdateResult{Kind: query.Unknown, Reason: query.ReasonOwnerGone})
 }
 
+// fingerprintOf identifies an update by its contents, for strikes.
 func fingerprintOf(u Update) uint64 {
 	return deny.Fingerprint(u.Service, u.Operation+"\x00"+u.Key+"\x00"+u.Body)
 }
@@ -156,18 +158,19 @@
 	return e.sendUpdate(now, r, query.ReasonNone)
 }
 
-// sendUpdate sends the update to the next replica. It is only called again after
-// an outcome that shows that nothing ran.
-func (e *Engine) sendUpdate(now clock.Milli, r *runningUpdate, last query.Reason) []Action {
+// sendUpdate sends the update to the next replica, or ends it as not run if its
+// deadline has passed or no replica is left. It is only called again after an outcome
+// that shows that nothing ran.
+func (e *Engine) sendUpdate(now clock.Milli, r *runningUpdate, lastReason query.Reason) []Action {
 	if now >= r.Deadline {
 		return e.endUpdate(r, UpdateResult{Kind: query.NotRun, Reason: query.ReasonDeadline, RetryAfter: defaultRetryAfter})
 	}
 	c, ok := e.updateLeaf(now, r)
 	if !ok {
-		if last == query.ReasonNone {
-			last = query.ReasonNoReplica
+		if lastReason == query.ReasonNone {
+			lastReason = query.ReasonNoReplica
 		}
-		return e.endUpdate(r, UpdateResult{Kind: query.NotRun, Reason: last, RetryAfter: defaultRetryAfter})
+		return e.endUpdate(r, UpdateResult{Kind: query.NotRun, Reason: lastReason, RetryAfter: defaultRetryAfter})
 	}
 	r.tried[c.leaf.name] = true
 	e.lastCall++
@@ -178,8 +181,8 @@
 	}}
 }
 
-// updateLeaf chooses the replica that runs an update. All hosts prefer the same
-// replica for a key.
+// updateLeaf chooses a replica, not tried yet, of the shard that the update's key
+// hashes to. All hosts prefer the same replica for a key.
 func (e *Engine) updateLeaf(now clock.Milli, r *runningUpdate) (candidate, bool) {
 	s := e.services[r.Service]
 	if s == nil {
@@ -197,7 +200,7 @@
 		if r.tried[f.name] || !e.usable(f, pin) {
 			continue
 		}
-		if c, ok := e.candidate(now, f, nil); ok {
+		if c, ok := e.candidateFor(now, f, nil); ok {
 			names = append(names, f.name)
 			list = append(list, c)
 		}
@@ -210,7 +213,8 @@
 }
 
 // UpdateDone handles the outcome of an update sent to an aggregator. It is retried
-// on another replica only if nothing ran.
+// on another replica only if nothing ran. A crash counts as a strike and is answered
+// as Unknown.
 func (e *Engine) UpdateDone(now clock.Milli, call uint64, res UpdateResult) []Action {
 	r := e.updates.running[call]
 	if r == nil {
@@ -227,8 +231,9 @@
 	return e.endUpdate(r, res)
 }
 
-// endUpdate answers all requests that wait for an update. An update that did not
-// run may be sent again with the same id.
+// endUpdate answers all requests that wait for an update. The result of an update that
+// may have run is kept for resends; one that did not run may be sent again with the
+// same id.
 func (e *Engine) endUpdate(r *runningUpdate, res UpdateResult) []Action {
 	delete(e.updates.byID, r.ID)
 	if res.Kind.MayHaveRun() {
@@ -237,8 +242,8 @@
 		e.updates.registry.Release(r.ID)
 	}
 	var out []Action
-	for _, n := range r.waiting {
-		out = append(out, UpdateAnswered{RequestID: n, Result: res})
+	for _, requestID := range r.waiting {
+		out = append(out, UpdateAnswered{RequestID: requestID, Result: res})
 	}
 	return out
 }
@@ -275,24 +280,24 @@
 	return out
 }
 
-// OwnerDown ends the updates that were forwarded to a host whose link was lost.
+// OwnerDown answers the updates that were forwarded to a host whose link was lost.
 func (e *Engine) OwnerDown(host string) []Action {
 	var lost []uint64
-	for n, f := range e.updates.forwarded {
-		if f.host == host {
-			lost = append(lost, n)
+	for requestID, update := range e.updates.forwarded {
+		if update.host == host {
+			lost = append(lost, requestID)
 		}
 	}
 	sort.Slice(lost, func(i, j int) bool { return lost[i] < lost[j] })
 	var out []Action
-	for _, n := range lost {
-		out = append(out, e.ForwardFailed(n)...)
+	for _, requestID := range lost {
+		out = append(out, e.ForwardFailed(requestID)...)
 	}
 	return out
 }
 
-// tickUpdates answers the updates whose deadline has passed. An update that was
-// sent may still be running; its outcome is recorded for a resend.
+// tickUpdates answers the updates whose deadline has passed as unknown. An update that
+// was sent may still be running; its outcome is recorded for a resend.
 func (e *Engine) tickUpdates(now clock.Milli) []Action {
 	var out []Action
 	var expired []*runningUpdate
@@ -303,22 +308,22 @@
 	}
 	sort.Slice(expired, func(i, j int) bool { return expired[i].call < expired[j].call })
 	for _, r := range expired {
-		for _, n := range r.waiting {
-			out = append(out, UpdateAnswered{RequestID: n, Result: UpdateResult{
+		for _, requestID := range r.waiting {
+			out = append(out, UpdateAnswered{RequestID: requestID, Result: UpdateResult{
 				Kind: query.Unknown, Reason: query.ReasonDeadline, RetryAfter: defaultRetryAfter,
 			}})
 		}
 		r.waiting = nil
 	}
 	var expiredForwards []uint64
-	for n, f := range e.updates.forwarded {
-		if now >= f.Deadline {
-			expiredForwards = append(expiredForwards, n)
+	for requestID, update := range e.updates.forwarded {
+		if now >= update.Deadline {
+			expiredForwards = append(expiredForwards, requestID)
 		}
 	}
 	sort.Slice(expiredForwards, func(i, j int) bool { return expiredForwards[i] < expiredForwards[j] })
-	for _, n := range expiredForwards {
-		out = append(out, e.ForwardFailed(n)...)
+	for _, requestID := range expiredForwards {
+		out = append(out, e.ForwardFailed(requestID)...)
 	}
 	return out
 }
