--- a/share/assign/assign.go
+++ b/share/assign/assign.go
@@ -1,6 +1,7 @@
-// Package assign assigns leaves to aggregators by rendezvous hashing. All hosts with
-// the same host list compute the same owners without exchanging messages, and a host
-// that joins or leaves moves only its own share.
+// Package assign assigns backend servers to aggregators by rendezvous hashing. All
+// hosts with the same host list compute the same owners without exchanging messages,
+// and a host that joins or leaves moves only its own share. The package also chooses
+// the links between aggregators.
 package assign
 
 import (
@@ -33,12 +34,14 @@
 	return owners
 }
 
+// ranked is a host with its rendezvous weight for one key.
 type ranked struct {
 	host   topo.Host
 	weight uint64
 }
 
-// insert keeps the best n hosts in order; n is small on the hot paths.
+// insert adds r to a sorted list, which keeps the best n hosts. Insertion suits the
+// small n of the hot paths.
 func insert(best []ranked, r ranked, n int) []ranked {
 	i := len(best)
 	for i > 0 && r.before(best[i-1]) {
@@ -53,6 +56,8 @@
 	return best[:min(len(best), n)]
 }
 
+// before reports whether r is preferred: hosts that are not leaving first, then by
+// weight.
 func (r ranked) before(o ranked) bool {
 	if r.host.Leaving != o.host.Leaving {
 		return o.host.Leaving
@@ -71,7 +76,8 @@
 	owners map[string]map[string][]topo.Host // by domain, then server
 }
 
-// SetHosts replaces the host list.
+// SetHosts replaces the host list. It discards the owners in failure domains whose
+// hosts changed.
 func (c *OwnerCache) SetHosts(hosts []topo.Host) {
 	byDomain := map[string][]topo.Host{}
 	for _, h := range hosts {
@@ -88,7 +94,8 @@
 	c.hosts, c.owners = byDomain, kept
 }
 
-// Owners returns the primary and the standby for a server.
+// Owners returns the primary and the standby for a server, best first; fewer if its
+// failure domain has fewer hosts.
 func (c *OwnerCache) Owners(domain, server string) []topo.Host {
 	known := c.owners[domain]
 	if known == nil {
@@ -148,11 +155,12 @@
 	LocalLinks, RemoteLinks int
 }
 
-// Neighbours returns the link addresses of the aggregators to keep links to. In a large
-// fleet each host chooses a few by rendezvous hashing, which yields a random graph:
-// messages cross it in a few hops, and all hosts have about as many links.
+// Neighbours returns the sorted link addresses of the aggregators to keep links to,
+// including the one on this host. In a large fleet each host chooses a few by rendezvous
+// hashing, which yields a random graph: messages cross it in a few hops, and all hosts
+// have about as many links. The other owners of its servers are added.
 func Neighbours(n Network, cfg *topo.Config, hosts []topo.Host) []string {
-	chosen := map[string]string{}
+	chosen := map[string]string{} // link addresses by host name
 	if len(hosts) <= n.FullMeshMax {
 		for _, h := range hosts {
 			chosen[h.Name] = h.Aggregator
@@ -169,6 +177,8 @@
 	return addrs
 }
 
+// addRendezvous adds this host and the LocalLinks and RemoteLinks hosts with the highest
+// weights.
 func (n Network) addRendezvous(chosen map[string]string, hosts []topo.Host) {
 	var near, far []ranked
 	for _, h := range hosts {
@@ -183,26 +193,26 @@
 			far = append(far, r)
 		}
 	}
-	add := func(list []ranked, limit int) {
+	addBest := func(list []ranked, limit int) {
 		sort.Slice(list, func(i, j int) bool { return list[i].weight > list[j].weight })
 		for i := range min(limit, len(list)) {
 			chosen[list[i].host.Name] = list[i].host.Aggregator
 		}
 	}
-	add(near, n.LocalLinks)
-	add(far, n.RemoteLinks)
+	addBest(near, n.LocalLinks)
+	addBest(far, n.RemoteLinks)
 }
 
-// addPartners adds the other owners of the servers that this host may serve, as the two
-// exchange leases.
+// addPartners adds the other owners of the servers that this host may serve, since
+// owners exchange leases.
 func (n Network) addPartners(chosen map[string]string, cfg *topo.Config, hosts []topo.Host) {
-	var t OwnerCache
-	t.SetHosts(hosts)
+	var cache OwnerCache
+	cache.SetHosts(hosts)
 	for _, s := range cfg.Inventory.Servers {
 		if s.Domain != n.Domain {
 			continue
 		}
-		owners := t.Owners(s.Domain, s.Name)
+		owners := cache.Owners(s.Domain, s.Name)
 		owned := false
 		for _, h := range owners {
 			owned = owned || h.Name == n.Self
