--- a/share/deny/deny.go
+++ b/share/deny/deny.go
@@ -9,7 +9,7 @@
 	"dandelionstile/share/clock"
 )
 
-// How long a request is refused, by the number of servers that it crashed.
+// How long a request is rejected, by the number of servers that it crashed.
 const (
 	// SuspectTime applies after the first crash. The server may have crashed for
 	// another reason, so the request is retried once all hosts know of the strike.
@@ -18,7 +18,7 @@
 	QuarantineTime = 10 * clock.Minute
 )
 
-// maxStrikes bounds the size of a table; the record that expires first is evicted.
+// maxStrikes limits the records of a table; the one that expires first is evicted.
 const maxStrikes = 4096
 
 // Fingerprint identifies a request by the service and the text that a server would run.
@@ -31,15 +31,16 @@
 	return d.Sum64()
 }
 
-// Strike is the record of one fingerprint, as exchanged between hosts.
+// Strike is what a host knows about one fingerprint, as exchanged between hosts.
 type Strike struct {
 	Fingerprint uint64
 	// Count is how many servers the request crashed.
 	Count int
-	// TimeLeft is how long the request is still refused.
+	// TimeLeft is how long the request is still rejected.
 	TimeLeft clock.Milli
 }
 
+// record is a Strike with the end of its time instead of the time left.
 type record struct {
 	count int
 	until clock.Milli
@@ -53,45 +54,47 @@
 // Add records that a request crashed a server and returns the strike to send to
 // other hosts.
 func (t *Table) Add(now clock.Milli, fingerprint uint64) Strike {
-	e := t.records[fingerprint]
-	e.count++
-	e.until = now + SuspectTime
-	if e.count > 1 {
-		e.until = now + QuarantineTime
+	rec := t.records[fingerprint]
+	rec.count++
+	rec.until = now + SuspectTime
+	if rec.count > 1 {
+		rec.until = now + QuarantineTime
 	}
-	t.put(fingerprint, e)
-	return Strike{Fingerprint: fingerprint, Count: e.count, TimeLeft: e.until - now}
+	t.put(fingerprint, rec)
+	return Strike{Fingerprint: fingerprint, Count: rec.count, TimeLeft: rec.until - now}
 }
 
-// Merge merges a strike from another host and reports whether it was new. Only new
-// strikes are forwarded, so that each host forwards a strike once.
+// Merge merges a strike from another host and reports whether it was new: whether its
+// count is higher than the known one. Only new strikes are forwarded, so that each host
+// forwards a strike once.
 func (t *Table) Merge(now clock.Milli, s Strike) bool {
-	e := t.records[s.Fingerprint]
-	if s.Count <= e.count {
+	rec := t.records[s.Fingerprint]
+	if s.Count <= rec.count {
 		return false
 	}
-	t.put(s.Fingerprint, record{count: s.Count, until: max(e.until, now+min(s.TimeLeft, QuarantineTime))})
+	t.put(s.Fingerprint, record{count: s.Count, until: max(rec.until, now+min(s.TimeLeft, QuarantineTime))})
 	return true
 }
 
-// Blocked reports whether a request is refused now, and for how long. Each resend
+// Blocked reports whether a request is rejected now, and for how long. Each resend
 // of a quarantined request renews its quarantine.
 func (t *Table) Blocked(now clock.Milli, fingerprint uint64) (clock.Milli, bool) {
-	e, ok := t.records[fingerprint]
-	if !ok || now >= e.until {
+	rec, ok := t.records[fingerprint]
+	if !ok || now >= rec.until {
 		return 0, false
 	}
-	if e.count > 1 {
-		e.until = now + QuarantineTime
-		t.records[fingerprint] = e
+	if rec.count > 1 {
+		rec.until = now + QuarantineTime
+		t.records[fingerprint] = rec
 	}
-	return e.until - now, true
+	return rec.until - now, true
 }
 
-// Get returns the record of a fingerprint.
+// Get returns a fingerprint's strike, also an expired one. Its Count is 0 if there is
+// none.
 func (t *Table) Get(now clock.Milli, fingerprint uint64) Strike {
-	e := t.records[fingerprint]
-	return Strike{Fingerprint: fingerprint, Count: e.count, TimeLeft: max(0, e.until-now)}
+	rec := t.records[fingerprint]
+	return Strike{Fingerprint: fingerprint, Count: rec.count, TimeLeft: max(0, rec.until-now)}
 }
 
 // HasStrikes reports whether the table has a record of the request, expired or not.
@@ -101,33 +104,35 @@
 	return ok
 }
 
-// Active lists the strikes of requests that are refused now.
+// Active lists the strikes of requests that are rejected now, in no particular order.
 func (t *Table) Active(now clock.Milli) []Strike {
 	var list []Strike
-	for f, e := range t.records {
-		if now < e.until {
-			list = append(list, Strike{Fingerprint: f, Count: e.count, TimeLeft: e.until - now})
+	for f, rec := range t.records {
+		if now < rec.until {
+			list = append(list, Strike{Fingerprint: f, Count: rec.count, TimeLeft: rec.until - now})
 		}
 	}
 	return list
 }
 
-func (t *Table) put(fingerprint uint64, e record) {
+// put stores a record. If the table is full, it evicts another.
+func (t *Table) put(fingerprint uint64, rec record) {
 	if t.records == nil {
 		t.records = map[uint64]record{}
 	}
 	if _, ok := t.records[fingerprint]; !ok && len(t.records) >= maxStrikes {
 		t.evict()
 	}
-	t.records[fingerprint] = e
+	t.records[fingerprint] = rec
 }
 
+// evict removes the record that expires first, or expired longest ago.
 func (t *Table) evict() {
 	var victim uint64
-	var at clock.Milli = -1
-	for f, e := range t.records {
-		if at < 0 || e.until < at {
-			victim, at = f, e.until
+	var earliest clock.Milli = -1
+	for f, rec := range t.records {
+		if earliest < 0 || rec.until < earliest {
+			victim, earliest = f, rec.until
 		}
 	}
 	delete(t.records, victim)
--- a/share/deny/proven.go
+++ b/share/deny/proven.go
@@ -1,8 +1,9 @@
 package deny
 
 // ProvenSet remembers requests that a leaf has completed without crashing. It keeps
-// two generations, so that its size is bounded and recent requests are kept. The
-// zero value is empty.
+// two generations: when the young one is full it becomes the old one, and the former
+// old one is removed. So its size is bounded and recent requests are kept. The zero
+// value is empty.
 type ProvenSet struct {
 	young, old map[ProvenKey]struct{}
 }
@@ -27,7 +28,7 @@
 	return ok
 }
 
-// Add adds a request.
+// Add adds a request. If the young generation is full, it starts a new one.
 func (p *ProvenSet) Add(k ProvenKey) {
 	if p.young == nil || len(p.young) >= maxGeneration {
 		p.old, p.young = p.young, map[ProvenKey]struct{}{}
@@ -35,8 +36,8 @@
 	p.young[k] = struct{}{}
 }
 
-// Drop removes a request for all snapshots, because it has crashed a server.
-func (p *ProvenSet) Drop(fingerprint uint64) {
+// Remove removes a request for all snapshots, because it has crashed a server.
+func (p *ProvenSet) Remove(fingerprint uint64) {
 	for _, m := range []map[ProvenKey]struct{}{p.young, p.old} {
 		for k := range m {
 			if k.Fingerprint == fingerprint {
--- a/share/fanout/canary.go
+++ b/share/fanout/canary.go
@@ -94,7 +94,7 @@
 // as well would count each crash twice.
 func (e *Engine) recordCrash(now clock.Milli, fingerprint uint64, strikes int, left clock.Milli) {
 	e.strikes.Merge(now, deny.Strike{Fingerprint: fingerprint, Count: max(1, strikes), TimeLeft: left})
-	e.proven.Drop(fingerprint)
+	e.proven.Remove(fingerprint)
 }
 
 // StrikeShared continues a query once the peers know of its strike, or after
--- a/share/sched/flow.go
+++ b/share/sched/flow.go
@@ -343,7 +343,7 @@
 // this distinction, the loss of a failure domain would quarantine the popular
 // queries running there, each on two servers.
 func (e *Engine) recordCrash(now clock.Milli, call *activeCall, o *query.Outcome) []Action {
-	e.proven.Drop(call.Fingerprint)
+	e.proven.Remove(call.Fingerprint)
 	if !call.Canary {
 		o.Kind = query.Unknown
 		return nil
--- a/share/sched/state.go
+++ b/share/sched/state.go
@@ -20,7 +20,7 @@
 	if !e.strikes.Merge(now, s) {
 		return false, nil
 	}
-	e.proven.Drop(s.Fingerprint)
+	e.proven.Remove(s.Fingerprint)
 	if _, blocked := e.strikes.Blocked(now, s.Fingerprint); !blocked {
 		return true, nil
 	}
