--- a/share/dedup/dedup.go
+++ b/share/dedup/dedup.go
@@ -45,7 +45,8 @@
 	return i.Host + "." + strconv.FormatUint(i.Incarnation, 36) + "." + strconv.FormatUint(i.Sequence, 36)
 }
 
-// Parse parses an id.
+// Parse parses an id in the form that String returns. Other spellings of an id are
+// malformed.
 func Parse(s string) (ID, error) {
 	rest, seq, ok := cutLast(s)
 	if !ok {
@@ -70,6 +71,7 @@
 	return id, nil
 }
 
+// cutLast splits s at its last dot. Host names may contain dots.
 func cutLast(s string) (before, after string, ok bool) {
 	i := strings.LastIndexByte(s, '.')
 	if i < 0 {
@@ -100,17 +102,18 @@
 )
 
 // Registry holds the ids that one incarnation minted and the state of their requests.
-// R is the result that is kept to answer resends. Host and Incarnation are set before
-// the first call. A Registry is not safe for concurrent use.
+// R is the type of the results that are kept to answer resends. Host and Incarnation
+// are set before the first call. A Registry is not safe for concurrent use.
 type Registry[R any] struct {
 	Host        string
 	Incarnation uint64
 
 	nextSequence uint64 // sequence of the next id; ids start at 1
-	oldest       uint64 // ids below are evicted
+	oldest       uint64 // ids with a lower sequence are evicted
 	records      map[uint64]*record[R]
 }
 
+// record is the state of one id.
 type record[R any] struct {
 	minted      clock.Milli
 	contentHash uint64
@@ -118,7 +121,7 @@
 	result      R
 }
 
-// Mint returns n new ids.
+// Mint returns n new ids. It returns ErrCount unless n is between 1 and MaxMint.
 func (r *Registry[R]) Mint(now clock.Milli, n int) ([]ID, error) {
 	if n < 1 || n > MaxMint {
 		return nil, ErrCount
@@ -137,7 +140,8 @@
 	return ids, nil
 }
 
-// evict removes ids past their lifetime, oldest first, but never one that is running.
+// evict removes ids past their lifetime or above maxRecords, oldest first, up to the
+// first that is neither or whose request is running.
 func (r *Registry[R]) evict(now clock.Milli) {
 	for r.oldest < r.nextSequence {
 		rec := r.records[r.oldest]
@@ -152,10 +156,10 @@
 	}
 }
 
-// Begin decides on a request with an id. The content is a hash over the request, so
-// that two different requests with one id are detected. After Run the caller must
-// call Finish or Release once.
-func (r *Registry[R]) Begin(now clock.Milli, id ID, content uint64) (Verdict, R) {
+// Begin decides on a request with an id. The result is set only with Done. The
+// contentHash is a hash of the request, so that two different requests with one id
+// are detected. After Run the caller must call Finish or Release once.
+func (r *Registry[R]) Begin(now clock.Milli, id ID, contentHash uint64) (Verdict, R) {
 	var none R
 	if id.Host != r.Host {
 		return Foreign, none
@@ -171,17 +175,17 @@
 	if !ok || (rec.state == 0 && now-rec.minted > Lifetime) {
 		return Unknown, none
 	}
-	if rec.state != 0 && rec.contentHash != content {
+	if rec.state != 0 && rec.contentHash != contentHash {
 		return Reused, none
 	}
 	if rec.state == 0 {
-		rec.state, rec.contentHash = Join, content
+		rec.state, rec.contentHash = Join, contentHash
 		return Run, none
 	}
 	return rec.state, rec.result
 }
 
-// Finish stores the result of a request that Begin admitted.
+// Finish stores the result of a request for which Begin returned Run.
 func (r *Registry[R]) Finish(id ID, result R) {
 	if rec, ok := r.records[id.Sequence]; ok && rec.state == Join {
 		rec.state, rec.result = Done, result
@@ -196,5 +200,5 @@
 	}
 }
 
-// Len returns how many ids the registry remembers.
+// Len returns how many ids the registry holds.
 func (r *Registry[R]) Len() int { return len(r.records) }
--- a/share/dedup/dedup_test.go
+++ b/share/dedup/dedup_test.go
@@ -9,11 +9,12 @@
 	"dandelionstile/share/clock"
 )
 
-// Whatever the order of calls, an id must not be admitted again unless it was
-// released because its request did not run.
+// If an id were admitted twice, its request would run twice. Whatever the order of calls,
+// an id must not be admitted again unless it was released because its request did not
+// run.
 func TestAnIDRunsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := Registry[string]{Host: "h", Incarnation: 3}
+		registry := Registry[string]{Host: "h", Incarnation: 3}
 		var now clock.Milli
 		var ids []ID
 		ran := map[ID]bool{}
@@ -21,7 +22,7 @@
 			now += clock.Milli(rapid.IntRange(0, 100000).Draw(t, "wait"))
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				minted, err := b.Mint(now, rapid.IntRange(1, 5).Draw(t, "n"))
+				minted, err := registry.Mint(now, rapid.IntRange(1, 5).Draw(t, "n"))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -31,7 +32,7 @@
 					continue
 				}
 				id := ids[rapid.IntRange(0, len(ids)-1).Draw(t, "id")]
-				verdict, _ := b.Begin(now, id, 1)
+				verdict, _ := registry.Begin(now, id, 1)
 				if verdict != Run {
 					continue
 				}
@@ -40,18 +41,20 @@
 				}
 				if rapid.Bool().Draw(t, "runs") {
 					ran[id] = true
-					b.Finish(id, "done")
+					registry.Finish(id, "done")
 				} else {
-					b.Release(id)
+					registry.Release(id)
 				}
 			}
 		}
 	})
 }
 
+// A request with an id that this process can't know about must not run: the id of
+// another host or an earlier incarnation, one that was not minted, or an expired one.
 func TestForeignAndForgottenIDs(t *testing.T) {
-	b := Registry[string]{Host: "h", Incarnation: 3}
-	ids, err := b.Mint(1, 1)
+	registry := Registry[string]{Host: "h", Incarnation: 3}
+	ids, err := registry.Mint(1, 1)
 	assert.NilError(t, err)
 	for _, c := range []struct {
 		id   ID
@@ -61,13 +64,14 @@
 		{ID{"h", 2, 1}, Unknown},
 		{ID{"h", 3, 99}, NeverMinted},
 	} {
-		got, _ := b.Begin(1, c.id, 1)
+		got, _ := registry.Begin(1, c.id, 1)
 		assert.Equal(t, got, c.want)
 	}
-	got, _ := b.Begin(2+Lifetime, ids[0], 1)
+	got, _ := registry.Begin(2+Lifetime, ids[0], 1)
 	assert.Equal(t, got, Unknown)
 }
 
+// Two spellings of one id would count as two ids, and the request could run twice.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{"host-1.abc.1", "", "..", "h.1.", "a.b.c.d", "h.01.1"} {
 		f.Add(s)
