--- a/share/query/query.go
+++ b/share/query/query.go
@@ -9,12 +9,12 @@
 	"dandelionstile/share/topo"
 )
 
-// Kind is the result of a call or an update.
+// Kind classifies the result of a call or an update.
 type Kind uint8
 
 // The kinds of results. Only OK carries rows or a body.
 const (
-	// OK means that the leaf answered.
+	// OK means that the leaf ran the request and returned its result.
 	OK Kind = iota + 1
 	// NotRun means that no byte of the request was sent to a leaf.
 	NotRun
@@ -83,7 +83,7 @@
 	// ReasonCallerGone ends a query whose caller has closed the connection.
 	ReasonCallerGone Reason = "caller-gone"
 	// ReasonProven answers a canary that does not run, because the aggregator knows
-	// that a leaf survived the request.
+	// that a leaf has completed the request before.
 	ReasonProven Reason = "proven"
 )
 
@@ -104,7 +104,7 @@
 }
 
 // Merge sorts rows, removes later rows with the same key, and returns at most limit
-// of them.
+// of them. It reuses the slice.
 func Merge(rows []Row, limit int) []Row {
 	sort.SliceStable(rows, func(i, j int) bool { return rows[i].Before(rows[j]) })
 	seen := make(map[string]struct{}, min(limit, len(rows)))
@@ -125,14 +125,14 @@
 // Feedback is the state of one leaf as its aggregator reports it.
 type Feedback struct {
 	Leaf string
-	// Busy and Queued count the requests that the leaf runs and those that wait for
-	// it; Limit is how many the aggregator sends to it at once.
+	// Busy and Queued count the calls in flight at the leaf and those that wait for
+	// it; Limit is how many calls the aggregator has in flight there at most.
 	Busy   int
 	Queued int
 	Limit  int
 	// Holds lists the snapshots that the leaf has.
 	Holds []topo.SnapshotID
-	// Closed is set while the leaf accepts no new work.
+	// Closed is set while the leaf accepts no calls from any host.
 	Closed bool
 	// CallTime is the duration of the leaf's recent calls in ms, or 0 if unknown.
 	CallTime float64
@@ -145,8 +145,9 @@
 	Reason     Reason
 	RetryAfter clock.Milli
 	Rows       []Row
-	// Body is the result of an update.
+	// Body is the result of an update that ran.
 	Body string
+	// Took is the duration of the call at the leaf.
 	Took clock.Milli
 	// Strikes counts, if Kind is Died, the servers that the request has crashed.
 	// RetryAfter is then how long the request is rejected.
@@ -172,7 +173,8 @@
 func (c Coverage) Complete() bool { return c.Answered == c.Shards }
 
 // Answer is the answer to a caller's query. If Refused is set, the query was
-// rejected, and RetryAfter is when the caller may retry it.
+// rejected, and RetryAfter is when the caller may retry it. Calls counts the leaf calls
+// of the query, Extra those beyond the first per shard.
 type Answer struct {
 	Pin        topo.SnapshotID
 	Rows       []Row
