--- a/share/fanout/hosts.go
+++ b/share/fanout/hosts.go
@@ -53,7 +53,7 @@
 	e.host(name).leaving = leaving
 }
 
-// RecordRTT records a measured round-trip time to an aggregator, in ms.
+// RecordRTT adds a measured round-trip time in ms to an aggregator's moving average.
 func (e *Engine) RecordRTT(name string, rtt float64) {
 	e.init()
 	h := e.host(name)
--- a/share/fanout/query.go
+++ b/share/fanout/query.go
@@ -94,6 +94,7 @@
 		return refuse(r.ID, query.ReasonNotReady, defaultRetryAfter)
 	}
 	if !s.admission.admit(r.Caller, e.Policy.NoBackpressure) {
+		// The random part spreads the retries of the rejected callers.
 		return refuse(r.ID, query.ReasonOverload, overloadRetryAfter+clock.Milli(e.Random.IntN(int(overloadRetryAfter))))
 	}
 	q := &activeQuery{
--- a/share/sched/sched.go
+++ b/share/sched/sched.go
@@ -185,11 +185,11 @@
 	Policy Policy
 
 	leaves         map[string]*leaf
-	byName         []*leaf
-	calls          map[Key]*activeCall
+	byName         []*leaf             // sorted by name
+	calls          map[Key]*activeCall // without an outcome yet
 	strikes        deny.Table
 	proven         deny.ProvenSet
-	canaries       map[uint64]Key
+	canaries       map[uint64]Key // the running canary, by fingerprint
 	leases         leases
 	serviceMeans   map[string]float64 // mean latency in ms, by service
 	owners         assign.OwnerCache
@@ -235,7 +235,7 @@
 // working on it.
 type orphan struct {
 	key   Key
-	until clock.Milli
+	until clock.Milli // when it stops counting against the leaf's slots
 }
 
 type activeCall struct {
