--- a/share/crash/crash.go
+++ b/share/crash/crash.go
@@ -77,8 +77,8 @@
 	t.broken[leaf] = append(list, brokenCall{fingerprint, now})
 }
 
-// LeafDown records that a leaf is down and returns the resulting reports.
-func (t *Tracker) LeafDown(now clock.Milli, leaf string) []Report {
+// RecordDown records that a leaf is down and returns the resulting reports.
+func (t *Tracker) RecordDown(now clock.Milli, leaf string) []Report {
 	var list []Report
 	for _, b := range t.broken[leaf] {
 		if now-b.at <= suspectWindow && !t.Proven(now, b.fingerprint) && t.Add(now, b.fingerprint, leaf) && len(list) < maxReportsSent {
--- a/share/router/aggregators.go
+++ b/share/router/aggregators.go
@@ -19,8 +19,8 @@
 // the highest capacity, and among equals by the hash of their addresses, so that the
 // loss of one aggregator doesn't change the others.
 
-// before orders hosts by preference as aggregators.
-func (p Peer) before(o Peer) int {
+// compare orders hosts by preference as aggregators: it is negative if p is preferred.
+func (p Peer) compare(o Peer) int {
 	if p.Capacity != o.Capacity {
 		return cmp.Compare(o.Capacity, p.Capacity)
 	}
@@ -31,18 +31,18 @@
 	return cmp.Compare(p.Address, o.Address)
 }
 
-// setAggregators orders the hosts of each failure domain: first the aggregators, in
-// an order that differs from host to host so that their load is even, then the other
-// hosts, which replace aggregators that fail.
+// setAggregators determines whether this host is an aggregator, and orders the hosts of
+// each failure domain: first the aggregators, in an order that differs from host to host
+// so that their load is even, then the other hosts, which replace aggregators that fail.
 func (e *Engine) setAggregators() {
 	self := Peer{Address: e.Self.Address, Domain: e.Self.Domain, Capacity: e.Self.Capacity}
 	for domain, peers := range e.peersByDomain {
-		slices.SortFunc(peers, func(a, b *peer) int { return a.before(b.Peer) })
+		slices.SortFunc(peers, func(a, b *peer) int { return a.compare(b.Peer) })
 		first := e.Policy.Aggregators
 		if domain == e.Self.Domain {
 			ahead := 0
 			for _, p := range peers {
-				if p.before(self) < 0 {
+				if p.compare(self) < 0 {
 					ahead++
 				}
 			}
@@ -54,17 +54,17 @@
 		first = min(first, len(peers))
 		slices.SortFunc(peers[:first], func(a, b *peer) int { return cmp.Compare(a.rank, b.rank) })
 	}
+	// Without other hosts in the domain, the loop above doesn't come to it.
 	if len(e.peersByDomain[e.Self.Domain]) == 0 {
 		e.aggregator = true
 	}
 }
 
-// Hosts share the connections to a leaf, the request rate of a cold leaf and the
-// reserve of the budget. An aggregator takes a larger part of these than other
-// hosts, which call leaves of other failure domains, or of their own if no
-// aggregator is reachable. Hosts with different lists of hosts may together exceed
-// the total; therefore a host that no longer sees most of its failure domain doesn't
-// take an aggregator's part.
+// Hosts share the connections to a leaf, the request rate of a cold leaf and the reserve
+// of the budget. An aggregator takes a larger part of these than other hosts, which call
+// leaves of other failure domains, or of their own if no aggregator is reachable. Hosts
+// with different lists of hosts may together exceed the total; therefore a host that no
+// longer sees most of its failure domain doesn't take an aggregator's part.
 
 const (
 	// aggregatorsShare is the part of all aggregators together.
@@ -82,6 +82,7 @@
 	at    clock.Milli
 }
 
+// observe records the current value and returns the largest of recentMaxWindow.
 func (p *recentMax) observe(now clock.Milli, value int) int {
 	if value >= p.value || now > p.at+recentMaxWindow {
 		p.value, p.at = value, now
@@ -89,38 +90,42 @@
 	return p.value
 }
 
-// canClaim reports whether this host takes an aggregator's part.
+// canClaim reports whether this host may take an aggregator's part: it is an aggregator
+// and sees most of its failure domain.
 func (e *Engine) canClaim(now clock.Milli) bool {
 	visible := len(e.peersByDomain[e.Self.Domain]) + 1
 	recent := e.domainHosts.observe(now, visible)
 	return e.aggregator && float64(visible) >= minVisibleShare*float64(recent)
 }
 
-// tiered reports whether any failure domain has hosts that are not aggregators.
-func (e *Engine) tiered() bool {
+// anyUsesAggregators reports whether hosts of any failure domain forward their queries
+// to aggregators.
+func (e *Engine) anyUsesAggregators() bool {
 	for domain := range e.peersByDomain {
-		if e.tieredIn(domain) {
+		if e.usesAggregators(domain) {
 			return true
 		}
 	}
 	return false
 }
 
-// tieredIn reports whether a failure domain has hosts that are not aggregators.
-func (e *Engine) tieredIn(domain string) bool {
+// usesAggregators reports whether a failure domain has more hosts than aggregators, so
+// that the other hosts forward their queries to those.
+func (e *Engine) usesAggregators(domain string) bool {
 	hosts := len(e.peersByDomain[domain])
 	if domain == e.Self.Domain {
-		hosts = e.domainHosts.value
+		hosts = e.domainHosts.value // counts this host, and those seen recently
 	}
 	return hosts > e.Policy.Aggregators
 }
 
-// leafSharers returns the number of hosts that would share a leaf if each took as
-// large a part as this one.
+// leafSharers returns the number of hosts that would share a leaf if each took as large
+// a part as this one. Each aggregator takes an equal part of aggregatorsShare, and each
+// other host an equal part of the rest.
 func (e *Engine) leafSharers(f *leaf) float64 {
 	hosts := float64(e.hosts)
 	switch {
-	case !e.sharded[f.Service] || !e.tieredIn(f.Domain):
+	case !e.sharded[f.Service] || !e.usesAggregators(f.Domain):
 		return hosts
 	case e.claimsShare && f.Domain == e.Self.Domain:
 		return float64(e.Policy.Aggregators) / aggregatorsShare
@@ -134,7 +139,7 @@
 	hosts := float64(e.hosts)
 	domains := map[string]bool{}
 	for _, f := range s.leaves {
-		if !e.sharded[f.Service] || !e.tieredIn(f.Domain) {
+		if !e.sharded[f.Service] || !e.usesAggregators(f.Domain) {
 			return hosts
 		}
 		domains[f.Domain] = true
--- a/share/router/arrive.go
+++ b/share/router/arrive.go
@@ -12,7 +12,8 @@
 // defaultWait is the wait of callers that name none, on routes without a timeout.
 const defaultWait = 10 * clock.Second
 
-// arrive admits or refuses a request.
+// arrive admits or refuses a request, and sends the shards of an admitted one to leaves
+// and other hosts.
 func (e *Engine) arrive(now clock.Milli, a Arrival) {
 	q := &query{id: a.Query, request: a.Request, arrived: now, forwarded: a.Forwarded}
 	if e.table == nil {
@@ -52,17 +53,17 @@
 	}
 	local, remote := q.shards, []forwardGroup(nil)
 	if !a.Forwarded {
-		local, remote = e.split(now, q)
+		local, remote = e.splitShards(now, q)
 	}
-	if !e.acceptsQuery(now, q, local) {
+	if !e.admitBySampling(now, q, local) {
 		e.refuse(now, q, NoCapacity, "too few shards can answer in time")
 		return
 	}
-	if !e.admit(now, q) {
+	if !e.admitByLimit(now, q) {
 		return
 	}
 	e.queries[q.id] = q
-	e.do(Note{
+	e.emit(Note{
 		Kind: NoteAdmitted, Request: q.request.ID, Query: q.id, Route: r.Name, Version: q.version, Total: len(q.shards),
 		Wait: a.Wait, SinceFirstAttempt: elapsed, Due: q.target - now, Remote: a.Remote, Forwarded: q.forwarded, Late: q.late,
 	})
@@ -75,16 +76,16 @@
 		e.services[s.service].budget.Earn()
 		e.dispatch(now, s)
 	}
-	e.settle(now, q)
-	if !q.over {
+	e.tryFinish(now, q)
+	if !q.ended {
 		e.schedule(now, q)
 	}
 }
 
-// admit counts a query as in flight, or refuses it. Late queries are counted only
-// while the limiter refuses queries: their outcome says nothing about queries that
-// can still be in time.
-func (e *Engine) admit(now clock.Milli, q *query) bool {
+// admitByLimit reports whether the limiter admits a query: it counts the query as in
+// flight, or refuses it. Late queries are counted only while a limit is in force: their
+// outcome says nothing about queries that can still be in time.
+func (e *Engine) admitByLimit(now clock.Milli, q *query) bool {
 	if !q.route.Sharded() || q.forwarded {
 		return true
 	}
@@ -102,8 +103,8 @@
 	return true
 }
 
-// requestedServices returns the services that a request is for; false if another
-// host asks for shards that the route does not have here.
+// requestedServices returns the services that a request is for; false if another host
+// forwarded it, and the route here is not sharded or lacks one of its shards.
 func (e *Engine) requestedServices(r *route.Route, a Arrival) ([]string, bool) {
 	if !r.Sharded() {
 		return []string{e.nextService(r)}, !a.Forwarded
@@ -141,15 +142,16 @@
 		w = newWaitEstimate(r.Timeout)
 		e.waitEstimates[r.Name] = w
 	}
-	elapsed := w.elapsed(wait)
+	elapsed := w.sinceFirstAttempt(wait)
 	w.learn(wait)
-	target := now + r.Target - elapsed - e.callers.roundTrip(a.Remote, elapsed) - e.Policy.Margin
+	// The target counts from the caller's first attempt, at the caller's end.
+	target := now + r.Target - elapsed - e.callers.learnRoundTrip(a.Remote, elapsed) - e.Policy.Margin
 	switch {
 	case r.Target <= 0:
 		target = q.deadline
 	case target < now+minAnswerTime:
-		// It is answered with the shards available at a new target: waiting for
-		// all shards until the deadline delays the caller for little gain.
+		// The query is answered with the shards available at a new target: waiting
+		// for all shards until the deadline delays the caller for little gain.
 		q.late = true
 		target = now + r.Target
 	}
@@ -225,15 +227,15 @@
 	return false
 }
 
-// callerGone ends a request whose caller has closed its connection.
-func (e *Engine) callerGone(now clock.Milli, g CallerGone) {
+// handleCallerGone ends a request, without an answer, whose caller has disconnected.
+func (e *Engine) handleCallerGone(now clock.Milli, g CallerGone) {
 	q := e.queries[g.Query]
 	if q == nil {
 		return
 	}
-	e.do(Note{
+	e.emit(Note{
 		Kind: NoteCallerGone, Request: q.request.ID, Query: q.id, Route: q.route.Name, Version: q.version,
 		Took: now - q.arrived, Count: q.answered, Total: len(q.shards),
 	})
-	e.close(now, q)
+	e.closeQuery(now, q)
 }
--- a/share/router/done.go
+++ b/share/router/calldone.go
@@ -7,10 +7,10 @@
 	"dandelionstile/share/clock"
 )
 
-// done handles the end of a call.
-func (e *Engine) done(now clock.Milli, d Done) {
+// handleCallDone handles the end of a call to a leaf or to another host.
+func (e *Engine) handleCallDone(now clock.Milli, d Done) {
 	if r := e.forwards[d.Call]; r != nil {
-		e.forwardDone(now, r, d)
+		e.endForward(now, r, d)
 		return
 	}
 	a := e.calls[d.Call]
@@ -18,18 +18,18 @@
 		return
 	}
 	delete(e.calls, a.id)
-	a.over = true
+	a.ended = true
 	f, s := a.leaf, a.shard
 	svc := e.service(f.Service)
 	f.removeCall(a)
-	e.do(CallEnded{Service: f.Service, Domain: f.Domain, Kind: d.Kind, Took: now - a.sent})
+	e.emit(CallEnded{Service: f.Service, Domain: f.Domain, Kind: d.Kind, Took: now - a.sent})
 	e.observeCall(now, a, d)
 	f.calledAt = now
 	e.reportLeaf(now, f)
-	if !a.orphan {
+	if !a.orphaned {
 		e.applyResult(now, a, d)
-		e.settle(now, s.query)
-		if !s.query.over {
+		e.tryFinish(now, s.query)
+		if !s.query.ended {
 			e.schedule(now, s.query)
 		}
 	}
@@ -46,35 +46,37 @@
 		e.regions[f.region].observe(took)
 		e.markProven(now, a.shard.query)
 		if f.recordReply(now) {
-			e.do(Note{Kind: NoteLeafHealthy, Leaf: f.ID, Service: f.Service, Cause: "it answered", Took: now - a.sent})
+			e.emit(Note{Kind: NoteLeafHealthy, Leaf: f.ID, Service: f.Service, Cause: "it answered", Took: now - a.sent})
 		}
 	case d.Kind == call.Answered, d.Kind == call.Shed:
-		f.recordOutcome(now, 1)
+		// The call failed, but the leaf is alive.
+		f.updateFailureRatio(now, 1)
 		f.failedInRow = 0
 	case d.Kind == call.Cancelled:
-		// Its reply would have taken even longer.
+		// A cancelled call's reply would have taken even longer.
 		if took > f.latency {
 			f.observe(now, took)
 		}
 		if took > f.expected(now, e.typicalLatency(f))+hedgeDeviations*f.deviation+stallSlackMs {
-			e.callFailed(now, f, unhealthyAfter, "no reply", now-a.sent)
+			e.recordFailedCall(now, f, unhealthyAfter, "no reply", now-a.sent)
 		}
 	case d.Kind == call.Foreign:
-		e.callFailed(now, f, 1, "another leaf has its address", now-a.sent)
+		e.recordFailedCall(now, f, 1, "another leaf has its address", now-a.sent)
 	case d.Kind == call.Withdrawn:
 		if took > openSlackMs+openLatencies*e.minLatency(f) {
-			e.callFailed(now, f, 1, "no connection yet", now-a.sent)
+			e.recordFailedCall(now, f, 1, "no connection yet", now-a.sent)
 		}
 	case d.Kind == call.Full:
-		f.recordOutcome(now, 1)
+		// The leaf is alive and at its connection limit.
+		f.updateFailureRatio(now, 1)
 		f.failedInRow = 0
 	case d.Kind == call.NotSent:
-		e.leafDown(now, f)
-		e.callFailed(now, f, 1, d.Cause, now-a.sent)
+		e.reportCrash(now, f)
+		e.recordFailedCall(now, f, 1, d.Cause, now-a.sent)
 	default:
 		e.crashes.RecordBroken(now, f.ID, a.shard.query.fingerprint)
 		e.checkConn(now, f)
-		e.callFailed(now, f, brokenAfter, d.Cause, now-a.sent)
+		e.recordFailedCall(now, f, brokenAfter, d.Cause, now-a.sent)
 	}
 }
 
@@ -87,29 +89,31 @@
 	}
 }
 
-// A connection is open after one round trip. A call that was cancelled before that
-// counts against its leaf only if it had time for more: one and a half times the
-// minimum latency of the leaf's region, which includes one round trip, and the delay
-// at a busy host.
+// A connection is open after one round trip. A call that was cancelled before that is
+// a failure of its leaf only after one and a half times the minimum latency of the leaf's
+// region, which includes one round trip, plus the delay at a busy host.
 const (
 	openLatencies = 1.5
 	openSlackMs   = 40.0
 )
 
-func (e *Engine) callFailed(now clock.Milli, f *leaf, limit int, cause string, took clock.Milli) {
-	if f.recordFailure(now, limit) && !f.removed {
-		e.do(Note{Kind: NoteLeafUnhealthy, Leaf: f.ID, Service: f.Service, Cause: cause, Took: took})
+// recordFailedCall records a call without a proper reply, and logs the leaf if it became
+// unhealthy. The threshold is that of recordFailure.
+func (e *Engine) recordFailedCall(now clock.Milli, f *leaf, threshold int, cause string, elapsed clock.Milli) {
+	if f.recordFailure(now, threshold) && !f.removed {
+		e.emit(Note{Kind: NoteLeafUnhealthy, Leaf: f.ID, Service: f.Service, Cause: cause, Took: elapsed})
 	}
 }
 
-// applyResult applies the end of a call to its shard.
+// applyResult applies the end of a call to its shard: the shard is answered, waits for
+// its other calls, is sent to another leaf, or is abandoned.
 func (e *Engine) applyResult(now clock.Milli, a *attempt, d Done) {
 	s := a.shard
 	q := s.query
 	if !d.Kind.NotRun() {
-		q.ran = true
+		q.maybeRan = true
 	} else {
-		s.tries--
+		s.tries-- // counts calls that may have run
 	}
 	if s.settled() {
 		return
@@ -147,14 +151,14 @@
 	e.abandonHopeless(now, s)
 }
 
-// canCall reports whether another leaf may run a shard's request, given that none
-// is running it now.
+// canCall reports whether one more leaf may be called for a shard. If the route is not
+// idempotent, that takes notRun: no earlier call has run the request.
 func (e *Engine) canCall(s *shard, notRun bool) bool {
 	q := s.query
 	return (q.route.Idempotent || notRun) && s.tries < q.route.Attempts && len(s.calls) < q.route.Attempts+maxRejectedCalls
 }
 
-// acceptsReply reports whether a reply settles its shard. A leaf's failure is never
+// acceptsReply reports whether a shard is answered by a reply. A leaf's failure is never
 // a part of a merged answer; as the reply to a request for one leaf it is returned to
 // the caller if no other leaf may be called.
 func (e *Engine) acceptsReply(now clock.Milli, q *query, r *call.Reply) bool {
@@ -178,22 +182,22 @@
 // without capacity is not tried at every leaf.
 const maxRejectedCalls = 3
 
-// noteWithheld logs once per query that a hedge or retry was not made.
-func (e *Engine) noteWithheld(now clock.Milli, s *shard, cause string) {
+// logWithheld logs once per query that a hedge or retry was not made.
+func (e *Engine) logWithheld(now clock.Milli, s *shard, cause string) {
 	if s.query.withheld {
 		return
 	}
 	s.query.withheld = true
-	e.do(Note{
+	e.emit(Note{
 		Kind: NoteWithheld, Request: s.query.request.ID, Query: s.query.id, Service: s.service, Leaf: s.lastTarget,
 		Cause: cause, Took: now - s.query.arrived, BudgetLeft: e.services[s.service].budget.Tokens,
 	})
 }
 
-// orphanCalls orphans the shard's remaining calls.
+// orphanCalls orphans the shard's calls in flight.
 func (e *Engine) orphanCalls(now clock.Milli, s *shard) {
 	for _, a := range s.calls {
-		if !a.over && !a.orphan {
+		if !a.ended && !a.orphaned {
 			e.orphan(now, a)
 		}
 	}
@@ -206,14 +210,14 @@
 
 // orphan lets a call that is no longer needed run for orphanGrace.
 func (e *Engine) orphan(now clock.Milli, a *attempt) {
-	a.orphan = true
+	a.orphaned = true
 	heap.Push(&e.timers, timer{at: now + orphanGrace, call: a})
 }
 
-// cancelOrphan closes the connection of an orphaned call.
+// cancelOrphan closes the connection of an orphaned call that is still in flight.
 func (e *Engine) cancelOrphan(a *attempt) {
-	if a.over {
+	if a.ended {
 		return
 	}
-	e.do(Cancel{Call: a.id})
+	e.emit(Cancel{Call: a.id})
 }
--- a/share/router/caller.go
+++ b/share/router/caller.go
@@ -7,9 +7,9 @@
 )
 
 // The load pattern: many callers share an address, and some of them retry. Only the
-// first request of a connection shows the caller's distance: it is sent one round
-// trip after the caller begins to connect. Time that has passed for other reasons
-// must not shorten the targets of other callers at the address.
+// first request of a connection shows the round trip to the caller: it is sent one round
+// trip after the caller begins to connect. Time that has passed for other reasons must
+// not shorten the targets of other callers at the address.
 
 const (
 	// maxCallers bounds the number of remembered addresses and connections.
@@ -23,22 +23,23 @@
 type callers struct {
 	// roundTrips holds the shortest round trip to each address.
 	roundTrips map[string]clock.Milli
-	// recent and former are connections that have carried a request. Connections
-	// that stay unused leave with former.
+	// recent and former are connections that have carried a request. A connection
+	// that stays unused is removed together with former.
 	recent, former map[string]bool
 }
 
-// roundTrip returns the round trip to a caller, 0 if unknown. A caller that opens a
-// connection spends one round trip on it before its first request, so that the
-// elapsed time at the first request is the round trip; later requests on the
-// connection name their full wait, and the answer takes the same time back.
-func (c *callers) roundTrip(remote string, elapsed clock.Milli) clock.Milli {
+// learnRoundTrip returns the shortest known round trip to a caller's address, 0 if
+// unknown, after it has learned from the request's elapsed time. A caller that opens a
+// connection spends one round trip on it before its first request, so the elapsed time
+// at that request is the round trip. Later requests on the connection name their full
+// wait, and the answer takes the same time back.
+func (c *callers) learnRoundTrip(remote string, elapsed clock.Milli) clock.Milli {
 	address := remote
 	if i := strings.LastIndexByte(remote, ':'); i >= 0 {
 		address = remote[:i]
 	}
 	known, ok := c.roundTrips[address]
-	if c.used(remote) || elapsed <= 0 || elapsed > maxRoundTrip || ok && elapsed >= known {
+	if c.markUsed(remote) || elapsed <= 0 || elapsed > maxRoundTrip || ok && elapsed >= known {
 		return known
 	}
 	if c.roundTrips == nil || len(c.roundTrips) >= maxCallers {
@@ -48,8 +49,8 @@
 	return elapsed
 }
 
-// used records a request on a connection and reports whether it had one before.
-func (c *callers) used(remote string) bool {
+// markUsed records a request on a connection and reports whether it had one before.
+func (c *callers) markUsed(remote string) bool {
 	if c.recent[remote] {
 		return true
 	}
--- a/share/router/crash.go
+++ b/share/router/crash.go
@@ -16,15 +16,17 @@
 func (CrashReports) event()      {}
 func (SendCrashReports) action() {}
 
-// connCheckPause is the least time between two connection checks of one leaf:
+// connCheckInterval is the least time between two connection checks of one leaf:
 // where many replies are lost, one new connection shows as much as many.
-const connCheckPause clock.Milli = 500
+const connCheckInterval clock.Milli = 500
 
+// fingerprint identifies requests with the same method, host, target and body.
 func fingerprint(r *call.Request) uint64 {
 	return deny.Fingerprint(r.Method+" "+r.Host+r.Target, string(r.Body))
 }
 
-// addCrashReports adds other hosts' crash reports and forwards the new ones.
+// addCrashReports adds other hosts' crash reports and forwards the new ones. Expired
+// reports, and those on requests that leaves have recently answered, are dropped.
 func (e *Engine) addCrashReports(now clock.Milli, s CrashReports) {
 	var added []crash.Report
 	for _, r := range s.List {
@@ -33,38 +35,40 @@
 		}
 	}
 	if len(added) > 0 {
-		e.do(SendCrashReports{List: added})
+		e.emit(SendCrashReports{List: added})
 	}
 }
 
-// checkConn checks whether a leaf crashed during the call that just broke. The next
-// request to it would show that too, but a failed leaf is avoided, and a request that
-// is sent only now and then would crash many leaves before three of the crashes were
-// detected in time.
+// checkConn checks whether a leaf crashed during the call that just broke, at most once
+// per connCheckInterval. The next request to the leaf would show that too, but a failed
+// leaf is avoided, and a request that is sent only now and then would crash many leaves
+// before three of the crashes were detected in time.
 func (e *Engine) checkConn(now clock.Milli, f *leaf) {
 	if f.removed || now < f.connCheckAt {
 		return
 	}
-	f.connCheckAt = now + connCheckPause
-	e.do(CheckConn{Leaf: f.ID, Address: f.Address})
+	f.connCheckAt = now + connCheckInterval
+	e.emit(CheckConn{Leaf: f.ID, Address: f.Address})
 }
 
-// connRefused handles the report that no process listens at a leaf's address.
-func (e *Engine) connRefused(now clock.Milli, a ConnRefused) {
+// handleConnRefused marks a leaf as unhealthy at whose address no process listens, and
+// reports the crash.
+func (e *Engine) handleConnRefused(now clock.Milli, a ConnRefused) {
 	f := e.leaves[a.Leaf]
 	if f == nil {
 		return
 	}
-	e.leafDown(now, f)
-	e.callFailed(now, f, 1, "nobody listens", 0)
+	e.reportCrash(now, f)
+	e.recordFailedCall(now, f, 1, "nobody listens", 0)
 }
 
-// leafDown attributes a leaf's crash to the requests that it was running.
-func (e *Engine) leafDown(now clock.Milli, f *leaf) {
-	list := e.crashes.LeafDown(now, f.ID)
+// reportCrash sends crash reports on the requests that a leaf was running when it went
+// down.
+func (e *Engine) reportCrash(now clock.Milli, f *leaf) {
+	list := e.crashes.RecordDown(now, f.ID)
 	if len(list) == 0 {
 		return
 	}
-	e.do(Note{Kind: NoteCrash, Leaf: f.ID, Service: f.Service, Total: len(list), Cause: "it went down with requests on it"})
-	e.do(SendCrashReports{List: list})
+	e.emit(Note{Kind: NoteCrash, Leaf: f.ID, Service: f.Service, Total: len(list), Cause: "it went down with requests on it"})
+	e.emit(SendCrashReports{List: list})
 }
--- a/share/router/crash_test.go
+++ b/share/router/crash_test.go
@@ -29,7 +29,7 @@
 // next connection to the leaf is refused.
 func (r *rig) crashLeaf(s Send) {
 	r.fail(s, call.Broken)
-	r.engine.leafDown(r.now, r.engine.leaves[s.Leaf])
+	r.engine.reportCrash(r.now, r.engine.leaves[s.Leaf])
 	for _, a := range r.engine.actions {
 		if reports, ok := a.(SendCrashReports); ok {
 			r.crashReports = append(r.crashReports, reports.List...)
@@ -65,8 +65,8 @@
 	assert.Equal(t, len(other.sends), 1, "the request was refused after the crash reports had expired")
 }
 
-// Leaves lose replies without a crash: connections break, and the next one is accepted. No
-// request is blamed, however often it is sent.
+// Guards against blaming requests for lost replies: leaves lose replies without a crash,
+// so that connections break and the next one is accepted, however often a request is sent.
 func TestLostAnswersBlameNoRequest(t *testing.T) {
 	r := crashRig(t)
 	for range 20 {
@@ -102,8 +102,8 @@
 	assert.Equal(t, r.answers[q].Refusal, Harmful)
 }
 
-// All replies are lost for two seconds. A leaf gets a connection check now and then, not one
-// for each lost reply.
+// All replies are lost for two seconds. With a connection check for each lost reply, leaves
+// would get hundreds of new connections that show no more than a few.
 func TestLostAnswersCauseFewConnChecks(t *testing.T) {
 	r := crashRig(t)
 	checks := 0
@@ -117,7 +117,8 @@
 		}
 		r.advance(10)
 	}
-	limit := 8 * (200*10/int(connCheckPause) + 1)
+	// One check per leaf and interval of the two seconds, and one at their start.
+	limit := 8 * (200*10/int(connCheckInterval) + 1)
 	assert.Assert(t, checks <= limit, "%d checks at 8 leaves in two seconds, at most %d", checks, limit)
 }
 
--- a/share/router/place.go
+++ b/share/router/dispatch.go
@@ -6,12 +6,13 @@
 	"dandelionstile/share/clock"
 )
 
-// dispatch sends a shard to the best leaf, or queues the shard.
+// dispatch sends a shard to the best leaf, or queues or abandons the shard.
 func (e *Engine) dispatch(now clock.Milli, s *shard) {
 	e.dispatchTo(now, s, e.selectLeaf(now, s, true))
 }
 
-// dispatchTo sends a shard to the chosen leaf, or queues or abandons the shard.
+// dispatchTo is dispatch with the chosen leaf. It also probes the service's unhealthy
+// leaves if one is due.
 func (e *Engine) dispatchTo(now clock.Milli, s *shard, c choice) {
 	switch {
 	case c.leaf != nil:
@@ -35,7 +36,7 @@
 		f.warmupLimiter.Spend()
 	}
 	if f.unhealthy {
-		f.probeAt = now + f.probePause()
+		f.probeAt = now + f.probeDelay()
 	}
 	e.calls[a.id] = a
 	f.addCall(a)
@@ -46,7 +47,7 @@
 	s.queued = false
 	s.sentAt = now
 	s.hedgeAt = now + e.hedgeDelay(now, s, f)
-	e.do(Send{Call: a.id, Request: q.request, Leaf: f.ID, Address: f.Address, Timeout: max(1, q.deadline-now), Watch: !q.route.Sharded()})
+	e.emit(Send{Call: a.id, Request: q.request, Leaf: f.ID, Address: f.Address, Timeout: max(1, q.deadline-now), Watch: !q.route.Sharded()})
 }
 
 const (
@@ -82,22 +83,22 @@
 			continue
 		}
 		f.probeAt = now + probeTimeout
-		e.do(Probe{Leaf: f.ID, Address: f.Address, Path: svc.config.HealthPath})
+		e.emit(Probe{Leaf: f.ID, Address: f.Address, Path: svc.config.HealthPath})
 	}
 }
 
-// probeResult handles the result of an unhealthy leaf's health check.
-func (e *Engine) probeResult(now clock.Milli, p ProbeResult) {
+// handleProbeResult handles the result of an unhealthy leaf's health check.
+func (e *Engine) handleProbeResult(now clock.Milli, p ProbeResult) {
 	f := e.leaves[p.Leaf]
 	if f == nil || !f.unhealthy {
 		return
 	}
 	if !p.Healthy {
-		f.probeAt = now + f.probePause()
+		f.probeAt = now + f.probeDelay()
 		return
 	}
 	f.markHealthy(now)
-	e.do(Note{Kind: NoteLeafHealthy, Leaf: f.ID, Service: f.Service, Cause: "its health is good"})
+	e.emit(Note{Kind: NoteLeafHealthy, Leaf: f.ID, Service: f.Service, Cause: "its health is good"})
 	e.dispatchWaiting(now, e.services[f.Service])
 }
 
@@ -109,14 +110,14 @@
 	}
 	s.queued = true
 	svc := e.services[s.service]
-	at := len(svc.queue)
-	for at > 0 && s.query.before(svc.queue[at-1].query) {
-		at--
+	index := len(svc.queue)
+	for index > 0 && s.query.before(svc.queue[index-1].query) {
+		index--
 	}
-	svc.queue = slices.Insert(svc.queue, at, s)
+	svc.queue = slices.Insert(svc.queue, index, s)
 }
 
-// before reports whether a query's shards precede those of another query that arrived
+// before reports whether a query's shards go before those of another query that arrived
 // earlier: queries that can still be in time come first, then the order is by priority.
 func (q *query) before(other *query) bool {
 	if q.late != other.late {
@@ -125,31 +126,34 @@
 	return q.route.Priority < other.route.Priority
 }
 
-// dispatchWaiting dispatches queued shards to leaves with free capacity.
+// dispatchWaiting dispatches queued shards to leaves with free capacity, and removes
+// shards from the queue that no longer need a leaf.
 func (e *Engine) dispatchWaiting(now clock.Milli, svc *service) {
 	svc.queue = slices.DeleteFunc(svc.queue, func(s *shard) bool {
-		return s.query.over || s.settled() || !s.queued
+		return s.query.ended || s.settled() || !s.queued
 	})
 	for {
-		at, c := e.nextQueued(now, svc)
-		if at < 0 {
+		index, c := e.nextQueued(now, svc)
+		if index < 0 {
 			return
 		}
-		s := svc.queue[at]
-		svc.queue = slices.Delete(svc.queue, at, at+1)
+		s := svc.queue[index]
+		svc.queue = slices.Delete(svc.queue, index, index+1)
 		s.queued = false
 		e.dispatchTo(now, s, c)
-		e.settle(now, s.query)
-		if !s.query.over {
+		e.tryFinish(now, s.query)
+		if !s.query.ended {
 			e.schedule(now, s.query)
 		}
 	}
 }
 
-// nextQueued returns the index of the queued shard that gets the free capacity, and
-// its leaf: the first shard that can still be in time; -1 for none. If the queue is
-// longer than queries can wait, strict queue order would make every query late.
-func (e *Engine) nextQueued(now clock.Milli, svc *service) (at int, c choice) {
+// nextQueued returns the index of the queued shard that gets the free capacity, and its
+// leaf; -1 for none. It is the first shard that can still be in time, else the first one
+// that its query can't do without: if the queue is longer than queries can wait, strict
+// queue order would make every query late. A shard that no leaf may serve, or whose query
+// is late already, counts like one in time.
+func (e *Engine) nextQueued(now clock.Milli, svc *service) (index int, c choice) {
 	late, lateChoice := -1, choice{}
 	for i, s := range svc.queue {
 		c := e.selectLeaf(now, s, true)
@@ -171,15 +175,15 @@
 	return !q.route.Sharded() || !q.forwarded && q.answered < q.route.MinShards()
 }
 
-// abandon gives up on a shard.
+// abandon gives up on a shard, for a cause unless the shard has one from a failed call.
 func (e *Engine) abandon(s *shard, cause string) {
 	if s.settled() {
 		return
 	}
-	s.lost = true
+	s.abandoned = true
 	s.queued = false
 	if s.cause == "" {
 		s.cause = cause
 	}
-	s.query.lost++
+	s.query.abandoned++
 }
--- a/share/router/engine.go
+++ b/share/router/engine.go
@@ -29,10 +29,11 @@
 	Regions map[string]string
 	Policy  Policy
 
-	table         *route.Table
-	domainsOut    map[string]bool
+	table      *route.Table
+	domainsOut map[string]bool
+	// hosts is the number of hosts that share the leaves, at least Policy.MinHosts.
 	hosts         int
-	peers         map[string]*peer
+	peers         map[string]*peer   // by address
 	peersByDomain map[string][]*peer // ordered by setAggregators
 	// aggregator is set if this host calls the leaves of its failure domain
 	// itself, and claimsShare if it takes an aggregator's part of them.
@@ -40,27 +41,27 @@
 	// domainHosts is the largest recent number of hosts in the own failure domain.
 	domainHosts recentMax
 	// sharded holds the services that are shards of a route.
-	sharded       map[string]bool
-	forwards      map[uint64]*forward
-	leaves        map[string]*leaf
-	services      map[string]*service
-	regions       map[string]*region
+	sharded  map[string]bool
+	forwards map[uint64]*forward
+	leaves   map[string]*leaf
+	services map[string]*service
+	regions  map[string]*region
+	// waitEstimates, shedders and roundRobins are keyed by route.
 	waitEstimates map[string]*waitEstimate
-	// shedders are keyed by route.
-	shedders    map[string]*shedder
-	callers     callers
-	limiter     limit.Limiter
-	crashes     crash.Tracker
-	roundRobins map[string]*roundRobin
-	queries     map[uint64]*query
-	calls       map[uint64]*attempt
-	lastCall    uint64
-	timers      timerHeap
-	// leafNotesAt and leafNotes limit the log lines on leaves added or removed.
-	leafNotesAt clock.Milli
-	leafNotes   int
-	actions     []Action
-	started     bool
+	shedders      map[string]*shedder
+	callers       callers
+	limiter       limit.Limiter
+	crashes       crash.Tracker
+	roundRobins   map[string]*roundRobin
+	queries       map[uint64]*query
+	calls         map[uint64]*attempt
+	lastCall      uint64
+	timers        timerHeap
+	// leafLogsAt and leafLogs limit the log lines on leaves added or removed.
+	leafLogsAt clock.Milli
+	leafLogs   int
+	actions    []Action
+	started    bool
 	// startedAt is when the first event arrived.
 	startedAt clock.Milli
 	// stalledAt is when this host was last found to have stalled.
@@ -75,13 +76,14 @@
 	queue  []*shard
 }
 
+// start initializes the engine at the first event. Later calls do nothing.
 func (e *Engine) start(now clock.Milli) {
 	if e.started {
 		return
 	}
 	e.started = true
 	e.startedAt = now
-	e.stalledAt = now - stallPause
+	e.stalledAt = now - reportHoldoff
 	e.Policy = e.Policy.withDefaults()
 	e.hosts = e.Policy.MinHosts
 	e.peers = map[string]*peer{}
@@ -106,22 +108,23 @@
 	case Arrival:
 		e.arrive(now, ev)
 	case CallerGone:
-		e.callerGone(now, ev)
+		e.handleCallerGone(now, ev)
 	case Done:
-		e.done(now, ev)
+		e.handleCallDone(now, ev)
 	case Facts:
-		e.applyFacts(now, ev)
+		e.applyTopology(now, ev)
 	case Peers:
 		e.setPeers(now, ev.List)
 	case CrashReports:
 		e.addCrashReports(now, ev)
 	case ProbeResult:
-		e.probeResult(now, ev)
+		e.handleProbeResult(now, ev)
 	case ConnRefused:
-		e.connRefused(now, ev)
+		e.handleConnRefused(now, ev)
 	case LeafReports:
 		e.applyLeafReports(now, ev.List)
 	case Tick:
+		// It only runs the timers.
 	}
 	e.runTimers(now)
 	return e.actions
@@ -135,26 +138,28 @@
 	return e.timers[0].at
 }
 
-// Ready reports whether this host can serve requests.
+// Ready reports whether this host knows its routes and can serve requests.
 func (e *Engine) Ready() bool { return e.table != nil }
 
 // InFlight returns the number of requests in flight.
 func (e *Engine) InFlight() int { return len(e.queries) }
 
-func (e *Engine) do(a Action) { e.actions = append(e.actions, a) }
+// emit adds an action to those that Handle returns.
+func (e *Engine) emit(a Action) { e.actions = append(e.actions, a) }
 
-// applyFacts applies new routes, leaves and failure domains.
-func (e *Engine) applyFacts(now clock.Milli, f Facts) {
-	if f.Table != nil && (e.table == nil || f.Table.Version > e.table.Version) {
-		e.table = f.Table
-		e.sharded = shardServices(f.Table)
-		e.do(Note{Kind: NoteTable, Version: f.Table.Version, Total: len(f.Table.Routes)})
+// applyTopology applies new routes, leaves and failure domains. Routes are replaced only
+// by a newer version.
+func (e *Engine) applyTopology(now clock.Milli, t Facts) {
+	if t.Table != nil && (e.table == nil || t.Table.Version > e.table.Version) {
+		e.table = t.Table
+		e.sharded = shardServices(t.Table)
+		e.emit(Note{Kind: NoteTable, Version: t.Table.Version, Total: len(t.Table.Routes)})
 	}
-	if f.Regions != nil {
-		e.setRegions(f.Regions)
+	if t.Regions != nil {
+		e.setRegions(t.Regions)
 	}
-	e.setDomainsOut(f.DomainsOut)
-	e.updateRoster(now, f.Leaves)
+	e.setDomainsOut(t.DomainsOut)
+	e.updateRoster(now, t.Leaves)
 	for name, s := range e.services {
 		s.config = route.Service{Name: name}
 		if e.table != nil {
@@ -172,19 +177,20 @@
 		p.region = regions[p.Domain]
 	}
 	for _, f := range e.leaves {
-		e.locate(f)
+		e.setLeafRegion(f)
 	}
 }
 
-// locate sets a leaf's region.
-func (e *Engine) locate(f *leaf) {
+// setLeafRegion sets a leaf's region, and creates the region's state on first use.
+func (e *Engine) setLeafRegion(f *leaf) {
 	f.region = e.Regions[f.Domain]
 	if e.regions[f.region] == nil {
 		e.regions[f.region] = &region{}
 	}
 }
 
-// updateShares recomputes this host's part of what all hosts share.
+// updateShares recomputes this host's part of the leaves' connections and of the
+// budgets, and dispatches the queued shards that then have a free connection.
 func (e *Engine) updateShares(now clock.Milli) {
 	for _, s := range e.services {
 		e.configureBudget(s)
@@ -195,29 +201,33 @@
 	}
 }
 
-// configureBudget sets this host's part of a service's budget.
+// configureBudget sets this host's part of a service's budget, which is part of the
+// reserve of all hosts.
 func (e *Engine) configureBudget(s *service) {
 	s.budget.Configure(e.Policy.BudgetRatio, e.Policy.BudgetReserve/e.budgetSharers(s))
 }
 
-// setLeafShare sets this host's part of a leaf's connections and cold rate.
+// setLeafShare sets the number of connections that this host may use to a leaf, which
+// the leaf's slots limit further.
 func (e *Engine) setLeafShare(f *leaf, s *service) {
-	f.hosts = e.leafSharers(f)
-	f.limit = connectionLimit(s.config, f.hosts)
+	f.sharers = e.leafSharers(f)
+	f.connLimit = connectionLimit(s.config, f.sharers)
 	if f.Slots > 0 {
-		f.limit = min(f.limit, f.Slots+f.Slots/slotsPerQueuedCall)
+		f.connLimit = min(f.connLimit, f.Slots+f.Slots/slotsPerQueuedCall)
 	}
 }
 
+// setDomainsOut sets the failure domains that get no new work, and logs which of them
+// are new and which are back.
 func (e *Engine) setDomainsOut(out map[string]bool) {
 	for d := range out {
 		if !e.domainsOut[d] {
-			e.do(Note{Kind: NoteDomainOut, Cause: d})
+			e.emit(Note{Kind: NoteDomainOut, Cause: d})
 		}
 	}
 	for d := range e.domainsOut {
 		if !out[d] {
-			e.do(Note{Kind: NoteDomainBack, Cause: d})
+			e.emit(Note{Kind: NoteDomainBack, Cause: d})
 		}
 	}
 	e.domainsOut = out
@@ -265,7 +275,7 @@
 	return max(1, min(own, maxConnections))
 }
 
-// updateRoster replaces the list of leaves.
+// updateRoster replaces the list of leaves, and logs those that were added or removed.
 func (e *Engine) updateRoster(now clock.Milli, list []roster.Leaf) {
 	listed := make(map[string]bool, len(list))
 	// A host that has just started learns all leaves at once: one line counts
@@ -279,7 +289,7 @@
 		}
 	}
 	if first {
-		e.do(Note{Kind: NoteLeavesKnown, Total: len(list)})
+		e.emit(Note{Kind: NoteLeavesKnown, Total: len(list)})
 		added = nil
 	}
 	for id, f := range e.leaves {
@@ -288,35 +298,37 @@
 			removed = append(removed, f)
 		}
 	}
-	e.noteLeaves(now, added, NoteLeafNew, NoteLeavesNew)
-	e.noteLeaves(now, removed, NoteLeafRemoved, NoteLeavesRemoved)
+	e.logLeaves(now, added, NoteLeafNew, NoteLeavesNew)
+	e.logLeaves(now, removed, NoteLeafRemoved, NoteLeavesRemoved)
 }
 
-// maxLeafNotes bounds the log lines per second on leaves added or removed: when an
+// maxLeafLogs bounds the log lines per second on leaves added or removed: when an
 // index is resharded, hundreds change on every host.
-const maxLeafNotes = 8
+const maxLeafLogs = 8
 
-// noteLeaves logs leaves that were added or removed, each in its own line, or all in
-// one line if there are too many.
-func (e *Engine) noteLeaves(now clock.Milli, list []*leaf, each, all NoteKind) {
-	if now >= e.leafNotesAt+clock.Second {
-		e.leafNotesAt, e.leafNotes = now, 0
+// logLeaves logs leaves that were added or removed: each in a record of its own, or all
+// in one record if that would exceed maxLeafLogs in this second.
+func (e *Engine) logLeaves(now clock.Milli, list []*leaf, each, all NoteKind) {
+	if now >= e.leafLogsAt+clock.Second {
+		e.leafLogsAt, e.leafLogs = now, 0
 	}
-	if e.leafNotes+len(list) > maxLeafNotes {
-		names := make([]string, 0, maxLeafNotes)
-		for _, f := range list[:min(len(list), maxLeafNotes)] {
+	if e.leafLogs+len(list) > maxLeafLogs {
+		names := make([]string, 0, maxLeafLogs)
+		for _, f := range list[:min(len(list), maxLeafLogs)] {
 			names = append(names, f.ID)
 		}
-		e.do(Note{Kind: all, Total: len(list), Cause: strings.Join(names, " ")})
+		e.emit(Note{Kind: all, Total: len(list), Cause: strings.Join(names, " ")})
 		return
 	}
-	e.leafNotes += len(list)
+	e.leafLogs += len(list)
 	for _, f := range list {
-		e.do(Note{Kind: each, Leaf: f.ID, Service: f.Service, Cause: f.Domain})
+		e.emit(Note{Kind: each, Leaf: f.ID, Service: f.Service, Cause: f.Domain})
 	}
 }
 
-// updateLeaf applies the inventory entry of a leaf and reports whether it is new.
+// updateLeaf applies the inventory entry of a leaf and reports whether it is new. A leaf
+// that has restarted, or has another address or service than before, is a new one: what
+// was measured of the old one is dropped.
 func (e *Engine) updateLeaf(now clock.Milli, l roster.Leaf) bool {
 	f := e.leaves[l.ID]
 	if f != nil && f.Leaf == l {
@@ -326,7 +338,7 @@
 	if !same {
 		if f != nil {
 			e.removeLeaf(f)
-			e.do(Note{Kind: NoteLeafRemoved, Leaf: f.ID, Service: f.Service, Cause: "another has its name"})
+			e.emit(Note{Kind: NoteLeafRemoved, Leaf: f.ID, Service: f.Service, Cause: "another has its name"})
 		}
 		f = &leaf{warmupLimiter: warmup.Limiter{Phase: rank.Fraction(e.Self.Host, l.ID)}}
 		e.leaves[l.ID] = f
@@ -334,16 +346,17 @@
 		s.leaves = append(s.leaves, f)
 	}
 	if l.Draining && !f.Draining {
-		e.do(Note{Kind: NoteLeafDraining, Leaf: l.ID, Service: l.Service})
+		e.emit(Note{Kind: NoteLeafDraining, Leaf: l.ID, Service: l.Service})
 	}
 	f.Leaf = l
-	e.locate(f)
+	e.setLeafRegion(f)
 	if l.WarmupLeft > 0 {
 		f.coldUntil = now + l.WarmupLeft
 	}
 	return !same
 }
 
+// removeLeaf removes a leaf that is no longer listed. Calls in flight to it continue.
 func (e *Engine) removeLeaf(f *leaf) {
 	f.removed = true
 	delete(e.leaves, f.ID)
@@ -356,7 +369,8 @@
 	}
 }
 
-// timer is the time at which a query, a call or a forward is checked.
+// timer is the time at which a query is checked, or an orphaned call or forward is
+// cancelled; one of its pointers is set.
 type timer struct {
 	at      clock.Milli
 	query   *query
@@ -391,20 +405,21 @@
 		case a.call != nil:
 			e.cancelOrphan(a.call)
 		case a.forward != nil:
-			if !a.forward.over {
-				e.do(Cancel{Call: a.forward.id})
+			if !a.forward.ended {
+				e.emit(Cancel{Call: a.forward.id})
 			}
-		case !a.query.over && a.at >= a.query.timerAt:
+		case !a.query.ended && a.at >= a.query.timerAt:
+			// An earlier timer was superseded when the query was last checked.
 			e.checkQuery(now, a.query)
 		}
 	}
 }
 
-// setTimer has a query checked no later than a time.
-func (e *Engine) setTimer(q *query, at clock.Milli) {
-	if q.timerAt != 0 && q.timerAt <= at {
+// setTimer schedules a check of a query, unless one is scheduled no later than that.
+func (e *Engine) setTimer(q *query, due clock.Milli) {
+	if q.timerAt != 0 && q.timerAt <= due {
 		return
 	}
-	q.timerAt = at
-	heap.Push(&e.timers, timer{at: at, query: q})
+	q.timerAt = due
+	heap.Push(&e.timers, timer{at: due, query: q})
 }
--- a/share/router/finish.go
+++ b/share/router/finish.go
@@ -23,26 +23,26 @@
 		e.refuse(now, q, NoCapacity, "no leaf had room")
 		return
 	}
-	e.recordMiss(now, q)
+	e.recordMissedTarget(now, q)
 	e.hedgeSlow(now, q)
-	e.settle(now, q)
-	if !q.over {
+	e.tryFinish(now, q)
+	if !q.ended {
 		e.schedule(now, q)
 	}
 }
 
-// recordMiss records once in the limiter that a query missed its target.
-func (e *Engine) recordMiss(now clock.Milli, q *query) {
-	if !q.counted || q.missed || now < q.target {
+// recordMissedTarget records in the limiter, once, that a query missed its target.
+func (e *Engine) recordMissedTarget(now clock.Milli, q *query) {
+	if !q.counted || q.targetMissed || now < q.target {
 		return
 	}
-	q.missed = true
-	e.recordOutcome(now, false)
+	q.targetMissed = true
+	e.feedLimiter(now, false)
 }
 
-// recordOutcome feeds a query's outcome to the limiter, and logs when the limit is
+// feedLimiter feeds a query's outcome to the limiter, and logs when the limit is
 // set or lifted.
-func (e *Engine) recordOutcome(now clock.Milli, inTime bool) {
+func (e *Engine) feedLimiter(now clock.Milli, inTime bool) {
 	l := &e.limiter
 	was := l.Active()
 	if inTime {
@@ -57,28 +57,29 @@
 	if l.Active() {
 		kind = NoteLimitSet
 	}
-	e.do(Note{
+	e.emit(Note{
 		Kind: kind, Cause: fmt.Sprintf("%.0f of 100 answers came too late of late", 100*l.LateRatio()),
 		Count: l.InFlight, Total: int(l.Limit()),
 	})
 }
 
-// schedule sets a query's next timer.
+// schedule sets a query's timer to the first of its deadline, its target, the hedges of
+// its shards and, if no leaf has been called, the end of its time in the queue.
 func (e *Engine) schedule(now clock.Milli, q *query) {
-	at := q.deadline
+	due := q.deadline
 	if q.target > now {
-		at = min(at, q.target)
+		due = min(due, q.target)
 	}
 	for _, s := range q.shards {
 		if s.settled() || s.queued || s.forward != nil {
 			continue
 		}
-		at = min(at, max(s.hedgeAt, now+1))
+		due = min(due, max(s.hedgeAt, now+1))
 	}
-	if !q.ran && q.unsent() {
-		at = min(at, max(e.queueDeadline(q), now+1))
+	if !q.maybeRan && q.unsent() {
+		due = min(due, max(e.queueDeadline(q), now+1))
 	}
-	e.setTimer(q, at)
+	e.setTimer(q, due)
 }
 
 // unsent reports whether no leaf has been called yet.
@@ -96,14 +97,15 @@
 	return q.arrived + clock.Milli(e.Policy.MaxWaitShare*float64(q.route.Target))
 }
 
-// queueTimedOut reports whether a request that got no leaf is refused. Parts of
-// another host's query are not: they are answered with the shards available in time,
-// while a refusal would have the same leaves called once more.
+// queueTimedOut reports whether a request has waited too long for its first leaf. Parts
+// of another host's query don't time out: they are answered with the shards available in
+// time, while after a refusal that host would call the same leaves again.
 func (e *Engine) queueTimedOut(now clock.Milli, q *query) bool {
 	return !q.forwarded && q.unsent() && now >= e.queueDeadline(q)
 }
 
-// sufficient reports whether the answered shards make an answer.
+// sufficient reports whether a query can be answered with the shards answered so far. A
+// part of another host's query always can.
 func (e *Engine) sufficient(q *query) bool {
 	if !q.route.Sharded() {
 		return q.answered == 1
@@ -114,26 +116,27 @@
 	return q.answered >= q.route.MinShards()
 }
 
-// settle ends a query that has nothing left to wait for.
-func (e *Engine) settle(now clock.Milli, q *query) {
-	if q.over {
+// tryFinish answers a query that has all its shards or, after its target, enough of them,
+// and refuses one that can't get enough. Otherwise the query continues.
+func (e *Engine) tryFinish(now clock.Milli, q *query) {
+	if q.ended {
 		return
 	}
-	open := len(q.shards) - q.answered - q.lost
+	pending := len(q.shards) - q.answered - q.abandoned
 	switch {
-	case open == 0 && e.sufficient(q):
+	case pending == 0 && e.sufficient(q):
 		e.answer(now, q)
 	case (now >= q.target || q.late && !q.forwarded && e.limiter.Active()) && e.sufficient(q):
 		// While the limiter refuses queries, the last shards of a late query aren't
 		// worth their load.
 		e.answer(now, q)
-	case !q.route.Sharded() && q.lost == 1, q.route.Sharded() && !q.forwarded && q.answered+open < q.route.MinShards():
+	case !q.route.Sharded() && q.abandoned == 1, q.route.Sharded() && !q.forwarded && q.answered+pending < q.route.MinShards():
 		e.refuse(now, q, e.failureReason(q), "too few shards can still answer")
 	}
 }
 
-// failureReason distinguishes a request that no leaf has run from one that may have
-// run.
+// failureReason returns NoLeaf for a request that no leaf has run, and Failed for one that
+// may have run.
 func (e *Engine) failureReason(q *query) Refusal {
 	if q.mayHaveRun() {
 		return Failed
@@ -143,7 +146,7 @@
 
 // mayHaveRun reports whether a leaf may have begun to run the request.
 func (q *query) mayHaveRun() bool {
-	if q.ran {
+	if q.maybeRan {
 		return true
 	}
 	for _, s := range q.shards {
@@ -154,6 +157,7 @@
 	return false
 }
 
+// answer answers a query with the shards answered so far, and closes it.
 func (e *Engine) answer(now clock.Milli, q *query) {
 	n := Note{
 		Kind: NoteAnswered, Request: q.request.ID, Query: q.id, Route: q.route.Name, Version: q.version,
@@ -165,7 +169,7 @@
 		a.Merged = &Merged{Parts: q.parts(), Missing: q.missingServices(), TopK: q.route.TopK}
 		if q.answered < len(q.shards) {
 			n.Kind = NotePartial
-			n.Missing = q.missing()
+			n.Missing = q.missingShards()
 		}
 	} else {
 		a.Reply = q.shards[0].reply
@@ -173,17 +177,19 @@
 		n.Cause = ""
 	}
 	if n.Late && n.Service == "" && q.lastAnswered != nil {
+		// The answer waited for this shard.
 		n.Service, n.Leaf = q.lastAnswered.service, q.lastAnswered.lastTarget
 	}
-	if q.counted && !q.missed {
-		e.recordOutcome(now, true)
+	if q.counted && !q.targetMissed {
+		e.feedLimiter(now, true)
 	}
-	e.do(a)
-	e.do(n)
-	e.close(now, q)
+	e.emit(a)
+	e.emit(n)
+	e.closeQuery(now, q)
 }
 
-// refuse ends a request without a leaf's reply.
+// refuse answers a request with a refusal, and closes it. If the time is up and no leaf
+// can have run the request, the reason becomes NoCapacity: its caller may retry.
 func (e *Engine) refuse(now clock.Milli, q *query, reason Refusal, cause string) {
 	if reason == Late && !q.mayHaveRun() {
 		reason = NoCapacity
@@ -191,14 +197,14 @@
 	n := Note{
 		Kind: NoteRefused, Request: q.request.ID, Query: q.id, Version: q.version,
 		Cause: reason.String() + ": " + cause, Refusal: reason, Took: now - q.arrived, Count: q.answered, Total: len(q.shards), Extra: q.extraCalls,
-		Missing: q.missing(), Forwarded: q.forwarded,
+		Missing: q.missingShards(), Forwarded: q.forwarded,
 	}
 	if q.route != nil {
 		n.Route = q.route.Name
 	}
-	e.do(Answer{Query: q.id, Refusal: reason, RetryAfter: e.retryAfter(now, q, reason)})
-	e.do(n)
-	e.close(now, q)
+	e.emit(Answer{Query: q.id, Refusal: reason, RetryAfter: e.retryAfter(now, q, reason)})
+	e.emit(n)
+	e.closeQuery(now, q)
 }
 
 // Times after which callers should retry, in ms.
@@ -213,9 +219,9 @@
 	startupWindow = clock.Second
 	// retryNoLeaf is about the time until a leaf is seen again.
 	retryNoLeaf clock.Milli = 300
-	// retryNoRoom is about one and a half targets: queries in flight have ended
+	// retryNoCapacity is about one and a half targets: queries in flight have ended
 	// by then, so that the retries don't meet the same overload.
-	retryNoRoom clock.Milli = 300
+	retryNoCapacity clock.Milli = 300
 	// retrySpreadMs is the width over which retries are spread, so that callers
 	// refused together don't retry together.
 	retrySpreadMs = 200
@@ -227,7 +233,8 @@
 	// randomness.
 	spread := clock.Milli(q.id*618%1000) * retrySpreadMs / 1000
 	if q.peerFull && (reason == Failed || reason == NoLeaf) {
-		return retryNoRoom + spread
+		// The refusal stems from the other host's lack of capacity.
+		return retryNoCapacity + spread
 	}
 	switch reason {
 	case NoConfig:
@@ -240,16 +247,16 @@
 	case NoLeaf:
 		return retryNoLeaf + spread
 	case NoCapacity:
-		return retryNoRoom + spread
+		return retryNoCapacity + spread
 	case Harmful:
 		return crash.ReportTTL
 	}
 	return spread
 }
 
-// close removes a request and orphans its remaining calls.
-func (e *Engine) close(now clock.Milli, q *query) {
-	q.over = true
+// closeQuery removes a request and orphans its calls and forwards in flight.
+func (e *Engine) closeQuery(now clock.Milli, q *query) {
+	q.ended = true
 	delete(e.queries, q.id)
 	if q.counted {
 		e.limiter.InFlight--
--- a/share/router/forward.go
+++ b/share/router/forward.go
@@ -7,25 +7,25 @@
 	"dandelionstile/share/clock"
 )
 
-// Each shard of a query that has no leaf in this host's failure domain would cross to
-// another domain or region. Such shards are forwarded together to a host there, which
+// Each shard of a query that has no leaf in this host's failure domain would need a call
+// to another domain or region. Such shards are forwarded together to a host there, which
 // calls the leaves over short round trips and returns one merged answer, instead of a
 // request and a reply for each shard over links that are billed by the byte.
 
 // forward is a part of a query that is forwarded to another host.
 type forward struct {
-	id     uint64
-	query  *query
-	peer   *peer
-	shards []*shard
-	sent   clock.Milli
-	orphan bool
-	over   bool
+	id       uint64
+	query    *query
+	peer     *peer
+	shards   []*shard
+	sent     clock.Milli
+	orphaned bool
+	ended    bool
 }
 
-// lateTargets is the number of targets that another host may take for parts of a
-// late query. With one, it returned the shards available by then, and queries that
-// lacked a few shards failed as a whole.
+// lateTargets is the time, in targets of the route, that another host may take for parts
+// of a late query. With one target, it returned the shards available by then, and queries
+// that lacked a few shards failed as a whole.
 const lateTargets = 3
 
 // forward sends shards of a query to another host.
@@ -46,17 +46,18 @@
 	if q.late {
 		due = min(now+lateTargets*q.route.Target, q.deadline)
 	}
-	e.do(Forward{
+	e.emit(Forward{
 		Call: r.id, Request: q.request, Address: p.Address, Version: q.version, Shards: names,
 		Target: due - now - clock.Milli(e.roundTrip(p)), Timeout: q.deadline - now, Late: q.late,
 	})
-	e.do(Note{Kind: NoteForwarded, Request: q.request.ID, Query: q.id, Leaf: p.Address, Version: q.version, Total: len(group)})
+	e.emit(Note{Kind: NoteForwarded, Request: q.request.ID, Query: q.id, Leaf: p.Address, Version: q.version, Total: len(group)})
 }
 
-// forwardDone handles the end of a forward.
-func (e *Engine) forwardDone(now clock.Milli, r *forward, d Done) {
+// endForward handles the end of a forward. It merges an answer; the shards of a forward
+// that failed are called from this host or abandoned.
+func (e *Engine) endForward(now clock.Milli, r *forward, d Done) {
 	delete(e.forwards, r.id)
-	r.over = true
+	r.ended = true
 	p, q := r.peer, r.query
 	for i, other := range p.inFlight {
 		if other == r {
@@ -65,7 +66,7 @@
 		}
 	}
 	e.recordForward(now, r, d)
-	if r.orphan {
+	if r.orphaned {
 		return
 	}
 	for _, s := range r.shards {
@@ -73,40 +74,43 @@
 	}
 	switch {
 	case d.Kind == call.Answered && d.Reply.Successful():
-		e.merge(now, r, d.Reply)
+		e.mergeAnswer(now, r, d.Reply)
 	case d.Refusal == NoCapacity:
-		// The other host knows the leaves there better than this one.
-		e.noteForwardFailed(now, r, d)
+		// That host has just found its leaves full, so they are not called from
+		// here either.
+		e.logForwardFailed(now, r, d)
 		q.peerFull = true
 		for _, s := range r.shards {
 			s.tries--
 			e.abandon(s, "the other host has no room")
 		}
 	case d.Kind.NotRun():
-		e.noteForwardFailed(now, r, d)
+		e.logForwardFailed(now, r, d)
 		for _, s := range r.shards {
 			s.tries--
+			// This host now makes the first call, so it earns the budget.
 			e.services[s.service].budget.Earn()
 			e.dispatch(now, s)
 		}
 	default:
-		q.ran = true
-		e.noteForwardFailed(now, r, d)
+		q.maybeRan = true
+		e.logForwardFailed(now, r, d)
 		e.fallBack(now, r, d)
 	}
-	e.settle(now, q)
-	if !q.over {
+	e.tryFinish(now, q)
+	if !q.ended {
 		e.schedule(now, q)
 	}
 }
 
-// merge takes the shards that another host's answer contains.
-func (e *Engine) merge(now clock.Milli, r *forward, reply *call.Reply) {
+// mergeAnswer applies another host's answer to the shards of a forward. Shards that the
+// answer lacks are retried from here as far as the query needs them, or abandoned.
+func (e *Engine) mergeAnswer(now clock.Milli, r *forward, reply *call.Reply) {
 	q := r.query
-	q.ran = true
-	if reply.Stamp != "" {
+	q.maybeRan = true
+	if reply.Stamp != "" { // the answer contains a leaf's reply
 		e.markProven(now, q)
-		q.merged = append(q.merged, reply)
+		q.peerAnswers = append(q.peerAnswers, reply)
 	}
 	missing := make(map[string]bool, len(reply.Missing))
 	for _, name := range reply.Missing {
@@ -122,11 +126,11 @@
 		q.answered++
 		q.lastAnswered = s
 	}
-	open := len(q.shards) - q.answered - q.lost - len(lacking)
-	need := q.route.MinShards() - q.answered - open
+	pending := len(q.shards) - q.answered - q.abandoned - len(lacking)
+	need := q.route.MinShards() - q.answered - pending
 	for _, s := range lacking {
 		s.cause = "the other host had no reply in time"
-		if need > 0 && e.retryHere(now, s) {
+		if need > 0 && e.retryLocally(now, s) {
 			need--
 			continue
 		}
@@ -134,33 +138,35 @@
 	}
 }
 
-// retryHere calls a leaf from this host for a shard that another host got no reply
-// for, at the expense of the budget. Without it, a query that lacks a few shards at
-// its target would fail, and its caller would ask for all shards once more.
-func (e *Engine) retryHere(now clock.Milli, s *shard) bool {
+// retryLocally calls a leaf from this host for a shard that another host got no reply
+// for, if the budget has a token, and reports whether the shard can still be answered.
+// Without it, a query that lacks a few shards at its target would fail, and its caller
+// would retry all shards.
+func (e *Engine) retryLocally(now clock.Milli, s *shard) bool {
 	if !e.canCall(s, false) || !e.services[s.service].budget.Spend() {
 		return false
 	}
 	s.query.extraCalls++
 	e.dispatch(now, s)
-	return !s.lost
+	return !s.abandoned
 }
 
-// fallBack calls leaves from this host for the shards of a failed forward. The other
-// host may have called one leaf for each shard; if it failed soon, it hasn't called a
-// second one, so that one more call stays within the route's attempts.
+// fallBack calls leaves from this host for the shards of a failed forward, or abandons
+// them. The other host may have called one leaf for each shard. If it failed before it
+// can have hedged, it hasn't called a second one, and one more call stays within the
+// route's attempts.
 func (e *Engine) fallBack(now clock.Milli, r *forward, d Done) {
 	early := now-r.sent < clock.Milli(e.roundTrip(r.peer))+minHedgeDelay
 	for _, s := range r.shards {
-		if early && e.retryHere(now, s) {
+		if early && e.retryLocally(now, s) {
 			continue
 		}
 		e.abandon(s, "the host it was handed to failed: "+d.Kind.String())
 	}
 }
 
-func (e *Engine) noteForwardFailed(now clock.Milli, r *forward, d Done) {
-	e.do(Note{
+func (e *Engine) logForwardFailed(now clock.Milli, r *forward, d Done) {
+	e.emit(Note{
 		Kind: NoteForwardFailed, Request: r.query.request.ID, Query: r.query.id, Leaf: r.peer.Address,
 		Cause: d.Kind.String() + ": " + d.Cause, Took: now - r.sent, Total: len(r.shards),
 	})
@@ -172,9 +178,9 @@
 
 // orphanForward lets a forward that is no longer needed run for forwardOrphanGrace.
 func (e *Engine) orphanForward(now clock.Milli, r *forward) {
-	if r.orphan || r.over {
+	if r.orphaned || r.ended {
 		return
 	}
-	r.orphan = true
+	r.orphaned = true
 	heap.Push(&e.timers, timer{at: now + forwardOrphanGrace, forward: r})
 }
--- a/share/router/forward_test.go
+++ b/share/router/forward_test.go
@@ -27,9 +27,9 @@
 	return r
 }
 
-// Half of a query's shards have leaves in another region only. They are forwarded in one
-// request to a host there, with their names, the configuration version and the target; its
-// answer is merged with the near replies.
+// Half of a query's shards have leaves in another region only. Called one by one, they would
+// take a round trip between regions each and cross billed links as often. They are forwarded
+// in one request to a host there, and its answer is merged with the near replies.
 func TestFarShardsAreForwardedTogether(t *testing.T) {
 	r := farRig(t)
 	q := r.arrive("/all/x", 1500)
@@ -50,9 +50,9 @@
 	assert.DeepEqual(t, m.Missing, []string{"s6"})
 }
 
-// The other host refuses a forward that it has not begun: it has an older configuration, or
-// shuts down. The shards' leaves are called from here.
-func TestForwardThatWasRefusedIsServedFromHere(t *testing.T) {
+// The other host refuses a forward that it has not begun, since it has an older configuration
+// or shuts down. The query must not fail for that: the leaves are called from here.
+func TestRefusedForwardIsServedLocally(t *testing.T) {
 	r := farRig(t)
 	q := r.arrive("/all/x", 1500)
 	r.handle(Done{Call: r.forwards[0].Call, Kind: call.Shed, Cause: "stale"})
@@ -77,17 +77,19 @@
 	r.handle(Done{Call: r.forwards[0].Call, Kind: call.Broken, Cause: "reset"})
 	assert.Equal(t, len(r.sends), sent)
 	assert.Equal(t, r.answers[q].Refusal, Failed)
-	assert.Assert(t, r.noted(NotePeerUnhealthy))
+	assert.Assert(t, r.logged(NotePeerUnhealthy))
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, len(r.forwards), 1)
 	assert.Equal(t, len(r.sends), sent+8)
 }
 
-// A host stalls with a forwarded part of a query. Further queries avoid it.
+// Part of a query is forwarded to a host that then hangs: it neither answers nor closes the
+// connection. Without a check, every further query would be forwarded to it and be late. Once
+// the answer is forwardGrace past its target, nothing more is forwarded to that host.
 func TestStalledHostIsAvoided(t *testing.T) {
 	r := farRig(t)
 	r.arrive("/all/x", 1500)
-	r.advance(250 + forwardGrace + 60)
+	r.advance(250 + forwardGrace + 60) // the route's target and the grace have passed
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, len(r.forwards), 1)
 }
@@ -112,8 +114,9 @@
 	assert.Equal(t, len(r.sends), 2)
 }
 
-// A forwarded part is answered at its target with the shards available: any shard is of use
-// to the host that answers the caller.
+// A forwarded part lacks two shards at its target. Waiting for them would make the whole query
+// late; refusing it would lose the shard that has replied, although any shard is of use to the
+// host that answers the caller.
 func TestForwardedPartIsAnsweredInTime(t *testing.T) {
 	r := newRig(t)
 	r.handle(Facts{Table: table(6, shardedRoute(4)), Leaves: leafPairs(4)})
@@ -129,8 +132,8 @@
 	assert.DeepEqual(t, m.Missing, []string{"s1", "s2"})
 }
 
-// A route is restricted to this region. Its shards are neither forwarded to a host in
-// another region nor called there.
+// A route is restricted to this region, and a shard has a leaf in another one only. Neither
+// a call nor a forward may take the request out of the region.
 func TestRegionsOfARouteAreKept(t *testing.T) {
 	r := newRig(t)
 	restricted := shardedRoute(2)
@@ -153,7 +156,7 @@
 	r := newRig(t)
 	r.handle(Facts{Table: table(6, shardedRoute(1)), Leaves: leafPairs(1)})
 	for _, f := range r.engine.leaves {
-		f.limit = 0
+		f.connLimit = 0
 	}
 	r.handle(Arrival{
 		Query: 1, Wait: 1000, Forwarded: true, Version: 6, Shards: []string{"s0"}, Target: 150,
@@ -169,7 +172,7 @@
 // Another host answers at the target and lacks shards that the query needs. They are called
 // from here, at the expense of the budget, so that the caller gets an answer and need not
 // retry all shards.
-func TestPartsThatAnotherHostLacksAreAskedForFromHere(t *testing.T) {
+func TestShardsMissingFromAForwardAreRetriedLocally(t *testing.T) {
 	r := newRig(t)
 	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: farLeaves(4)})
 	r.handle(Peers{List: []Peer{{Address: peerAddress, Domain: farDomain, Started: 1}}})
@@ -179,7 +182,7 @@
 	r.handle(Done{Call: r.forwards[0].Call, Kind: call.Answered, Reply: &call.Reply{
 		Status: 200, Stamp: "a, b", Missing: []string{"s2", "s3"},
 	}})
-	assert.Equal(t, len(r.sends), 1, "three of four shards are needed: %v", r.notes)
+	assert.Equal(t, len(r.sends), 1, "three of four shards are needed: %v", r.logs)
 	r.reply(r.last())
 	r.advance(1500)
 	assert.Assert(t, r.answers[q].Merged != nil, "%v", r.answers[q])
--- a/share/router/hedge.go
+++ b/share/router/hedge.go
@@ -14,11 +14,12 @@
 	}
 }
 
-// hedgePause is the pause after an attempt to hedge failed.
-const hedgePause clock.Milli = 20
+// hedgeRetryInterval is the time until another attempt to hedge after one that made no
+// call.
+const hedgeRetryInterval clock.Milli = 20
 
-// abandonHopeless abandons a shard that has failed and that no leaf can answer in
-// time any more.
+// abandonHopeless abandons a shard that has no call in flight if its target has passed,
+// the budget is empty, or no leaf can take another call.
 func (e *Engine) abandonHopeless(now clock.Milli, s *shard) {
 	if s.pending() > 0 || s.queued || s.settled() {
 		return
@@ -29,10 +30,12 @@
 	}
 }
 
-// hedge calls a second leaf for a shard.
+// hedge calls a second leaf for a shard: a hedge beside a call in flight, or a retry
+// after a failed one. It makes no call, and sets when to try again, if the route's
+// attempts are used up, no free leaf can answer in time, or the budget is empty.
 func (e *Engine) hedge(now clock.Milli, s *shard) {
 	q := s.query
-	s.hedgeAt = now + hedgePause
+	s.hedgeAt = now + hedgeRetryInterval
 	if q.late && s.pending() > 0 && now < q.target {
 		// The query is late already: it is hedged only where it can't be answered
 		// without the shard.
@@ -57,7 +60,7 @@
 	}
 	svc := e.services[s.service]
 	if !svc.budget.Spend() {
-		e.noteWithheld(now, s, "budget of second calls is empty")
+		e.logWithheld(now, s, "budget of second calls is empty")
 		return
 	}
 	kind, cause := NoteHedged, "no reply yet"
@@ -67,7 +70,7 @@
 	age := now - s.sentAt
 	q.extraCalls++
 	e.send(now, s, f)
-	e.do(Note{
+	e.emit(Note{
 		Kind: kind, Request: q.request.ID, Query: q.id, Service: s.service, Leaf: f.ID,
 		Cause: cause, Took: age, BudgetLeft: svc.budget.Tokens,
 	})
--- a/share/router/late_test.go
+++ b/share/router/late_test.go
@@ -13,9 +13,9 @@
 // sinceFirstAttempt returns the estimated time since the first attempt of the request that
 // was admitted last.
 func (r *rig) sinceFirstAttempt() clock.Milli {
-	for i := len(r.notes) - 1; i >= 0; i-- {
-		if r.notes[i].Kind == NoteAdmitted {
-			return r.notes[i].SinceFirstAttempt
+	for i := len(r.logs) - 1; i >= 0; i-- {
+		if r.logs[i].Kind == NoteAdmitted {
+			return r.logs[i].SinceFirstAttempt
 		}
 	}
 	r.t.Fatal("no request was admitted")
@@ -49,8 +49,8 @@
 }
 
 // Two of three callers open a connection for each request and name a few ms less than
-// their wait. Theirs must not be taken for a full wait: their answers would leave a round
-// trip too late.
+// their wait. If that were taken for the full wait, their answers would leave a round trip
+// too late.
 func TestFirstRequestsOnConnectionsDoNotCountAsFull(t *testing.T) {
 	r := newRig(t)
 	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
@@ -63,12 +63,12 @@
 		r.reply(r.last())
 	}
 	r.arrive("/all/x", 1493)
-	assert.Equal(t, r.sinceFirstAttempt(), clock.Milli(7))
+	assert.Equal(t, r.sinceFirstAttempt(), clock.Milli(7)) // 1500 - 1493
 }
 
 // Another host forwards parts of queries with their remaining time. That is no caller's wait
 // and must not change the estimate.
-func TestForwardedPartsDoNotTeachWaits(t *testing.T) {
+func TestForwardedPartsDoNotChangeWaitEstimates(t *testing.T) {
 	r := newRig(t)
 	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
 	for range 80 {
@@ -80,7 +80,7 @@
 		r.reply(r.last())
 	}
 	r.arrive("/all/x", 1100)
-	assert.Equal(t, r.sinceFirstAttempt(), clock.Milli(400))
+	assert.Equal(t, r.sinceFirstAttempt(), clock.Milli(400)) // 1500 - 1100
 }
 
 // Late queries arrive while others can still be answered in time. A late query adds no
@@ -110,7 +110,7 @@
 	r := newRig(t)
 	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
 	r.arrive("/all/late", 400)
-	r.advance(245)
+	r.advance(245) // the new target is the route's 250 ms after the arrival
 	assert.Equal(t, len(r.sends), 1)
 	r.advance(50)
 	assert.Equal(t, len(r.sends), 2)
--- a/share/router/leaf.go
+++ b/share/router/leaf.go
@@ -15,18 +15,18 @@
 	leaf  *leaf
 	shard *shard
 	sent  clock.Milli
-	// orphan calls belong to a request that no longer needs them.
-	orphan bool
-	over   bool
+	// orphaned calls belong to a request or shard that no longer needs them.
+	orphaned bool
+	ended    bool
 }
 
 // leaf is this host's state of one leaf.
 type leaf struct {
 	roster.Leaf
 	region string
-	// limit is the number of connections that this host may use.
-	limit    int
-	inFlight []*attempt // calls in flight, oldest first
+	// connLimit is the number of connections that this host may use.
+	connLimit int
+	inFlight  []*attempt // calls in flight, oldest first
 	// latency and deviation are the smoothed reply time and its mean deviation, in
 	// ms; latencyAt is when they were last updated.
 	latency, deviation float64
@@ -40,16 +40,16 @@
 	probeAt     clock.Milli
 	// connCheckAt is when a broken call may next trigger a connection check.
 	connCheckAt clock.Milli
-	// relapses counts how often in a row the leaf became unhealthy again soon
-	// after a successful health check.
-	relapses      int
+	// flaps counts how often in a row the leaf became unhealthy again soon after a
+	// successful probe.
+	flaps         int
 	recoveredAt   clock.Milli
 	coldUntil     clock.Milli
 	warmupLimiter warmup.Limiter
 	removed       bool
-	// hosts is the number of hosts that would share the leaf if each took as large
+	// sharers is the number of hosts that would share the leaf if each took as large
 	// a part as this one.
-	hosts      float64
+	sharers    float64
 	lastReport report.LastReport
 	// calledAt is when the last call from this host ended.
 	calledAt clock.Milli
@@ -70,21 +70,22 @@
 	// failureHalfLifeMs is the time in ms in which the failure rate of a leaf
 	// without calls halves.
 	failureHalfLifeMs = 1500.0
-	// unhealthyAfter is the number of consecutive calls without a sign of life
-	// that make a leaf unhealthy; a single one may be a lost reply. A leaf that
-	// breaks connections it has accepted is alive, and its failures are weighed by
+	// unhealthyAfter is the number of consecutive calls without any reply that make
+	// a leaf unhealthy; a single one may be a lost reply. A leaf that breaks
+	// connections it has accepted is alive, and its failures are weighed by
 	// failureCostMs: if they counted like silence, all leaves that lose some of
 	// their replies would be unhealthy at times, and queries would be refused for
-	// want of a leaf.
+	// lack of a leaf.
 	unhealthyAfter = 2
-	// brokenAfter is the number of consecutive broken connections that do.
+	// brokenAfter is the number of consecutive broken connections that make a leaf
+	// unhealthy.
 	brokenAfter = 6
-	// probeInterval is the pause between two probes of an unhealthy leaf. It
-	// doubles, up to eight times the value, while the leaf passes its health check
-	// and its calls fail again within relapseWindow.
+	// probeInterval is the time between two probes of an unhealthy leaf. It doubles,
+	// up to maxProbeDoublings times, while the leaf passes its probes and its calls
+	// fail again within flapWindow.
 	probeInterval     clock.Milli = 500
 	maxProbeDoublings             = 3
-	relapseWindow                 = 3 * clock.Second
+	flapWindow                    = 3 * clock.Second
 	// probeTimeout is when an unanswered probe counts as failed.
 	probeTimeout = 2 * clock.Second
 )
@@ -113,7 +114,7 @@
 // of many hosts rarely calls a given leaf; if each tried a slow leaf again as soon as
 // one of few hosts does, together they would try it at every call.
 func (f *leaf) decayFactor() float64 {
-	return min(max(1, f.hosts/baseHosts), maxDecayFactor)
+	return min(max(1, f.sharers/baseHosts), maxDecayFactor)
 }
 
 // observe updates the latency with a reply time.
@@ -145,6 +146,7 @@
 
 func (f *leaf) addCall(a *attempt) { f.inFlight = append(f.inFlight, a) }
 
+// removeCall removes a call that has ended.
 func (f *leaf) removeCall(a *attempt) {
 	for i, c := range f.inFlight {
 		if c == a {
@@ -154,48 +156,52 @@
 	}
 }
 
-// recordFailure records a call without a proper reply; limit is the number of
-// consecutive failures that make the leaf unhealthy.
-func (f *leaf) recordFailure(now clock.Milli, limit int) (becameUnhealthy bool) {
-	f.recordOutcome(now, 1)
+// recordFailure records a call without a proper reply and reports whether it made the
+// leaf unhealthy: threshold is the number of consecutive failures that do.
+func (f *leaf) recordFailure(now clock.Milli, threshold int) (becameUnhealthy bool) {
+	f.updateFailureRatio(now, 1)
 	f.failedInRow++
-	if f.unhealthy || f.failedInRow < limit {
+	if f.unhealthy || f.failedInRow < threshold {
 		return false
 	}
 	f.unhealthy = true
-	if f.recoveredAt != 0 && now-f.recoveredAt < relapseWindow {
-		f.relapses = min(f.relapses+1, maxProbeDoublings)
+	if f.recoveredAt != 0 && now-f.recoveredAt < flapWindow {
+		f.flaps = min(f.flaps+1, maxProbeDoublings)
 	} else {
-		f.relapses = 0
+		f.flaps = 0
 	}
-	f.probeAt = now + f.probePause()
+	f.probeAt = now + f.probeDelay()
 	return true
 }
 
-func (f *leaf) probePause() clock.Milli { return probeInterval << f.relapses }
+// probeDelay returns the time until the next probe: probeInterval, doubled for each time
+// in a row that the leaf failed again after a successful probe.
+func (f *leaf) probeDelay() clock.Milli { return probeInterval << f.flaps }
 
-// markHealthy marks an unhealthy leaf as healthy after a successful probe.
+// markHealthy marks an unhealthy leaf as healthy after a successful probe. The time
+// counts for flapWindow.
 func (f *leaf) markHealthy(now clock.Milli) {
 	f.unhealthy = false
 	f.failedInRow = 0
 	f.recoveredAt = now
 }
 
-// recordOutcome updates the failure rate with a call: 1 for a failure, 0 for a reply.
-func (f *leaf) recordOutcome(now clock.Milli, outcome float64) {
+// updateFailureRatio updates the smoothed failure ratio with a call's outcome: 1 for a
+// failure, 0 for a reply.
+func (f *leaf) updateFailureRatio(now clock.Milli, outcome float64) {
 	f.failureRatio = f.currentFailureRatio(now) + (outcome-f.currentFailureRatio(now))*failureGain
 	f.failureRatioAt = now
 }
 
 // currentFailureRatio returns the expected share of failed calls. It decays while the leaf
-// gets none, so that the leaf is tried again.
+// gets no calls, so that the leaf is tried again.
 func (f *leaf) currentFailureRatio(now clock.Milli) float64 {
 	return f.failureRatio * math.Exp2(-float64(now-f.failureRatioAt)/(failureHalfLifeMs*f.decayFactor()))
 }
 
-// recordReply records a proper reply.
+// recordReply records a proper reply and reports whether it made the leaf healthy.
 func (f *leaf) recordReply(now clock.Milli) (becameHealthy bool) {
-	f.recordOutcome(now, 0)
+	f.updateFailureRatio(now, 0)
 	f.failedInRow = 0
 	was := f.unhealthy
 	f.unhealthy = false
--- a/share/router/names_test.go
+++ b/share/router/leaflog_test.go
@@ -16,7 +16,7 @@
 	first := []roster.Leaf{leafOf("s0", "s0-near", nearDomain)}
 	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: first})
 	count := func(kind NoteKind) (lines, leaves int) {
-		for _, n := range r.notes {
+		for _, n := range r.logs {
 			if n.Kind == kind {
 				lines++
 				leaves += n.Total
--- a/share/router/limit_test.go
+++ b/share/router/limit_test.go
@@ -26,14 +26,15 @@
 	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
 	r.engine.limiter = saturatedLimiter(20)
 	first := r.arrive("/all/x", 1500)
-	retry := r.arrive("/all/x", 1200-retryNoRoom)
+	// A retry waits for less than the callers' full 1500 ms.
+	retry := r.arrive("/all/x", 1200-retryNoCapacity)
 	for _, q := range []uint64{first, retry} {
 		assert.Equal(t, r.answers[q].Refusal, NoCapacity)
-		assert.Assert(t, r.answers[q].RetryAfter >= retryNoRoom)
+		assert.Assert(t, r.answers[q].RetryAfter >= retryNoCapacity)
 	}
 	assert.Equal(t, len(r.sends), 0)
 	r.engine.limiter.InFlight = 0
-	r.arrive("/all/x", 1200-retryNoRoom)
+	r.arrive("/all/x", 1200-retryNoCapacity)
 	assert.Equal(t, len(r.sends), 4)
 }
 
@@ -52,7 +53,7 @@
 			r.reply(s)
 		}
 	}
-	assert.Assert(t, r.noted(NoteLimitSet), "%v", r.notes)
+	assert.Assert(t, r.logged(NoteLimitSet), "%v", r.logs)
 	for range 200 {
 		sent := len(r.sends)
 		r.arrive("/all/x", 1500)
@@ -60,7 +61,7 @@
 			r.reply(s)
 		}
 	}
-	assert.Assert(t, r.noted(NoteLimitLifted))
+	assert.Assert(t, r.logged(NoteLimitLifted))
 }
 
 // A host whose limiter refuses queries gets shards of a late query that another host has
--- a/share/router/overload.go
+++ b/share/router/overload.go
@@ -9,7 +9,7 @@
 //
 // Three rules follow. A slow leaf gets few calls at a time, so that these are in time.
 // A query whose weak shards cannot be in time is refused on arrival, before a leaf is
-// called. And while that happens, all hosts refuse the same queries, by consistent
+// called. While queries are refused, all hosts refuse the same ones, by consistent
 // sampling: those whose sample, a hash of the request, is below the refused share.
 
 // shedder holds the share of a route's queries that is refused by sampling. The zero
@@ -28,8 +28,10 @@
 	shedRelax = 2.5
 )
 
-// admits decides on a query by its sample and its prospect.
-func (l *shedder) admits(now clock.Milli, sample float64, p prospect) bool {
+// admit reports whether to admit a query, and adapts the refused share: it falls with
+// time while queries would be in time with ample slack, and rises with each unservable
+// query that isn't refused by its sample.
+func (l *shedder) admit(now clock.Milli, sample float64, p prospect) bool {
 	since := min(now-l.updatedAt, clock.Second)
 	l.updatedAt = now
 	if p == ample {
@@ -76,14 +78,15 @@
 // slowCallLimit is the number of calls of this host that a slow leaf gets at a time.
 const slowCallLimit = 1
 
-// slow reports whether a leaf is slow for a query's route.
+// slow reports whether a leaf is slow for a query's route. It is false for every leaf
+// unless the route is sharded and this host's failure domain uses aggregators.
 func (e *Engine) slow(now clock.Milli, f *leaf, q *query) bool {
-	return q.route.Sharded() && q.route.Target > 0 && e.tieredIn(e.Self.Domain) && f.expected(now, e.typicalLatency(f)) > slowShare*float64(q.route.Target)
+	return q.route.Sharded() && q.route.Target > 0 && e.usesAggregators(e.Self.Domain) && f.expected(now, e.typicalLatency(f)) > slowShare*float64(q.route.Target)
 }
 
-// expectedAnswer returns when a shard is expected to be answered if it were requested
-// now, behind the shards that wait before it; false if no leaf can be called.
-func (e *Engine) expectedAnswer(now clock.Milli, s *shard) (clock.Milli, bool) {
+// expectedAnswerAt returns when a shard is expected to be answered if it were requested
+// now, after the shards that precede it in the queue; false if no leaf can be called.
+func (e *Engine) expectedAnswerAt(now clock.Milli, s *shard) (clock.Milli, bool) {
 	svc := e.services[s.service]
 	ahead := 0
 	for _, o := range svc.queue {
@@ -106,6 +109,7 @@
 			took = min(took, e.typicalLatency(f))
 		}
 		if len(f.inFlight) >= limit {
+			// The shards before it are served first, up to limit at a time.
 			took += took * float64(1+ahead) / float64(limit)
 		}
 		if !found || took < best {
@@ -115,14 +119,14 @@
 	return now + clock.Milli(best), found
 }
 
-// prospect reports whether enough of the shards that are requested from here can be
-// in time.
+// prospect returns a query's expected chance of an answer in time, from the shards that
+// are requested from here and the number of shards that the answer may lack.
 func (e *Engine) prospect(now clock.Milli, q *query, local []*shard) prospect {
 	late, slow := 0, 0
 	soon := now + clock.Milli(ampleShare*float64(q.target-now))
 	latest := now + clock.Milli(unservableShare*float64(q.target-now))
 	for _, s := range local {
-		at, ok := e.expectedAnswer(now, s)
+		at, ok := e.expectedAnswerAt(now, s)
 		switch {
 		case !ok || at > latest:
 			late++
@@ -139,9 +143,10 @@
 	return ample
 }
 
-// acceptsQuery reports whether a query over shards is admitted by its prospect.
-func (e *Engine) acceptsQuery(now clock.Milli, q *query, local []*shard) bool {
-	if !q.route.Sharded() || len(local) == 0 || !e.tieredIn(e.Self.Domain) {
+// admitBySampling reports whether a query over shards is admitted, by its prospect and
+// its sample. A late query is admitted only while no query is refused.
+func (e *Engine) admitBySampling(now clock.Milli, q *query, local []*shard) bool {
+	if !q.route.Sharded() || len(local) == 0 || !e.usesAggregators(e.Self.Domain) {
 		return true
 	}
 	l := e.shedders[q.route.Name]
@@ -154,5 +159,5 @@
 		// It would take capacity from queries that can be in time.
 		return l.refusedShare == 0 && p == ample
 	}
-	return l.admits(now, q.sample, p)
+	return l.admit(now, q.sample, p)
 }
--- a/share/router/peer.go
+++ b/share/router/peer.go
@@ -17,9 +17,10 @@
 	inFlight  []*forward
 	// rank orders the aggregators of a failure domain, differently on each host.
 	rank uint64
-	// pausedUntil is the end of the pause after a failure, and pause its length.
-	pausedUntil clock.Milli
-	pause       clock.Milli
+	// backoffUntil is when the host may get forwards again after a failure, and
+	// backoff the length of that time.
+	backoffUntil clock.Milli
+	backoff      clock.Milli
 }
 
 const (
@@ -28,9 +29,9 @@
 	defaultFarRoundTripMs  = 45.0
 	defaultNearRoundTripMs = 5.0
 	roundTripGain          = 1.0 / 8
-	// minPeerPause and maxPeerPause bound the pause after a failed forward.
-	minPeerPause = clock.Second
-	maxPeerPause = 8 * clock.Second
+	// minPeerBackoff and maxPeerBackoff bound the backoff after failed forwards.
+	minPeerBackoff = clock.Second
+	maxPeerBackoff = 8 * clock.Second
 	// forwardGrace is how long past its target a forwarded answer may be before
 	// its host gets no further requests.
 	forwardGrace clock.Milli = 60
@@ -41,7 +42,8 @@
 	minForwardTime clock.Milli = 30
 )
 
-// setPeers replaces the list of other hosts.
+// setPeers replaces the list of other hosts, and recomputes what depends on it. The state
+// of a host is kept unless it has restarted.
 func (e *Engine) setPeers(now clock.Milli, list []Peer) {
 	known := e.peers
 	e.peers = make(map[string]*peer, len(list))
@@ -61,16 +63,17 @@
 	e.setAggregators()
 	e.preconnect(known)
 	hosts := max(e.Policy.MinHosts, len(list)+1)
-	if claims := e.canClaim(now); hosts != e.hosts || claims != e.claimsShare || e.tiered() {
+	// With aggregators, the shares also depend on the number of hosts in each domain.
+	if claims := e.canClaim(now); hosts != e.hosts || claims != e.claimsShare || e.anyUsesAggregators() {
 		e.hosts, e.claimsShare = hosts, claims
 		e.updateShares(now)
 	}
 	if len(known) != len(list) {
-		e.do(Note{Kind: NotePeers, Count: len(list), Total: hosts})
+		e.emit(Note{Kind: NotePeers, Count: len(list), Total: hosts})
 	}
 }
 
-// preconnect opens connections to the hosts that are used first.
+// preconnect opens connections to the hosts that are new and get forwards first.
 func (e *Engine) preconnect(known map[string]*peer) {
 	for domain, peers := range e.peersByDomain {
 		if domain == e.Self.Domain && e.aggregator {
@@ -78,15 +81,15 @@
 		}
 		for _, p := range peers[:min(len(peers), e.Policy.Aggregators)] {
 			if known[p.Address] == nil {
-				e.do(Preconnect{Address: p.Address})
+				e.emit(Preconnect{Address: p.Address})
 			}
 		}
 	}
 }
 
-// split divides a query's shards into those requested from here and those forwarded
+// splitShards divides a query's shards into those requested from here and those forwarded
 // to other hosts.
-func (e *Engine) split(now clock.Milli, q *query) (local []*shard, remote []forwardGroup) {
+func (e *Engine) splitShards(now clock.Milli, q *query) (local []*shard, remote []forwardGroup) {
 	if !q.route.Sharded() || len(e.peers) == 0 {
 		return q.shards, nil
 	}
@@ -104,7 +107,7 @@
 	}
 	for _, domain := range sortedKeys(near) {
 		group := near[domain]
-		p := e.forwardPeerIn(now, q, domain)
+		p := e.selectPeerIn(now, q, domain)
 		if p == nil || len(group) < minForwardShards {
 			local = append(local, group...)
 			continue
@@ -112,7 +115,7 @@
 		remote = append(remote, forwardGroup{p, group})
 	}
 	for len(far) >= minForwardShards {
-		p, group, other := e.forwardPeer(now, q, far)
+		p, group, other := e.selectFarPeer(now, q, far)
 		if p == nil {
 			break
 		}
@@ -122,9 +125,9 @@
 	return append(local, far...), remote
 }
 
-// splitByDomain forwards shards for a region to one host in each failure domain that
-// has leaves of them and where only aggregators call the leaves; the rest goes to
-// one host.
+// splitByDomain divides shards that have leaves in p's region into groups to forward: one
+// to a host in each failure domain that has leaves of them and uses aggregators, and the
+// rest to p.
 func (e *Engine) splitByDomain(now clock.Milli, q *query, p *peer, group []*shard) []forwardGroup {
 	domains := map[string][]*shard{}
 	for _, s := range group {
@@ -135,8 +138,8 @@
 	delete(domains, p.Domain)
 	var list []forwardGroup
 	for _, domain := range sortedKeys(domains) {
-		other := e.forwardPeerIn(now, q, domain)
-		if other == nil || !e.tieredIn(domain) || len(domains[domain]) < minForwardShards {
+		other := e.selectPeerIn(now, q, domain)
+		if other == nil || !e.usesAggregators(domain) || len(domains[domain]) < minForwardShards {
 			rest.shards = append(rest.shards, domains[domain]...)
 			continue
 		}
@@ -149,7 +152,7 @@
 }
 
 // leafDomain returns the failure domain of a shard's healthy leaf in a host's region,
-// preferably the host's own.
+// preferably the host's own, which is also returned if there is none.
 func (e *Engine) leafDomain(s *shard, p *peer) string {
 	found := p.Domain
 	for _, f := range e.services[s.service].leaves {
@@ -180,7 +183,7 @@
 }
 
 // nearestDomain returns the failure domain in this region that has a healthy leaf for
-// a shard, preferably the own one; empty if there is none.
+// a shard, preferably this host's own; "" if there is none.
 func (e *Engine) nearestDomain(s *shard) string {
 	found := ""
 	for _, f := range e.services[s.service].leaves {
@@ -207,36 +210,38 @@
 	return false
 }
 
-// forwardPeerIn returns the host of a failure domain that shards are forwarded to.
-func (e *Engine) forwardPeerIn(now clock.Milli, q *query, domain string) *peer {
+// selectPeerIn chooses the host of a failure domain that shards are forwarded to, by round
+// trip and load among the first available ones; nil if none can answer in time.
+func (e *Engine) selectPeerIn(now clock.Milli, q *query, domain string) *peer {
 	var best *peer
 	var cost float64
-	seen := 0
+	candidates := 0
 	for _, p := range e.peersByDomain[domain] {
-		if p.Suspected || now < p.pausedUntil || e.hasOverdueForward(now, p) || q.target-now < clock.Milli(e.roundTrip(p))+minForwardTime {
+		if p.Suspected || now < p.backoffUntil || e.hasOverdueForward(now, p) || q.target-now < clock.Milli(e.roundTrip(p))+minForwardTime {
 			continue
 		}
 		c := e.roundTrip(p) + float64(len(p.inFlight))*forwardCostMs
 		if best == nil || c < cost {
 			best, cost = p, c
 		}
-		if seen++; seen == e.Policy.Aggregators {
+		if candidates++; candidates == e.Policy.Aggregators {
 			break
 		}
 	}
 	return best
 }
 
-// forwardPeer chooses a host in another region for shards that have no leaf in this
-// one, and splits them into those that have a leaf in its region and the others.
-func (e *Engine) forwardPeer(now clock.Milli, q *query, far []*shard) (best *peer, group, other []*shard) {
+// selectFarPeer chooses a host in another region for shards that have no leaf in this
+// one, and splits them into those that have a leaf in its region and the others. It
+// returns no host if none has leaves for minForwardShards of them.
+func (e *Engine) selectFarPeer(now clock.Milli, q *query, far []*shard) (best *peer, group, other []*shard) {
 	var cost float64
 	for domain := range e.peersByDomain {
 		region := e.Regions[domain]
 		if region == e.Self.Region || !q.route.Allows(region) {
 			continue
 		}
-		p := e.forwardPeerIn(now, q, domain)
+		p := e.selectPeerIn(now, q, domain)
 		if p == nil {
 			continue
 		}
@@ -275,7 +280,7 @@
 	regionBonusMs = 30.0
 )
 
-// roundTrip returns the round trip to a host in ms.
+// roundTrip returns the round trip to a host in ms, or a default until it is measured.
 func (e *Engine) roundTrip(p *peer) float64 {
 	switch {
 	case p.roundTrip > 0:
@@ -286,21 +291,21 @@
 	return defaultFarRoundTripMs
 }
 
-// hasOverdueForward reports whether a host has not answered in time: it has stalled
-// or is unreachable.
+// hasOverdueForward reports whether a host's oldest forward is past its target by more
+// than forwardGrace: the host has stalled or is unreachable.
 func (e *Engine) hasOverdueForward(now clock.Milli, p *peer) bool {
 	return len(p.inFlight) > 0 && now > p.inFlight[0].query.target+forwardGrace
 }
 
-// recordForward updates a host's state with the outcome of a forward.
+// recordForward updates a host's round trip and backoff with the outcome of a forward.
 func (e *Engine) recordForward(now clock.Milli, r *forward, d Done) {
 	p := r.peer
 	if d.Refusal == NoCapacity {
-		p.pause = 0 // its leaves have no capacity; the host is healthy
+		p.backoff = 0 // its leaves have no capacity; the host is healthy
 		return
 	}
 	if d.Kind == call.Answered {
-		p.pause = 0
+		p.backoff = 0
 		roundTrip := float64(now - r.sent - d.ProcessingTime)
 		if d.ProcessingTime > 0 && roundTrip > 0 {
 			if p.roundTrip == 0 {
@@ -314,7 +319,7 @@
 	if gaveUp && now < r.query.target+forwardGrace {
 		return // the caller disconnected
 	}
-	p.pause = min(max(minPeerPause, 2*p.pause), maxPeerPause)
-	p.pausedUntil = now + p.pause
-	e.do(Note{Kind: NotePeerUnhealthy, Leaf: p.Address, Cause: d.Kind.String() + ": " + d.Cause, Took: now - r.sent})
+	p.backoff = min(max(minPeerBackoff, 2*p.backoff), maxPeerBackoff)
+	p.backoffUntil = now + p.backoff
+	e.emit(Note{Kind: NotePeerUnhealthy, Leaf: p.Address, Cause: d.Kind.String() + ": " + d.Cause, Took: now - r.sent})
 }
--- a/share/router/policy.go
+++ b/share/router/policy.go
@@ -8,7 +8,7 @@
 	// service earns.
 	BudgetRatio float64
 	// BudgetReserve is the number of hedges and retries to one service that all
-	// hosts together may save up.
+	// hosts together may save up: the sum of their budgets' capacities.
 	BudgetReserve float64
 	// Margin is how long before its target, less the round trip to the caller, an
 	// answer leaves, in ms: the processing time of this process and of the caller.
--- a/share/router/query.go
+++ b/share/router/query.go
@@ -26,18 +26,20 @@
 	// late queries arrived after their route's target. Their answer is still of
 	// use, but answering sooner gains them nothing, while their load can make
 	// queries late that can still be in time.
-	late           bool
-	shards         []*shard
-	answered, lost int
+	late   bool
+	shards []*shard
+	// answered and abandoned count the settled shards.
+	answered, abandoned int
 	// lastAnswered is the shard that was answered last.
 	lastAnswered *shard
 	extraCalls   int
 	// withheld is set once a hedge or retry was withheld, which is logged once.
 	withheld bool
-	timerAt  clock.Milli
-	// ran is set once a leaf may have begun to run the request.
-	ran  bool
-	over bool
+	// timerAt is when the query is checked next; 0 if no check is scheduled.
+	timerAt clock.Milli
+	// maybeRan is set once a leaf may have begun to run the request.
+	maybeRan bool
+	ended    bool
 	// peerFull is set once another host had no capacity for a part of the query.
 	peerFull bool
 	// forwarded queries are parts of another host's query; an answer with any of
@@ -45,10 +47,10 @@
 	forwarded bool
 	// counted queries count towards the limiter's limit.
 	counted bool
-	// missed is set once the target has passed without an answer.
-	missed bool
-	// merged are the answers of other hosts for parts of the query.
-	merged []*call.Reply
+	// targetMissed is set once the limiter has counted the query as late.
+	targetMissed bool
+	// peerAnswers are the answers of other hosts to parts of the query.
+	peerAnswers []*call.Reply
 }
 
 // shard is one part of a query.
@@ -62,16 +64,18 @@
 	reply    *call.Reply
 	forward  *forward
 	// tries counts the calls that may have run.
-	tries  int
-	lost   bool
-	queued bool
+	tries int
+	// abandoned is set once the query does without the shard.
+	abandoned bool
+	queued    bool
 	// sentAt is when the last call was sent, hedgeAt when another leaf is called.
 	sentAt, hedgeAt clock.Milli
 	cause           string
 	lastTarget      string // the leaf or host called last
 }
 
-func (s *shard) settled() bool { return s.answered || s.lost }
+// settled reports whether nothing more is done for the shard.
+func (s *shard) settled() bool { return s.answered || s.abandoned }
 
 // tried reports whether a leaf has been called for this shard.
 func (s *shard) tried(f *leaf) bool {
@@ -83,22 +87,22 @@
 	return false
 }
 
-// pending returns the number of the shard's calls in flight.
+// pending returns the number of the shard's calls in flight, with its forward.
 func (s *shard) pending() int {
 	n := 0
 	if s.forward != nil {
 		n++
 	}
 	for _, a := range s.calls {
-		if !a.over {
+		if !a.ended {
 			n++
 		}
 	}
 	return n
 }
 
-// missing returns the shards that an answer lacks, with causes.
-func (q *query) missing() []MissingShard {
+// missingShards returns the shards that an answer lacks, with causes.
+func (q *query) missingShards() []MissingShard {
 	var list []MissingShard
 	for _, s := range q.shards {
 		if !s.answered {
@@ -119,6 +123,7 @@
 	return list
 }
 
+// missingCause returns why an answer lacks the shard, for the log.
 func (s *shard) missingCause() string {
 	switch {
 	case s.cause != "" && s.pending() == 0:
@@ -137,9 +142,9 @@
 	return !s.settled() && !s.queued && s.forward == nil && now >= s.hedgeAt
 }
 
-// parts returns the replies received.
+// parts returns the replies of leaves and the answers of other hosts.
 func (q *query) parts() []*call.Reply {
-	list := append(make([]*call.Reply, 0, q.answered), q.merged...)
+	list := append(make([]*call.Reply, 0, q.answered), q.peerAnswers...)
 	for _, s := range q.shards {
 		if s.reply != nil {
 			list = append(list, s.reply)
@@ -162,7 +167,7 @@
 	// maxVotes bounds how long it takes to learn a changed value.
 	maxVotes = 50
 	// initialVotes is the weight of a route's timeout as its callers' wait until
-	// they have named one. After all hosts return at once, the first requests,
+	// they have named one. When all hosts restart together, the first requests,
 	// about twenty per host and route, are retries; without an initial value the
 	// first of them would count as a full wait and all others as being in time.
 	initialVotes = 25
@@ -179,6 +184,7 @@
 	return &waitEstimate{value: timeout, votes: initialVotes}
 }
 
+// learn updates the estimate with the wait that a request names.
 func (w *waitEstimate) learn(wait clock.Milli) {
 	switch {
 	case w.votes <= 0:
@@ -192,8 +198,9 @@
 	}
 }
 
-// elapsed returns how long ago the first attempt of a caller began.
-func (w *waitEstimate) elapsed(wait clock.Milli) clock.Milli {
+// sinceFirstAttempt returns how long ago the first attempt of a caller began that will
+// wait that long from now.
+func (w *waitEstimate) sinceFirstAttempt(wait clock.Milli) clock.Milli {
 	if wait <= 0 || wait >= w.value {
 		return 0
 	}
--- a/share/router/query_test.go
+++ b/share/router/query_test.go
@@ -10,8 +10,9 @@
 	"dandelionstile/share/roster"
 )
 
-// Three of a query's four shards have replied at its target. The caller gets these three
-// in time, with the fourth named as missing; the remaining call is cancelled soon after.
+// One of a query's four shards has not replied at its target. The caller must not wait for
+// it: it gets the other three in time, with the fourth named as missing, and the remaining
+// call is cancelled soon after.
 func TestPartialAnswerLeavesInTime(t *testing.T) {
 	r := newRig(t)
 	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
@@ -64,7 +65,7 @@
 	for _, s := range r.sends[len(r.sends)-4:][:3] {
 		r.reply(s)
 	}
-	r.advance(100 - defaultMargin + 1)
+	r.advance(100 - defaultMargin + 1) // the target of 250 ms less the 150 ms that have passed
 	assert.Assert(t, r.answers[q].Merged != nil)
 }
 
@@ -118,7 +119,7 @@
 	r.advance(120)
 	hedge := r.last()
 	assert.Assert(t, hedge.Leaf != stalled.Leaf)
-	assert.Assert(t, r.noted(NoteHedged))
+	assert.Assert(t, r.logged(NoteHedged))
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, hedge.Leaf)
 	r.reply(hedge)
@@ -185,13 +186,14 @@
 		open = rest
 	}
 	// Refused queries have earned nothing.
+	// All six hosts together may save up 40.
 	bound := 0.19*float64(len(requested)) + 40.0/6
 	assert.Assert(t, float64(extraCalls) <= bound+1, "%d hedges and retries for %d queries, %g allowed", extraCalls, len(requested), bound)
 	assert.Assert(t, extraCalls > 10, "the budget was hardly used")
 }
 
-// Near leaves reject most calls, while those in the other region answer all. Within a
-// second most calls must go to the far leaves.
+// Near leaves reject most calls, while those in the other region answer all. A preference for
+// near leaves would keep sending them calls; within a second most must go to the far leaves.
 func TestRejectingLeavesAreAvoided(t *testing.T) {
 	r := newRig(t)
 	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
@@ -238,8 +240,8 @@
 	assert.Equal(t, len(r.sends), 8)
 }
 
-// A shard has no leaf. The query is answered with the other shards as soon as they have
-// replied.
+// A shard has no leaf. The query must not wait for it until its target: it is answered as
+// soon as the other shards have replied.
 func TestShardWithoutLeafIsNotWaitedFor(t *testing.T) {
 	r := newRig(t)
 	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(3)})
--- a/share/router/replay_test.go
+++ b/share/router/replay_test.go
@@ -15,7 +15,7 @@
 // retry a second later, all within the second in which the hosts restart. Their targets
 // have passed, and together with first attempts they exceed the capacity of the leaves.
 // Work for late queries must not make queries late that can still be in time.
-func TestReturnOfAllHosts(t *testing.T) {
+func TestRestartOfAllHosts(t *testing.T) {
 	const seeds = 8
 	before, first, after := 0.0, 0.0, 0.0
 	for seed := int64(1); seed <= seeds; seed++ {
--- a/share/router/replica.go
+++ b/share/router/replica.go
@@ -29,16 +29,16 @@
 }
 
 // selectLeaf chooses the leaf that is expected to answer a shard first, among those
-// not called for it yet. With probes, an unhealthy leaf may be tried if there is no
+// not called for it yet. With allowProbe, an unhealthy leaf may be tried if there is no
 // other and its next probe is due.
-func (e *Engine) selectLeaf(now clock.Milli, s *shard, probes bool) choice {
+func (e *Engine) selectLeaf(now clock.Milli, s *shard, allowProbe bool) choice {
 	var c choice
 	var best float64
 	for _, f := range e.services[s.service].leaves {
 		if !e.usable(f, s) {
 			continue
 		}
-		if f.unhealthy && (!probes || now < f.probeAt) {
+		if f.unhealthy && (!allowProbe || now < f.probeAt) {
 			c.unhealthy = true
 			continue
 		}
@@ -63,24 +63,25 @@
 }
 
 // lateCallLimit is the call limit for late queries: these are sent only to leaves that
-// have no call of this host in flight. After all hosts return at once, the callers that
-// were cut off retry within one second, along with new requests; if both were treated
-// alike, the leaves' queues would make both late.
+// have no call of this host in flight. When all hosts come back from an outage together,
+// the callers that had lost their connections retry within one second, along with new
+// requests; if both were treated alike, the leaves' queues would make both late.
 const lateCallLimit = 1
 
-// callLimit returns the largest number of calls of this host at a leaf, including one
-// added for the query.
+// callLimit returns how many calls this host may have in flight at a leaf, counting the
+// one to be sent for the query.
 func (e *Engine) callLimit(now clock.Milli, f *leaf, q *query) int {
 	switch {
 	case !e.slow(now, f, q) && q.late:
-		return min(f.limit, lateCallLimit)
+		return min(f.connLimit, lateCallLimit)
 	case !e.slow(now, f, q):
-		return f.limit
+		return f.connLimit
 	}
-	return min(f.limit, slowCallLimit)
+	return min(f.connLimit, slowCallLimit)
 }
 
-// usable reports whether a leaf may get a shard's request at all.
+// usable reports whether a shard may be sent to a leaf, apart from the leaf's health and
+// capacity.
 func (e *Engine) usable(f *leaf, s *shard) bool {
 	if f.Draining || f.removed || e.domainsOut[f.Domain] || s.tried(f) {
 		return false
@@ -88,14 +89,14 @@
 	return s.query.route.Allows(f.region)
 }
 
-// admitsCold reports whether a leaf can take one more request: a cold one only at
-// the operators' rate, of which this host has its part.
+// admitsCold reports whether a leaf can take one more request: a cold one only at the
+// operators' rate, of which this host has its part.
 func (e *Engine) admitsCold(now clock.Milli, f *leaf) bool {
 	rate := e.services[f.Service].config.ColdRate
 	if rate <= 0 || !f.cold(now) {
 		return true
 	}
-	return f.warmupLimiter.Allowed(now, rate, f.hosts)
+	return f.warmupLimiter.Allowed(now, rate, f.sharers)
 }
 
 // cost returns the expected time in ms until a leaf answers one more call, plus
@@ -103,6 +104,8 @@
 func (e *Engine) cost(now clock.Milli, f *leaf) float64 {
 	typical := e.typicalLatency(f)
 	c := f.expected(now, typical)
+	// Each call in flight occupies a slot for its service time, the latency without
+	// the round trip.
 	c += float64(len(f.inFlight)) * max(minServiceTimeMs, c-e.minLatency(f)) / float64(max(1, f.Slots))
 	c += f.overdue(now)
 	c += f.currentFailureRatio(now) * failureCostMs
@@ -153,7 +156,8 @@
 type region struct{ minLatency, typicalLatency float64 }
 
 // observe updates the latencies with a reply time. The minimum falls at once and rises
-// slowly, so that it follows a round trip that has become longer.
+// slowly, so that it follows a round trip that has become longer. A single reply counts
+// for at most three times the typical latency.
 func (r *region) observe(took float64) {
 	if r.typicalLatency == 0 {
 		r.minLatency, r.typicalLatency = took, took
--- a/share/router/reports.go
+++ b/share/router/reports.go
@@ -27,19 +27,21 @@
 	// ownCallFresh is how long this host's own calls outweigh another host's
 	// report on a leaf.
 	ownCallFresh clock.Milli = 100
-	// stallDelay is how late a due timer must be for this host to count as
-	// stalled, and stallPause how long it then sends no reports: calls that waited
+	// stallThreshold is how late a due timer must be for this host to count as
+	// stalled, and reportHoldoff how long it then sends no reports: calls that waited
 	// here seem slow through no fault of their leaves.
-	stallDelay clock.Milli = 40
-	stallPause clock.Milli = 500
+	stallThreshold clock.Milli = 40
+	reportHoldoff  clock.Milli = 500
 )
 
 // extraCost returns a leaf's expected cost beyond that of a healthy leaf, in ms.
 func extraCost(r report.Leaf) float64 { return float64(r.ExtraLatency) + r.FailureRatio*failureCostMs }
 
-// reportLeaf reports a leaf to other hosts if its cost has changed notably.
+// reportLeaf reports a leaf to the other hosts of this host's failure domain if its cost
+// has changed notably. Leaves that only aggregators call are not reported, nor any leaf
+// within reportHoldoff of a stall of this host.
 func (e *Engine) reportLeaf(now clock.Milli, f *leaf) {
-	if f.removed || len(e.peersByDomain[e.Self.Domain]) == 0 || now < e.stalledAt+stallPause || e.sharded[f.Service] && e.tieredIn(f.Domain) {
+	if f.removed || len(e.peersByDomain[e.Self.Domain]) == 0 || now < e.stalledAt+reportHoldoff || e.sharded[f.Service] && e.usesAggregators(f.Domain) {
 		return
 	}
 	typical := e.typicalLatency(f)
@@ -50,7 +52,7 @@
 		return
 	}
 	f.lastReport.Record(now, cost)
-	e.do(SendLeafReports{List: []report.Leaf{r}})
+	e.emit(SendLeafReports{List: []report.Leaf{r}})
 }
 
 // applyLeafReports applies another host's reports where this host has no fresher
@@ -68,16 +70,16 @@
 		f.latency, f.latencyAt = e.typicalLatency(f)+float64(r.ExtraLatency), now
 		f.deviation = max(f.deviation, f.latency/4)
 		f.failureRatio, f.failureRatioAt = r.FailureRatio, now
-		e.do(Note{
+		e.emit(Note{
 			Kind: NoteLeafReport, Leaf: f.ID, Service: f.Service, Took: r.ExtraLatency,
 			Cause: fmt.Sprintf("%.0f of 100 calls fail", 100*r.FailureRatio),
 		})
 	}
 }
 
-// detectStall records whether this host has stalled since a timer was due.
+// detectStall records that this host has stalled if a timer is long overdue.
 func (e *Engine) detectStall(now clock.Milli) {
-	if len(e.timers) > 0 && now > e.timers[0].at+stallDelay {
+	if len(e.timers) > 0 && now > e.timers[0].at+stallThreshold {
 		e.stalledAt = now
 	}
 }
--- a/share/router/reports_test.go
+++ b/share/router/reports_test.go
@@ -26,7 +26,7 @@
 func TestSlowLeafIsAvoidedAfterReport(t *testing.T) {
 	r := reportsRig(t)
 	r.handle(LeafReports{List: []report.Leaf{{ID: "s0-near", ExtraLatency: 300}}})
-	assert.Assert(t, r.noted(NoteLeafReport))
+	assert.Assert(t, r.logged(NoteLeafReport))
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, "s0-far")
 	r.reply(r.last())
@@ -35,7 +35,8 @@
 	assert.Equal(t, r.last().Leaf, "s0-near")
 }
 
-// Another host's calls to a leaf fail; the leaf is avoided like a slow one.
+// Another host's calls to a leaf fail. Without the report, this host would find out by a failed
+// call of its own; the leaf is avoided like a slow one.
 func TestFailingLeafIsAvoidedAfterReport(t *testing.T) {
 	r := reportsRig(t)
 	r.handle(LeafReports{List: []report.Leaf{{ID: "s0-near", FailureRatio: 0.6}}})
@@ -75,6 +76,7 @@
 	reports := r.timedCall(150)
 	assert.Equal(t, len(reports), 1)
 	assert.Equal(t, reports[0].ID, "s0-near")
+	// A reply of 150 ms after 10 ms raises the estimate by a quarter of the difference, 35 ms.
 	assert.Assert(t, reports[0].ExtraLatency >= 15, "%d", reports[0].ExtraLatency)
 	repeated := 0
 	for range 20 {
--- a/share/router/router_test.go
+++ b/share/router/router_test.go
@@ -25,7 +25,7 @@
 	cancels      []Cancel
 	probes       []Probe
 	answers      map[uint64]Answer
-	notes        []Note
+	logs         []Note
 	crashReports []crash.Report
 	// leafReports are the reports sent to the other hosts of the domain.
 	leafReports []report.Leaf
@@ -44,6 +44,7 @@
 	return r
 }
 
+// handle processes an event and records the resulting actions.
 func (r *rig) handle(e Event) {
 	for _, a := range r.engine.Handle(r.now, e) {
 		switch a := a.(type) {
@@ -64,7 +65,7 @@
 		case SendLeafReports:
 			r.leafReports = append(r.leafReports, a.List...)
 		case Note:
-			r.notes = append(r.notes, a)
+			r.logs = append(r.logs, a)
 		}
 	}
 }
@@ -104,15 +105,17 @@
 	return r.sends[len(r.sends)-1]
 }
 
+// reply ends a call with a successful reply of its leaf.
 func (r *rig) reply(s Send) {
 	r.handle(Done{Call: s.Call, Kind: call.Answered, Reply: &call.Reply{Status: 200, Stamp: "stamp-" + s.Leaf}})
 }
 
+// fail ends a call without a reply.
 func (r *rig) fail(s Send, kind call.Kind) { r.handle(Done{Call: s.Call, Kind: kind, Cause: "test"}) }
 
-// noted reports whether there is a note of a kind.
-func (r *rig) noted(kind NoteKind) bool {
-	for _, n := range r.notes {
+// logged reports whether the engine has logged a record of a kind.
+func (r *rig) logged(kind NoteKind) bool {
+	for _, n := range r.logs {
 		if n.Kind == kind {
 			return true
 		}
@@ -168,7 +171,7 @@
 	first := r.last()
 	r.now += 2
 	r.fail(first, call.Broken)
-	assert.Equal(t, len(r.sends), 2, "%v", r.notes)
+	assert.Equal(t, len(r.sends), 2, "%v", r.logs)
 	assert.Assert(t, r.last().Leaf != first.Leaf)
 	r.reply(r.last())
 	assert.Equal(t, r.answers[q].Reply.Status, 200)
--- a/share/router/single_test.go
+++ b/share/router/single_test.go
@@ -103,8 +103,8 @@
 	assert.Equal(t, len(r.sends), sent)
 }
 
-// Two services share a route three to one. The shares are exact and don't depend on the
-// services' latency.
+// Two services share a route three to one. The operators' weights must hold exactly, whatever
+// the services' latency.
 func TestWeightsAreKept(t *testing.T) {
 	weighted := singleRoute(true)
 	weighted.Services = []route.WeightedService{{Service: "s", Weight: 3}, {Service: "t", Weight: 1}}
@@ -126,7 +126,7 @@
 	r := newRig(t)
 	r.handle(Facts{Table: table(1, singleRoute(true)), Leaves: []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("s", "b", nearDomain)}})
 	for _, f := range r.engine.leaves {
-		f.limit = 20
+		f.connLimit = 20
 	}
 	r.arrive("/one/x", 4000)
 	first := r.last()
@@ -143,7 +143,7 @@
 	}
 	assert.Assert(t, len(r.probes) == 1 && r.probes[0].Leaf == first.Leaf, "%v", r.probes)
 	r.handle(ProbeResult{Leaf: first.Leaf, Healthy: true})
-	assert.Assert(t, r.noted(NoteLeafHealthy))
+	assert.Assert(t, r.logged(NoteLeafHealthy))
 	r.advance(4000)
 	seen := map[string]bool{}
 	for range 10 {
@@ -169,6 +169,7 @@
 			r.reply(r.last())
 		}
 	}
+	// 10/6 a second for two seconds, and one saved request.
 	assert.Assert(t, len(r.sends) >= 3 && len(r.sends) <= 5, "%d calls in 2 s", len(r.sends))
 }
 
@@ -180,11 +181,11 @@
 		hosts   int
 		forgets bool
 	}{{6, true}, {80, false}} {
-		f := &leaf{hosts: float64(c.hosts)}
+		f := &leaf{sharers: float64(c.hosts)}
 		for i := range clock.Milli(8) {
 			f.observe(1000+100*i, 240)
 		}
-		f.recordOutcome(1700, 1)
+		f.updateFailureRatio(1700, 1)
 		forgotten := f.expected(4000, 30) < 60
 		assert.Equal(t, forgotten, c.forgets, "%d hosts expect %.0f ms", c.hosts, f.expected(4000, 30))
 		assert.Equal(t, f.currentFailureRatio(4000) < 0.08, c.forgets, "%d hosts expect a failure ratio of %.2f", c.hosts, f.currentFailureRatio(4000))
@@ -194,23 +195,23 @@
 // A new version of the operators' inventory moves a failure domain to another region.
 // Requests that are restricted to a region go to the leaves that are there now; with the
 // old map they would go to the wrong ones.
-func TestRegionsComeWithTheFacts(t *testing.T) {
+func TestRegionsFollowTheInventory(t *testing.T) {
 	r := newRig(t)
 	r.engine.Regions = nil
 	r.engine.Self.Region = ""
 	restricted := singleRoute(true)
 	restricted.Regions = []string{"near"}
-	facts := func(version uint64, near, far string) Facts {
+	topology := func(version uint64, near, far string) Facts {
 		return Facts{
 			Table: table(version, restricted), Leaves: []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("s", "b", farDomain)},
 			Regions: map[string]string{nearDomain: near, farDomain: far},
 		}
 	}
-	r.handle(facts(1, "near", "far"))
+	r.handle(topology(1, "near", "far"))
 	r.arrive("/one/", 1000)
 	assert.Equal(t, r.last().Leaf, "a")
 	assert.Equal(t, r.engine.Self.Region, "near")
-	r.handle(facts(2, "far", "near"))
+	r.handle(topology(2, "far", "near"))
 	r.arrive("/one/", 1000)
 	assert.Equal(t, r.last().Leaf, "b")
 	assert.Equal(t, r.engine.Self.Region, "far")
@@ -246,7 +247,7 @@
 	r := newRig(t)
 	count := func(kind NoteKind) int {
 		n := 0
-		for _, note := range r.notes {
+		for _, note := range r.logs {
 			if note.Kind == kind {
 				n++
 			}
--- a/share/router/types.go
+++ b/share/router/types.go
@@ -56,7 +56,8 @@
 	ProcessingTime clock.Milli
 }
 
-// Facts replaces the known routes, leaves and failure domains.
+// Facts replaces the known routes, leaves and failure domains. A nil Table, or one that
+// isn't newer than the table in force, is ignored.
 type Facts struct {
 	Table  *route.Table
 	Leaves []roster.Leaf
@@ -179,7 +180,7 @@
 // Refusal is the reason for which a request got no leaf's reply.
 type Refusal int
 
-// Reasons for refusals. For those up to NoRoom, callers are told that the request
+// Reasons for refusals. For those up to NoCapacity, callers are told that the request
 // did not run.
 const (
 	// None: the request was answered.
@@ -190,9 +191,10 @@
 	NoRoute
 	// NoLeaf: no leaf of the service can serve it now.
 	NoLeaf
-	// NoRoom: the load exceeds what can be served in time.
+	// NoCapacity: the load exceeds what can be served in time.
 	NoCapacity
-	// Failed: leaves were asked and did not return a proper reply.
+	// Failed: leaves were called, and none returned a proper reply. The request may
+	// have run.
 	Failed
 	// Harmful: leaves have crashed while they ran this request.
 	Harmful
@@ -212,7 +214,7 @@
 	return Refusal(max(0, slices.Index(refusalNames[:], name)))
 }
 
-// CallEnded reports the end of a call to a leaf, for the counters.
+// CallEnded reports the end of a call to a leaf, for the metrics.
 type CallEnded struct {
 	Service string
 	Domain  string
@@ -232,7 +234,8 @@
 	// Cause explains the decision in words; Refusal is the reason of a refusal.
 	Cause   string
 	Refusal Refusal
-	// Took is the age of the request or call, in milliseconds.
+	// Took is the age of the request or call, in milliseconds; for a leaf report, the
+	// additional latency.
 	Took clock.Milli
 	// Count and Total are numbers of shards; for the limiter, queries in flight
 	// and the limit.
@@ -298,7 +301,7 @@
 	NoteLeavesRemoved
 )
 
-var noteNames = [...]string{
+var logNames = [...]string{
 	"admitted", "answered", "answered-in-part", "refused", "caller-gone", "hedged", "retried",
 	"second-call-withheld", "forwarded", "forward-failed", "leaf-unhealthy", "leaf-healthy", "leaf-new", "leaf-drains", "leaf-gone",
 	"routes-in-force", "domain-out", "domain-back", "peer-unhealthy", "peers", "leaf-crashed",
@@ -306,7 +309,7 @@
 }
 
 // String returns the kind's name in logs and metrics.
-func (k NoteKind) String() string { return noteNames[k] }
+func (k NoteKind) String() string { return logNames[k] }
 
 // Failure reports whether the note explains a request that was not served in
 // full, or a state change; such notes are kept when others are dropped.
--- a/share/router/wait_test.go
+++ b/share/router/wait_test.go
@@ -50,13 +50,14 @@
 // leaf with one slot would wait there behind the calls of all other hosts; it is queued
 // here, from where it can go to another leaf or be dropped.
 func TestCallsAtALeafFollowItsSlots(t *testing.T) {
+	// One call per slot and one more for each two slots, at most maxConnections.
 	for slots, want := range map[int]int{1: 1, 2: 3, 3: maxConnections, 6: maxConnections} {
 		r := newRig(t)
 		only := leafOf("s0", "only", nearDomain)
 		only.Slots = slots
-		facts := table(1, shardedRoute(1))
-		facts.Services["s0"] = route.Service{Name: "s0", Connections: 30}
-		r.handle(Facts{Table: facts, Leaves: []roster.Leaf{only}})
+		config := table(1, shardedRoute(1))
+		config.Services["s0"] = route.Service{Name: "s0", Connections: 30}
+		r.handle(Facts{Table: config, Leaves: []roster.Leaf{only}})
 		for range 6 {
 			r.arrive("/all/x", 1500)
 		}
--- a/share/router/world_test.go
+++ b/share/router/world_test.go
@@ -96,11 +96,13 @@
 	return x
 }
 
+// schedule runs a function at a time, or now if that has passed.
 func (w *world) schedule(at clock.Milli, run func()) {
 	w.seq++
 	heap.Push(&w.events, simEvent{max(at, w.now), w.seq, run})
 }
 
+// runUntil runs the events that are due up to a time, which it sets.
 func (w *world) runUntil(end clock.Milli) {
 	for len(w.events) > 0 && w.events[0].at <= end {
 		event := heap.Pop(&w.events).(simEvent)
@@ -116,8 +118,10 @@
 	simNearDelay      clock.Milli = 1 // one way between host and leaf
 	simFarDelay       clock.Milli = 8 // the same between regions
 	simConnectTimeout clock.Milli = 1000
-	simLateCredit                 = 0.1
-	simWorkSigma                  = 0.35
+	// simLateCredit is the factor on the credit of a late answer.
+	simLateCredit = 0.1
+	// simWorkSigma is the standard deviation of the logarithm of service times.
+	simWorkSigma = 0.35
 )
 
 // simHost is one host.
@@ -167,6 +171,7 @@
 
 var simRegions = map[string]string{"east-1": "east", "west-1": "west", "south-1": "south"}
 
+// handle has the engine process an event, executes the actions and schedules the next tick.
 func (h *simHost) handle(ev Event) {
 	if h.engine == nil {
 		return
@@ -187,6 +192,7 @@
 	}
 }
 
+// execute executes an action. Actions that the simulation doesn't need are ignored.
 func (h *simHost) execute(engine *Engine, a Action) {
 	w := h.w
 	switch a := a.(type) {
@@ -231,6 +237,8 @@
 	return simFarDelay
 }
 
+// endCall reports the end of a call to the engine, unless the process has restarted or the
+// call has ended before.
 func (h *simHost) endCall(j *simJob, d Done) {
 	if h.engine != j.engine || h.calls[j.call] == nil {
 		return
@@ -277,6 +285,7 @@
 	})
 }
 
+// arrive submits a request; answer is called with the engine's answer.
 func (h *simHost) arrive(a Arrival, answer func(Answer)) {
 	h.queries++
 	a.Query = h.queries
@@ -332,6 +341,8 @@
 	l.w.schedule(l.w.now+simPauseInterval, l.pause)
 }
 
+// accept runs, queues or rejects a call, on a new connection if all of its process's
+// connections are in use.
 func (l *simLeaf) accept(j *simJob) {
 	l.connsInUse[j.engine]++
 	if j.newConn = l.connsInUse[j.engine] > l.conns[j.engine]; j.newConn {
@@ -350,6 +361,7 @@
 	}
 }
 
+// start runs a call for a random service time (log-normal with the kind's mean, and a tail).
 func (l *simLeaf) start(j *simJob) {
 	l.busy++
 	j.running = true
@@ -366,6 +378,7 @@
 	l.w.schedule(max(l.w.now, l.pausedUntil)+clock.Milli(work+0.5), func() { l.finish(j) })
 }
 
+// finish ends a running call, after a pause if the leaf is in one, and starts the next.
 func (l *simLeaf) finish(j *simJob) {
 	if !j.running {
 		return
@@ -382,6 +395,8 @@
 	l.startQueued()
 }
 
+// startQueued starts queued calls in free slots, and drops those that are cancelled or past
+// their deadline.
 func (l *simLeaf) startQueued() {
 	for l.busy < l.Slots && len(l.queue) > 0 {
 		j := l.queue[0]
@@ -392,6 +407,7 @@
 	}
 }
 
+// cancel ends a call and closes its connection.
 func (l *simLeaf) cancel(j *simJob) {
 	if !j.ended {
 		l.connsInUse[j.engine]--
@@ -405,6 +421,7 @@
 	}
 }
 
+// reply returns a call's outcome to its host and frees the connection.
 func (l *simLeaf) reply(j *simJob, d Done) {
 	j.ended = true
 	l.connsInUse[j.engine]--
@@ -429,6 +446,7 @@
 	}
 }
 
+// scheduleArrival schedules the next request of a kind, at random with the kind's rate.
 func (w *world) scheduleArrival(k *simKind) {
 	rate := k.perSecond
 	if w.surge > 0 {
@@ -474,6 +492,7 @@
 	w.schedule(r.firstAt+r.kind.wait, func() { r.done = true })
 }
 
+// retry sends another attempt if the caller has one left and still waits.
 func (w *world) retry(r *simRequest) {
 	retries := r.kind.retries
 	if r.aggressive {
@@ -484,6 +503,7 @@
 	}
 }
 
+// handleAnswer ends a request with the credit of its answer, or retries a refused one.
 func (w *world) handleAnswer(r *simRequest, a Answer) {
 	if r.done {
 		return
@@ -570,6 +590,7 @@
 	return w
 }
 
+// addLeaf adds a leaf with three slots, which pauses from a random time on.
 func (w *world) addLeaf(service, id, domain string) {
 	l := roster.Leaf{ID: id, Service: service, Address: id + ":1", Domain: domain, Slots: 3}
 	w.roster = append(w.roster, l)
@@ -578,7 +599,8 @@
 	w.schedule(clock.Milli(w.rng.Intn(int(simPauseInterval))), f.pause)
 }
 
-// browse and peek return the two kinds of queries that people wait for.
+// browse and peek return the two kinds of queries that people wait for; browse has more
+// work and time.
 func browse(perSecond float64) simKind {
 	return simKind{
 		route:     route.Route{Name: "browse", Host: "h", Prefix: "/browse/", Idempotent: true, Attempts: 2, Timeout: 2000, Target: 200, TopK: 20, MinShare: 0.89, Priority: 1},
