--- a/share/router/engine.go
+++ b/share/router/engine.go
@@ -73,7 +73,7 @@
 	config route.Service
 	leaves []*leaf
 	budget budget.Budget
-	queue  []*shard
+	queue  []*shard // shards that wait for a leaf with free capacity
 }
 
 // start initializes the engine at the first event. Later calls do nothing.
--- a/share/router/leaf.go
+++ b/share/router/leaf.go
@@ -57,7 +57,7 @@
 
 const (
 	// latencyGain and deviationGain smooth like TCP's round-trip estimate: fast
-	// enough to detect that a leaf has turned slow within about eight calls.
+	// enough to detect that a leaf has become slow within about eight calls.
 	latencyGain   = 1.0 / 4
 	deviationGain = 1.0 / 4
 	// failureGain is the weight of the last call's outcome; 1/6 detects a leaf
--- a/share/router/policy.go
+++ b/share/router/policy.go
@@ -10,8 +10,8 @@
 	// BudgetReserve is the number of hedges and retries to one service that all
 	// hosts together may save up: the sum of their budgets' capacities.
 	BudgetReserve float64
-	// Margin is how long before its target, less the round trip to the caller, an
-	// answer leaves, in ms: the processing time of this process and of the caller.
+	// Margin is how long before the target, less the round trip to the caller, an
+	// answer is sent, in ms: the processing time of this process and of the caller.
 	Margin clock.Milli
 	// FarRegionPenalty is by how many ms a leaf in another region must be faster.
 	FarRegionPenalty float64
--- a/share/router/query.go
+++ b/share/router/query.go
@@ -20,8 +20,8 @@
 	route   *route.Route
 	version uint64
 	arrived clock.Milli
-	// target is when an answer must leave to be in time; deadline is when the
-	// caller is told that there is none.
+	// target is when an answer must be sent to be in time; deadline is when a query
+	// without an answer is refused.
 	target, deadline clock.Milli
 	// late queries arrived after their route's target. Their answer is still of
 	// use, but answering sooner gains them nothing, while their load can make
@@ -68,7 +68,7 @@
 	// abandoned is set once the query does without the shard.
 	abandoned bool
 	queued    bool
-	// sentAt is when the last call was sent, hedgeAt when another leaf is called.
+	// sentAt is when the last call was sent, hedgeAt when another leaf may be called.
 	sentAt, hedgeAt clock.Milli
 	cause           string
 	lastTarget      string // the leaf or host called last
