--- a/share/limit/limit.go
+++ b/share/limit/limit.go
@@ -49,7 +49,7 @@
 	intervalGain         = 1.0 / 10
 	baselineIntervalGain = 1.0 / 400
 	// overloadLateRatio is the ratio of late queries from which the limit may fall below
-	// the baseline: the leaves have lost too much of their speed for it.
+	// the baseline: the leaves have become too slow to serve even the usual load.
 	overloadLateRatio = 0.5
 	// baselineGain averages over several times the length of a surge.
 	baselineGain = 1.0 / 200
@@ -71,7 +71,8 @@
 	liftFactor = 4.0
 )
 
-// RecordArrival records a query that asks for admission.
+// RecordArrival updates the averages of the time between arrivals; it is called for each
+// query, before Admit.
 func (l *Limiter) RecordArrival(now clock.Milli) {
 	if l.lastArrival == 0 {
 		l.lastArrival = now
@@ -84,17 +85,17 @@
 	}
 	l.interval += (interval - l.interval) * intervalGain
 	l.arrivals++
+	// The first arrivals count equally, until the gain is as low as baselineIntervalGain.
 	l.baselineInterval += (interval - l.baselineInterval) * max(baselineIntervalGain, 1/l.arrivals)
 }
 
-// Surge reports whether queries arrive far more often than usual.
+// Surge reports whether queries arrive more than surgeFactor times as often as usual.
 func (l *Limiter) Surge() bool { return l.interval*surgeFactor < l.baselineInterval }
 
-// Admit reports whether to admit one more query. It admits one of maxRejected+1
-// queries beyond the limit: leaves may be slow for a reason other than their load,
-// and then rejecting callers helps nobody. Late queries, whose target has passed,
-// are never admitted beyond the limit: they take room from queries that can still
-// be in time.
+// Admit reports whether to admit one more query. Beyond the limit it admits one of
+// maxRejected+1 queries: leaves may be slow for a reason other than their load, and then
+// rejecting callers helps nobody. Late queries, whose target has passed, are never
+// admitted beyond the limit: they take capacity from queries that can still be in time.
 func (l *Limiter) Admit(late bool) bool {
 	if !l.Active() || float64(l.InFlight) < l.limit {
 		l.rejected = 0
@@ -119,7 +120,9 @@
 // LateRatio returns the smoothed ratio of queries that were not answered in time.
 func (l *Limiter) LateRatio() float64 { return l.lateRatio }
 
-// RecordLate records a query that was not answered in time.
+// RecordLate records a query that was not answered in time. It lowers the limit, at most
+// once per decreaseInterval: down to minLimit if most queries are late, and during a surge
+// not below surgeHeadroom times the baseline. Otherwise the limit is unchanged.
 func (l *Limiter) RecordLate(now clock.Milli) {
 	l.lateRatio += (1 - l.lateRatio) * lateRatioGain
 	l.updateBaseline()
@@ -129,6 +132,7 @@
 	floor := minLimit
 	switch {
 	case l.lateRatio >= overloadLateRatio:
+		// Overloaded: the limit may fall to minLimit.
 	case l.lateRatio >= surgeLateRatio && l.Surge():
 		floor = max(minLimit, l.baseline*surgeHeadroom)
 	default:
@@ -138,6 +142,7 @@
 	if inFlight <= floor {
 		return
 	}
+	// Without a limit, the decrease starts from the queries in flight.
 	if l.Active() {
 		inFlight = min(inFlight, l.limit)
 	}
@@ -145,7 +150,8 @@
 	l.limit = max(floor, inFlight*decreaseFactor)
 }
 
-// RecordOnTime records a query that was answered in time.
+// RecordOnTime records a query that was answered in time. It raises the limit, and removes
+// it once it is liftFactor times the queries in flight and few queries are late.
 func (l *Limiter) RecordOnTime() {
 	l.lateRatio -= l.lateRatio * lateRatioGain
 	l.updateBaseline()
--- a/share/limit/limit_test.go
+++ b/share/limit/limit_test.go
@@ -8,8 +8,8 @@
 	"dandelionstile/share/clock"
 )
 
-// A third of the queries miss their target because one shard of ten is slow now
-// and then. That is no overload, and no query may be rejected.
+// A third of the queries miss their target because one shard of ten is slow now and then.
+// That is no overload: rejecting queries would only cost answers.
 func TestNoLimitWhileMostAreInTime(t *testing.T) {
 	var l Limiter
 	for i := range 300 {
@@ -23,9 +23,9 @@
 	}
 }
 
-// All queries miss their target because the leaves are overloaded. Within a second
-// the limit falls well below the queries in flight. One in five queries beyond the
-// limit is still admitted, as the leaves may be late for another reason.
+// All queries miss their target because the leaves are overloaded. Unless the limit falls
+// well below the queries in flight within a second, none is answered in time. One in five
+// queries beyond the limit is still admitted, as the leaves may be late for another reason.
 func TestLimitFallsWhenAllAreLate(t *testing.T) {
 	var l Limiter
 	l.InFlight = 20
@@ -43,8 +43,9 @@
 	assert.Equal(t, admitted, 100/(maxRejected+1))
 }
 
-// The surge has ended and answers are in time again. The limit is removed once the
-// queries in flight are well below it.
+// The surge has ended and answers are in time again. A limit that stayed in force could
+// reject queries that the leaves can serve; it is removed once the queries in flight are
+// well below it.
 func TestLimitIsLiftedAfterSurge(t *testing.T) {
 	var l Limiter
 	l.InFlight = 20
@@ -58,13 +59,13 @@
 	assert.Assert(t, !l.Active(), "limit %.1f, late %.2f", l.limit, l.lateRatio)
 }
 
-// A surge doubles the queries in flight, and four in ten are late: too few for a
-// fault of the leaves, enough for overload. The limit falls towards the
-// baseline, and not below it.
+// A surge doubles the queries in flight, and four in ten are late: too few for a fault of
+// the leaves, enough for overload. The limit falls towards the baseline, and not below it,
+// since the leaves can serve the usual load.
 func TestSurgeLowersLimitToBaseline(t *testing.T) {
-	l, now := steady(6)
+	l, now := steadyLimiter(6)
 	assert.Assert(t, !l.Surge())
-	twoOfFiveLate(l, now, 14, 60, 20)
+	recordTwoOfFiveLate(l, now, 14, 60, 20)
 	assert.Assert(t, l.Surge())
 	assert.Assert(t, l.Active())
 	assert.Assert(t, l.limit >= 6*surgeHeadroom && l.limit < 14, "limit %.1f", l.limit)
@@ -73,14 +74,14 @@
 // Slow leaves keep queries in flight for longer and make four in ten late, while the
 // arrival rate is unchanged. Rejecting queries would not help the others.
 func TestSlowLeavesAreNoSurge(t *testing.T) {
-	l, now := steady(6)
-	twoOfFiveLate(l, now, 14, 200, 50)
+	l, now := steadyLimiter(6)
+	recordTwoOfFiveLate(l, now, 14, 200, 50)
 	assert.Assert(t, !l.Active(), "limit %.1f", l.limit)
 }
 
-// twoOfFiveLate records queries that arrive at an interval in ms, with a constant
+// recordTwoOfFiveLate records queries that arrive at an interval in ms, with a constant
 // number in flight; two of five are late.
-func twoOfFiveLate(l *Limiter, now clock.Milli, inFlight, queries int, interval clock.Milli) {
+func recordTwoOfFiveLate(l *Limiter, now clock.Milli, inFlight, queries int, interval clock.Milli) {
 	l.InFlight = inFlight
 	for i := range queries {
 		now += interval
@@ -93,12 +94,12 @@
 	}
 }
 
-// steady returns a limiter after a minute at twenty queries a second with a
-// constant number in flight, and the time.
-func steady(inFlight int) (*Limiter, clock.Milli) {
+// steadyLimiter returns a limiter after a minute of arrivals every 50 ms (twenty a second)
+// with a constant number in flight, and the time.
+func steadyLimiter(inFlight int) (*Limiter, clock.Milli) {
 	l := &Limiter{InFlight: inFlight}
 	now := clock.Milli(1000)
-	for range 1200 {
+	for range 1200 { // a minute
 		now += 50
 		l.RecordArrival(now)
 		l.RecordOnTime()
@@ -122,7 +123,7 @@
 // while slow leaves make four answers in ten late. The leaves get no more load than
 // usual, and no query may be rejected.
 func TestFailoverIsNoSurge(t *testing.T) {
-	l, now := steady(6)
-	twoOfFiveLate(l, now, 10, 200, 33)
+	l, now := steadyLimiter(6)
+	recordTwoOfFiveLate(l, now, 10, 200, 33) // 50 ms / 1.5
 	assert.Assert(t, !l.Active(), "limit %.1f", l.limit)
 }
