--- a/share/budget/budget.go
+++ b/share/budget/budget.go
@@ -12,15 +12,17 @@
 // it never queues them.
 type Budget struct {
 	// Tokens is the number of additional calls that may be made now.
-	Tokens     float64
-	capacity   float64
+	Tokens float64
+	// capacity is the largest number of tokens.
+	capacity float64
+	// ratio is the number of tokens that a request earns.
 	ratio      float64
 	configured bool
 }
 
-// Configure sets the ratio of additional calls to requests and the capacity. A new
-// budget is half full, so that processes that restart together cannot spend their
-// whole reserve twice within a short time.
+// Configure sets the ratio of additional calls to requests and the capacity; tokens beyond
+// a lower capacity are lost. A new budget is half full: otherwise a process could spend
+// a full budget, restart, and spend another at once.
 func (b *Budget) Configure(ratio, capacity float64) {
 	b.ratio, b.capacity = ratio, capacity
 	if !b.configured {
--- a/share/budget/budget_test.go
+++ b/share/budget/budget_test.go
@@ -6,13 +6,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// A slow service makes every request worth an additional call. The number of
-// additional calls stays within the ratio plus the reserve, however long the service
-// was idle before.
-func TestSecondCallsStayWithinRatioAndReserve(t *testing.T) {
-	const ratio, reserve, requests = 0.2, 10, 1000
+// Guards against a retry storm: a slow service makes every request worth an additional call.
+// The number of additional calls stays within the ratio plus the capacity, however long the
+// service was idle before.
+func TestAdditionalCallsStayWithinRatioAndCapacity(t *testing.T) {
+	const ratio, capacity, requests = 0.2, 10, 1000
 	var b Budget
-	b.Configure(ratio, reserve)
+	b.Configure(ratio, capacity)
 	for range requests {
 		b.Earn()
 	}
@@ -23,12 +23,13 @@
 			spent++
 		}
 	}
-	assert.Assert(t, spent <= ratio*requests+reserve, "%d", spent)
+	assert.Assert(t, spent <= ratio*requests+capacity, "%d", spent)
 	assert.Assert(t, spent >= ratio*requests-1, "%d", spent)
 }
 
-// All hosts restart at the same moment. A new budget holds half of its reserve, and
-// a lower capacity, set when there are more hosts, takes effect at once.
+// All hosts restart at the same moment. With full budgets they could spend their capacity
+// twice. A lower capacity, set when there are more hosts, takes effect at once: otherwise
+// the hosts' budgets would together exceed the total.
 func TestNewBudgetIsHalfFull(t *testing.T) {
 	var b Budget
 	b.Configure(0.2, 10)
