--- a/share/warmup/warmup.go
+++ b/share/warmup/warmup.go
@@ -13,7 +13,8 @@
 
 // Limiter is a host's token bucket for one cold leaf.
 type Limiter struct {
-	tokens     float64
+	tokens float64
+	// lastRefill is when tokens were last added.
 	lastRefill clock.Milli
 	// fullAt is when the saved request was earned.
 	fullAt clock.Milli
@@ -24,11 +25,11 @@
 }
 
 const (
-	// coldBurst is the number of requests that may be saved for a cold leaf.
-	coldBurst = 1.0
-	// coldHold is how long a saved request is valid when there are more hosts than
+	// maxTokens is the number of requests that may be saved for a cold leaf.
+	maxTokens = 1.0
+	// tokenTTL is how long a saved request is valid when there are more hosts than
 	// burstHosts.
-	coldHold clock.Milli = 300
+	tokenTTL clock.Milli = 300
 	// burstHosts is the largest number of hosts that may each save a request: the
 	// operators' bound usually allows that much beyond the rate (half of it, plus
 	// five).
@@ -39,8 +40,8 @@
 	manyHostsShare = 0.7
 )
 
-// Allowed reports whether a request may be sent now, at a total rate per second for
-// all hosts.
+// Allowed reports whether a request may be sent now, at a total rate per second for all
+// hosts. It adds the tokens earned since the last call; Spend takes the request's token.
 func (l *Limiter) Allowed(now clock.Milli, rate float64, hosts float64) bool {
 	hostRate := rate / hosts
 	if hosts > burstHosts {
@@ -49,18 +50,19 @@
 	if !l.started {
 		l.started = true
 		l.lastRefill = now
-		l.tokens = coldBurst
+		l.tokens = maxTokens
 		if hosts > burstHosts {
 			l.tokens = l.Phase
 		}
 	}
 	before := l.tokens
-	l.tokens = min(coldBurst, l.tokens+float64(now-l.lastRefill)*hostRate/float64(clock.Second))
-	if before < coldBurst && l.tokens >= coldBurst {
-		l.fullAt = l.lastRefill + clock.Milli((coldBurst-before)/hostRate*float64(clock.Second))
+	l.tokens = min(maxTokens, l.tokens+float64(now-l.lastRefill)*hostRate/float64(clock.Second))
+	if before < maxTokens && l.tokens >= maxTokens {
+		// The token was earned between the two calls.
+		l.fullAt = l.lastRefill + clock.Milli((maxTokens-before)/hostRate*float64(clock.Second))
 	}
 	l.lastRefill = now
-	if hosts > burstHosts && l.tokens >= coldBurst && now > l.fullAt+coldHold {
+	if hosts > burstHosts && l.tokens >= maxTokens && now > l.fullAt+tokenTTL {
 		// Drops the tokens of whole unused intervals and keeps the fraction of the
 		// current one.
 		intervals := float64(now-l.fullAt) * hostRate / float64(clock.Second)
@@ -69,5 +71,5 @@
 	return l.tokens >= 1
 }
 
-// Spend takes one token.
+// Spend takes the token of a request that is sent.
 func (l *Limiter) Spend() { l.tokens-- }
--- a/share/warmup/warmup_test.go
+++ b/share/warmup/warmup_test.go
@@ -10,10 +10,10 @@
 	"dandelionstile/share/rank"
 )
 
-// burstOf simulates many hosts that send to one cold leaf. Every second host has a
+// simulateHosts simulates many hosts that send to one cold leaf. Every second host has a
 // request in busy of every ten steps of 10 ms (100 ms), the others in every step. It
 // returns the largest number of requests that the leaf got in any second, and the mean.
-func burstOf(leaf string, hosts int, rate float64, busy int, from clock.Milli) (peak int, mean float64) {
+func simulateHosts(leaf string, hosts int, rate float64, busy int, from clock.Milli) (peak int, mean float64) {
 	const span = 20 * clock.Second
 	limiters := make([]Limiter, hosts)
 	for i := range limiters {
@@ -29,12 +29,12 @@
 			sent = append(sent, now)
 		}
 	}
-	first := 0
+	oldest := 0
 	for i, at := range sent {
-		for sent[first] <= at-clock.Second {
-			first++
+		for sent[oldest] <= at-clock.Second {
+			oldest++
 		}
-		peak = max(peak, i-first+1)
+		peak = max(peak, i-oldest+1)
 	}
 	return peak, float64(len(sent)) / float64(span/clock.Second)
 }
@@ -49,7 +49,7 @@
 		for _, from := range []clock.Milli{0, 5000, 60000} {
 			for _, busy := range []int{10, 3} {
 				for _, leaf := range []string{"a", "b", "c", "d"} {
-					peak, mean := burstOf(leaf, hosts, rate, busy, from)
+					peak, mean := simulateHosts(leaf, hosts, rate, busy, from)
 					assert.Assert(t, float64(peak) <= rate*1.5+5, "%d hosts from %d: %d in a second", hosts, from, peak)
 					assert.Assert(t, mean >= rate/2, "%d hosts from %d: %.1f a second", hosts, from, mean)
 					t.Logf("%d hosts from %d, busy %d: %d at most, %.1f on average", hosts, from, busy, peak, mean)
@@ -59,8 +59,8 @@
 	}
 }
 
-// All hosts send within one second to a cold leaf that had no requests for a minute.
-// The requests that each host saved must not add up to a burst.
+// All hosts send within one second to a cold leaf that had no requests for a minute. If the
+// request that each host has saved were still valid, the leaf would get one from each at once.
 func TestIdleColdLeafIsNotOverrun(t *testing.T) {
 	const hosts, rate = 85, 10.0
 	limiters := make([]Limiter, hosts)
@@ -77,5 +77,6 @@
 			}
 		}
 	}
+	// The operators' bound, as above.
 	assert.Assert(t, float64(sent) <= rate*1.5+5, "%d in a second", sent)
 }
