--- a/share/crash/crash.go
+++ b/share/crash/crash.go
@@ -22,7 +22,7 @@
 }
 
 const (
-	// suspectWindow is the longest time between a broken call and the finding that
+	// suspectWindow is the longest time between a broken call and the detection that
 	// the leaf is down for which the request is suspected: a leaf that only lost a
 	// reply accepts the next connection.
 	suspectWindow clock.Milli = 1500
@@ -51,7 +51,8 @@
 type Tracker struct {
 	// broken holds the recent broken calls by leaf.
 	broken map[string][]brokenCall
-	// seen holds the time of each report, by fingerprint and leaf.
+	// seen holds the time of each report, by fingerprint and leaf; count is the number
+	// of reports in it.
 	seen  map[uint64]map[string]clock.Milli
 	count int
 	// proven holds the fingerprints answered successfully since rotatedAt,
@@ -60,6 +61,7 @@
 	rotatedAt            clock.Milli
 }
 
+// brokenCall is a call that broke while its leaf may have been running the request.
 type brokenCall struct {
 	fingerprint uint64
 	at          clock.Milli
@@ -77,7 +79,9 @@
 	t.broken[leaf] = append(list, brokenCall{fingerprint, now})
 }
 
-// RecordDown records that a leaf is down and returns the resulting reports.
+// RecordDown records that a leaf is down and returns the resulting reports: one for each
+// request whose call to the leaf has broken recently, at most maxReportsSent. Requests that
+// leaves have recently answered are not reported.
 func (t *Tracker) RecordDown(now clock.Milli, leaf string) []Report {
 	var list []Report
 	for _, b := range t.broken[leaf] {
@@ -89,8 +93,8 @@
 	return list
 }
 
-// RecordAnswer records a successful answer, which clears the reports against the
-// request.
+// RecordAnswer records a successful answer, which removes the reports against the request
+// and protects it from new ones for a while; see ProvenTTL.
 func (t *Tracker) RecordAnswer(now clock.Milli, fingerprint uint64) {
 	t.rotate(now)
 	if t.proven == nil {
@@ -101,14 +105,15 @@
 	delete(t.seen, fingerprint)
 }
 
-// Proven reports whether leaves have answered a request successfully in the recent
-// past.
+// Proven reports whether leaves have answered a request successfully within the last one to
+// two ProvenTTL.
 func (t *Tracker) Proven(now clock.Milli, fingerprint uint64) bool {
 	t.rotate(now)
 	return t.proven[fingerprint] || t.provenBefore[fingerprint]
 }
 
-// rotate forgets old successful answers.
+// rotate starts a new period of successful answers if the current one is over or full, and
+// drops those of the period before the preceding one.
 func (t *Tracker) rotate(now clock.Milli) {
 	age := now - t.rotatedAt
 	if age < ProvenTTL && len(t.proven) < maxProven {
@@ -120,7 +125,7 @@
 	}
 }
 
-// Add stores a report and reports whether it was new.
+// Add stores a report and reports whether it was new. Nothing is stored beyond maxReports.
 func (t *Tracker) Add(at clock.Milli, fingerprint uint64, leaf string) bool {
 	if t.seen == nil {
 		t.seen = map[uint64]map[string]clock.Milli{}
@@ -138,8 +143,9 @@
 	return true
 }
 
-// Blocked reports whether a request is rejected. Each retry of a blocked request
-// extends the block.
+// Blocked reports whether a request is rejected, because BlockThreshold leaves have gone
+// down with it. It extends the block, so that the request is rejected for as long as it is
+// retried, and drops reports that have expired.
 func (t *Tracker) Blocked(now clock.Milli, fingerprint uint64) bool {
 	leaves := t.seen[fingerprint]
 	newest := clock.Milli(0)
--- a/share/crash/crash_test.go
+++ b/share/crash/crash_test.go
@@ -9,10 +9,12 @@
 	"dandelionstile/share/clock"
 )
 
+// Fingerprints of requests: one crashes leaves, the other is sent by many callers.
 const harmful, popular = 7, 8
 
-// A request is running on three leaves as they go down. It is rejected for as long as
-// its caller retries it, and admitted again once it stops for ReportTTL.
+// A request is running on three leaves as they go down; served again, it would crash more. It
+// is rejected for as long as its caller retries it, and admitted again once the retries have
+// stopped for ReportTTL.
 func TestRequestAtThreeLeavesIsRejected(t *testing.T) {
 	var tracker Tracker
 	now := clock.Milli(1000)
@@ -29,8 +31,8 @@
 	assert.Assert(t, !tracker.Blocked(now+ReportTTL+1, harmful))
 }
 
-// Leaves lose single replies but stay up, or go down long after a broken call. Neither
-// counts against the request.
+// Leaves lose single replies but stay up, or go down long after a broken call. The request
+// is not the cause, and must not be rejected for it.
 func TestBrokenCallAloneIsNoCrash(t *testing.T) {
 	var tracker Tracker
 	for i := range 2 * BlockThreshold {
@@ -41,8 +43,8 @@
 	assert.Assert(t, !tracker.Blocked(1000, harmful))
 }
 
-// Leaves that go down for another cause are running a request that many callers send
-// and that leaves answer successfully. It is not rejected.
+// Guards against blaming a request that many callers send: leaves that go down for another
+// cause are running it, but have answered it successfully before.
 func TestAnsweredRequestIsNotBlamed(t *testing.T) {
 	var tracker Tracker
 	tracker.RecordAnswer(1000, popular)
