--- a/share/call/call.go
+++ b/share/call/call.go
@@ -1,5 +1,5 @@
-// Package call holds the data that the tier passes through unread: a caller's request,
-// a leaf's reply, and the outcome of one call to a leaf.
+// Package call holds the data that hosts forward without reading it: a caller's request, a
+// leaf's reply, and the outcome of one call to a leaf.
 package call
 
 import "net/http"
@@ -31,7 +31,7 @@
 	Status int
 	Header http.Header
 	Body   []byte
-	// Stamp is the leaf's signature for this reply.
+	// Stamp is the leaf's stamp on this reply.
 	Stamp string
 	// Missing lists the shards that are missing from another host's merged answer.
 	Missing []string
@@ -59,7 +59,7 @@
 	// nothing was sent.
 	Withdrawn
 	// Full means that the leaf closed a new connection before anything was sent on it,
-	// as a leaf does that has reached its connection limit.
+	// as a leaf does when it has reached its connection limit.
 	Full
 	// Broken means that the connection ended, or carried no valid reply, after the
 	// request was sent. The request may have run.
--- a/share/rank/rank.go
+++ b/share/rank/rank.go
@@ -1,16 +1,17 @@
-// Package rank hashes names, so that hosts agree on an order, or each get their own,
-// without coordination.
+// Package rank hashes names. Hosts that hash the same names sort them alike, and hosts that
+// add their own name each get a different order, which spreads load. Neither needs messages
+// between them.
 package rank
 
 import "hash/fnv"
 
-// Hash hashes the concatenated parts of a name (FNV-1a). The hash is the same on all
-// hosts and in all versions: hosts of two versions must agree on an order while they
-// run side by side.
+// Hash hashes the concatenated parts of a name (FNV-1a); the parts are not separated. The hash
+// is the same on all hosts and in all versions: hosts of two versions must agree on an order
+// while they run side by side.
 func Hash(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
-		_, _ = h.Write([]byte(p)) // a hash never fails
+		_, _ = h.Write([]byte(p)) // hash.Hash: Write never returns an error
 	}
 	return h.Sum64()
 }
--- a/share/report/report.go
+++ b/share/report/report.go
@@ -11,7 +11,7 @@
 // Leaf is a host's report on its calls to a leaf.
 type Leaf struct {
 	ID string
-	// ExtraLatency is how much longer than usual replies take.
+	// ExtraLatency is how much longer replies take than those of a typical leaf.
 	ExtraLatency clock.Milli
 	// FailureRatio is the ratio of calls that fail.
 	FailureRatio float64
@@ -19,7 +19,7 @@
 
 const (
 	// minChange is the smallest reported change of a leaf's expected cost, in ms:
-	// smaller ones don't change which leaf is chosen.
+	// a smaller one doesn't change which leaf is chosen.
 	minChange = 20.0
 	// minRelativeChange is the smallest reported change relative to the last report.
 	minRelativeChange = 0.5
@@ -34,11 +34,12 @@
 	at   clock.Milli
 }
 
-// ShouldSend reports whether a leaf's new cost is worth a report.
+// ShouldSend reports whether a leaf's new cost differs enough from the last report, and the
+// last report is old enough, for another one.
 func (l *LastReport) ShouldSend(now clock.Milli, cost float64) bool {
 	change := math.Abs(cost - l.cost)
 	return change >= max(minChange, minRelativeChange*l.cost) && now >= l.at+minInterval
 }
 
-// Record stores a report that was sent or received.
+// Record stores the cost and time of a report that was sent or received.
 func (l *LastReport) Record(now clock.Milli, cost float64) { l.cost, l.at = cost, now }
--- a/share/report/report_test.go
+++ b/share/report/report_test.go
@@ -6,8 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A leaf becomes slow, then slightly slower, then recovers. Small changes and changes
-// right after a report are not sent.
+// Guards against a flood of reports on a leaf whose latency fluctuates: it becomes slow, then
+// slightly slower, then recovers. Small changes, and changes right after a report, are not
+// sent.
 func TestOnlyNotableChangesAreSent(t *testing.T) {
 	var l LastReport
 	assert.Assert(t, !l.ShouldSend(1000, minChange-1))
