--- a/share/router/types.go
+++ b/share/router/types.go
@@ -267,10 +267,10 @@
 	Cause   string
 }
 
-// NoteKind is the subject of a note.
+// NoteKind is the subject of a log record.
 type NoteKind int
 
-// Kinds of notes.
+// Kinds of log records.
 const (
 	NoteAdmitted NoteKind = iota
 	NoteAnswered
@@ -311,8 +311,8 @@
 // String returns the kind's name in logs and metrics.
 func (k NoteKind) String() string { return logNames[k] }
 
-// Failure reports whether the note explains a request that was not served in
-// full, or a state change; such notes are kept when others are dropped.
+// Failure reports whether the record explains a request that was not served in
+// full, or a state change; such records are kept when others are dropped.
 func (k NoteKind) Failure() bool {
 	switch k {
 	case NoteAdmitted, NoteAnswered, NoteHedged, NoteForwarded, NoteLeafReport:
