--- a/share/node/codec.go
+++ b/share/node/codec.go
@@ -18,6 +18,8 @@
 
 func itoa(n uint64) string { return strconv.FormatUint(n, 10) }
 
+// encodeStamp encodes the stamp of a version of a key; the key is empty where the
+// message names it elsewhere.
 func encodeStamp(key string, s syncer.Stamp) *wire.Stamp {
 	return &wire.Stamp{Key: key, Version: s.Version, Digest: s.Digest}
 }
@@ -26,6 +28,7 @@
 	return syncer.Stamp{Version: w.GetVersion(), Digest: w.GetDigest()}
 }
 
+// encodeStamps encodes stamps by key, in the order of the keys.
 func encodeStamps(stamps map[string]syncer.Stamp) *wire.Envelope {
 	w := &wire.Stamps{}
 	for key, s := range stamps {
@@ -59,7 +62,7 @@
 	return &wire.Envelope{Body: &wire.Envelope_Delta{Delta: w}}
 }
 
-// CompressItems marshals and compresses items.
+// CompressItems marshals and compresses items. expandItems is its inverse.
 func CompressItems(items *wire.Items) []byte {
 	plain, err := proto.Marshal(items)
 	if err != nil {
@@ -75,7 +78,8 @@
 	return b.Bytes()
 }
 
-// maxExpandedBytes bounds the expanded size of a peer's delta.
+// maxExpandedBytes bounds the memory that a peer's delta takes once expanded. A
+// larger delta is cut off there and then fails to unmarshal or to apply.
 const maxExpandedBytes = 64 << 20
 
 func expandItems(packed []byte) (*wire.Items, error) {
@@ -101,6 +105,7 @@
 	return d, nil
 }
 
+// encodeStrike encodes a strike. The peer acknowledges it if the ID is not 0.
 func encodeStrike(id uint64, s deny.Strike) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_Strike{Strike: &wire.Strike{
 		Id: id, Fingerprint: s.Fingerprint, Count: uint32(s.Count), LeftMs: uint32(s.TimeLeft),
--- a/share/node/heartbeats.go
+++ b/share/node/heartbeats.go
@@ -6,12 +6,15 @@
 	"dandelionstile/share/wire"
 )
 
+// handleHeartbeat records a peer's heartbeat, exchanges stamps if the peer has other
+// versions in force, and answers if the peer asks for an answer.
 func (n *Node) handleHeartbeat(now clock.Milli, p *peer, b *wire.Beat) {
 	p.lastHeartbeat = now
 	p.lastSequence, p.digest, p.echoedSequence = b.GetSequence(), b.GetDigest(), b.GetEcho()
+	// The sender adds 1 to the age, so that 0 means that it knows none.
 	known := b.GetPlatformAgeMs() > 0
 	age := clock.Milli(b.GetPlatformAgeMs()) - 1
-	n.act(now, n.engine.HandleHeartbeat(now, p.name, b.GetDigest(), age, known))
+	n.perform(now, n.engine.HandleHeartbeat(now, p.name, b.GetDigest(), age, known))
 	if b.GetLeaving() != p.leaving {
 		p.leaving = b.GetLeaving()
 		n.Delegate.PeerLeaving(now, p.link, p.leaving)
@@ -23,9 +26,9 @@
 	n.checkConfirmed(now)
 }
 
-// ConfirmVersions asks the peers whether the versions in force here are current.
-// The delegate learns of it by VersionsConfirmed. Heartbeats that a peer sent
-// before it received this request do not count.
+// ConfirmVersions asks the peers whether the versions in force here are current. Once
+// a peer with the same versions answers, the node calls the delegate's
+// VersionsConfirmed. Heartbeats that a peer sent before it received this request do not count.
 func (n *Node) ConfirmVersions(now clock.Milli) {
 	n.confirmSequence = n.sequence + 1
 	for _, p := range n.sortedPeers() {
@@ -33,6 +36,8 @@
 	}
 }
 
+// checkConfirmed completes a pending ConfirmVersions if a peer has answered a
+// heartbeat sent since and has the same versions in force.
 func (n *Node) checkConfirmed(now clock.Milli) {
 	if n.confirmSequence == 0 {
 		return
@@ -46,10 +51,12 @@
 	}
 }
 
-func (n *Node) sendHeartbeat(now clock.Milli, p *peer, answer bool) {
+// sendHeartbeat sends a peer a heartbeat and, if wantAnswer is set, asks for one in
+// return.
+func (n *Node) sendHeartbeat(now clock.Milli, p *peer, wantAnswer bool) {
 	n.sequence++
 	b := &wire.Beat{
-		Digest: n.engine.Digest(), Leaving: n.leaving, Sequence: n.sequence, Echo: p.lastSequence, Answer: answer,
+		Digest: n.engine.Digest(), Leaving: n.leaving, Sequence: n.sequence, Echo: p.lastSequence, Answer: wantAnswer,
 	}
 	if age, known := n.engine.PlatformAge(now); known {
 		b.PlatformAgeMs = uint32(age) + 1
@@ -57,8 +64,10 @@
 	n.Send(p.link, &wire.Envelope{Body: &wire.Envelope_Beat{Beat: b}})
 }
 
+// tick runs the periodic work: it sends the heartbeats that are due and closes the
+// links whose peers have missed too many.
 func (n *Node) tick(now clock.Milli) {
-	n.act(now, n.engine.Tick(now))
+	n.perform(now, n.engine.Tick(now))
 	for _, p := range n.sortedPeers() {
 		if now < p.nextHeartbeat {
 			continue
@@ -73,7 +82,8 @@
 	}
 }
 
-// heartbeatIntervalOf returns the interval between heartbeats on a link.
+// heartbeatIntervalOf returns the interval between heartbeats on a link. It is the
+// short one within a host and between aggregators.
 func (n *Node) heartbeatIntervalOf(p *peer) clock.Milli {
 	sameHost := p.link.Peer.GetHost() == n.Settings.Host.Name
 	if sameHost || (p.link.Peer.GetProgram() == Aggregator && n.Program == Aggregator) {
@@ -82,7 +92,8 @@
 	return remoteHeartbeatInterval
 }
 
-// AnnounceLeaving tells the peers that this process is shutting down.
+// AnnounceLeaving tells the peers that this process is shutting down, and makes the
+// delegate count this host as leaving if the process is an aggregator.
 func (n *Node) AnnounceLeaving(now clock.Milli) {
 	n.leaving = true
 	for _, p := range n.sortedPeers() {
--- a/share/node/loop.go
+++ b/share/node/loop.go
@@ -38,8 +38,8 @@
 	})
 }
 
-// Post queues a message for the loop and reports whether the loop still runs. It
-// blocks while the queue is full.
+// Post queues a message for the loop and returns true, or returns false once the
+// loop is closed. It blocks while the queue is full.
 func (l *Loop[M]) Post(m M) bool {
 	select {
 	case <-l.done:
@@ -55,7 +55,7 @@
 }
 
 // Every posts a message periodically. It skips a message when the queue is full,
-// as a tick that is already late needs no duplicate.
+// because a loop that is behind needs no second tick.
 func (l *Loop[M]) Every(d time.Duration, m M) {
 	l.wait.Go(func() {
 		tick := time.NewTicker(d)
@@ -74,7 +74,8 @@
 	})
 }
 
-// Close stops the loop and waits for its goroutines.
+// Close stops the loop and waits for its goroutines. Messages still in the queue are
+// not handled.
 func (l *Loop[M]) Close() error {
 	l.once.Do(func() { close(l.done) })
 	l.wait.Wait()
--- a/share/node/node.go
+++ b/share/node/node.go
@@ -1,7 +1,7 @@
 // Package node holds what an entry and an aggregator have in common: links to
 // peers, heartbeats, distribution of the configuration and host lists over the
-// links, and the exchange of crash reports. A program runs one Node within its
-// control loop.
+// links, and the exchange of strikes (reports of requests that crashed a backend
+// server). A program runs one Node within its control loop.
 package node
 
 import (
@@ -81,7 +81,8 @@
 // Delegate receives a Node's events; the program implements it. All calls come
 // from the control loop.
 type Delegate interface {
-	// Configure puts a configuration and host list in force.
+	// Configure puts a configuration and host list in force. It is called again when
+	// a host starts or stops leaving.
 	Configure(now clock.Milli, cfg *topo.Config, hosts []topo.Host)
 	LinkUp(now clock.Milli, l *mesh.Link)
 	LinkDown(now clock.Milli, l *mesh.Link, err error)
@@ -92,8 +93,8 @@
 	PeerLeaving(now clock.Milli, l *mesh.Link, leaving bool)
 	// MergeStrike merges a strike from a peer and reports whether it was new.
 	MergeStrike(now clock.Milli, s deny.Strike) bool
-	// VersionsConfirmed reports that a peer had the same versions in force as this
-	// node, as of after the last call of ConfirmVersions.
+	// VersionsConfirmed reports that since the last call of ConfirmVersions a peer
+	// answered that it has the same versions in force as this node.
 	VersionsConfirmed(now clock.Milli)
 	// LinkAddrs lists the addresses to keep links to.
 	LinkAddrs(cfg *topo.Config, hosts []topo.Host) []string
@@ -108,7 +109,7 @@
 	Log         zerolog.Logger
 	Meter       *meter.Meter
 	Delegate    Delegate
-	// Post queues a message for the control loop.
+	// Post queues a message for the control loop, which passes it to Handle.
 	Post func(Message) bool
 	// HTTP makes the calls to the platform.
 	HTTP *fetch.Engine
@@ -116,22 +117,24 @@
 	engine        syncer.Engine
 	mesh          mesh.Mesh
 	platform      platform
-	peers         map[uint64]*peer
+	peers         map[uint64]*peer // by link ID
 	cfg           *topo.Config
 	parser        topo.Parser
-	checkedConfig *topo.Config
+	checkedConfig *topo.Config           // the last configuration that was checked
 	hostsByKey    map[string][]topo.Host // host lists as read
 	// checkedHosts are the hosts of the last list that was checked.
-	checkedHosts    []topo.Host
-	hosts           []topo.Host
-	dialed          map[string]bool
-	leaving         bool
-	sequence        uint64
-	confirmSequence uint64 // heartbeat that a peer must echo to confirm; 0 when none is pending
-	strikes         map[uint64]*strikeBroadcast
-	lastID          uint64
-	reads           sync.WaitGroup
-	refused         []admin.Refused
+	checkedHosts []topo.Host
+	hosts        []topo.Host
+	// dialedAddrs are the addresses that LinkAddrs listed last, and the peers of the
+	// settings.
+	dialedAddrs      map[string]bool
+	leaving          bool
+	sequence         uint64                      // of the last heartbeat sent, to any peer
+	confirmSequence  uint64                      // heartbeat that a peer must echo to confirm; 0 when none is pending
+	strikeBroadcasts map[uint64]*strikeBroadcast // by ID
+	lastStrikeID     uint64
+	reads            sync.WaitGroup // platform reads in flight
+	rejected         []admin.Refused
 }
 
 // peer is the process at the other end of a link.
@@ -139,15 +142,16 @@
 	link           *mesh.Link
 	name           string
 	lastHeartbeat  clock.Milli
-	lastSequence   uint64
-	digest         uint64
-	echoedSequence uint64
+	lastSequence   uint64 // of the peer's last heartbeat
+	digest         uint64 // of the versions in force at the peer
+	echoedSequence uint64 // of the last heartbeat that the peer had received from here
 	leaving        bool
 	// nextHeartbeat is when the next heartbeat is due.
 	nextHeartbeat clock.Milli
 }
 
-// logTLSFault logs that the TLS files cannot be loaded, or can be again.
+// logTLSFault logs that the TLS files cannot be loaded, or, if err is nil, that they
+// can be again.
 func (n *Node) logTLSFault(err error) {
 	if err == nil {
 		n.Log.Info().Msg("tls files are valid again")
@@ -166,13 +170,13 @@
 		n.Log.Warn().Msg("links between hosts are not encrypted: no tls in the settings")
 	}
 	n.peers = map[uint64]*peer{}
-	n.dialed = map[string]bool{}
+	n.dialedAddrs = map[string]bool{}
 	n.hostsByKey = map[string][]topo.Host{}
-	n.strikes = map[uint64]*strikeBroadcast{}
+	n.strikeBroadcasts = map[uint64]*strikeBroadcast{}
 	n.platform = platform{engine: n.HTTP, address: n.Settings.Platform.Address}
 	n.engine = syncer.Engine{
 		WatchKeys: []string{KeyConfig, KeyHostsPrefix + n.Settings.Host.Domain},
-		Rank:      -1, Check: n.check,
+		Rank:      -1, Check: n.checkVersion,
 	}
 	n.mesh = mesh.Mesh{
 		Hello: &wire.Hello{
@@ -186,7 +190,7 @@
 	}
 	for _, addr := range n.Settings.Peers {
 		if addr != n.Settings.Listen.Links {
-			n.dialed[addr] = true
+			n.dialedAddrs[addr] = true
 			n.mesh.Dial(addr)
 		}
 	}
@@ -204,15 +208,15 @@
 
 func (h handler) RTT(l *mesh.Link, rtt time.Duration) { h.n.Post(RTT{l, rtt}) }
 
-// Handle processes a message.
+// Handle processes a message; the control loop calls it.
 func (n *Node) Handle(now clock.Milli, m Message) {
 	switch m := m.(type) {
 	case LinkUp:
-		n.linkUp(now, m.Link)
+		n.handleLinkUp(now, m.Link)
 	case LinkDown:
-		n.linkDown(now, m)
+		n.handleLinkDown(now, m)
 	case Frame:
-		n.frame(now, m.Link, m.Body)
+		n.handleFrame(now, m.Link, m.Body)
 	case RTT:
 		n.Delegate.RTT(now, m.Link, m.RoundTrip)
 	case PlatformRead:
@@ -220,20 +224,24 @@
 			n.Meter.Count("platform_read_failures", 1)
 			n.Log.Warn().Err(m.Read.Err).Str("key", m.Read.Key).Msg("platform read failed")
 		}
-		n.act(now, n.engine.HandleRead(now, m.Read))
+		n.perform(now, n.engine.HandleRead(now, m.Read))
 	case Tick:
 		n.tick(now)
 	}
 }
 
-func (n *Node) linkUp(now clock.Milli, l *mesh.Link) {
+// handleLinkUp records the peer of a new link and sends it the first heartbeat. The peer's
+// name contains the link's ID, so that it is unique even if a host has two links.
+func (n *Node) handleLinkUp(now clock.Milli, l *mesh.Link) {
 	n.peers[l.ID] = &peer{link: l, name: l.Peer.GetHost() + "/" + l.Peer.GetProgram() + "#" + itoa(l.ID), lastHeartbeat: now}
 	n.Log.Info().Str("peer", n.peers[l.ID].name).Msg("link up")
 	n.Delegate.LinkUp(now, l)
 	n.sendHeartbeat(now, n.peers[l.ID], false)
 }
 
-func (n *Node) linkDown(now clock.Milli, m LinkDown) {
+// handleLinkDown removes the peer of a closed link. Pulls and strikes that waited for the
+// peer continue without it.
+func (n *Node) handleLinkDown(now clock.Milli, m LinkDown) {
 	p := n.peers[m.Link.ID]
 	if p == nil {
 		return
@@ -241,14 +249,15 @@
 	delete(n.peers, m.Link.ID)
 	n.Meter.Count("links_lost", 1, meter.Label{Name: "cause", Value: lossCause(m.Err)})
 	n.Log.Info().Str("peer", p.name).AnErr("cause", m.Err).Msg("link down")
-	n.act(now, n.engine.RemovePeer(now, p.name))
-	for id := range n.strikes {
+	n.perform(now, n.engine.RemovePeer(now, p.name))
+	for id := range n.strikeBroadcasts {
 		n.strikeAcked(now, id, m.Link.ID)
 	}
 	n.Delegate.LinkDown(now, m.Link, m.Err)
 }
 
-// lossCause maps the error of a lost link to a value of the metric's cause label.
+// lossCause returns the value of the metric's cause label for the error of a lost
+// link.
 func lossCause(err error) string {
 	switch {
 	case errors.Is(err, mesh.ErrProtocol):
@@ -263,7 +272,9 @@
 	return "closed-there"
 }
 
-func (n *Node) frame(now clock.Milli, l *mesh.Link, m *wire.Envelope) {
+// handleFrame handles a message from a peer or forwards it to the delegate. Messages of a
+// link that is already down are dropped.
+func (n *Node) handleFrame(now clock.Milli, l *mesh.Link, m *wire.Envelope) {
 	p := n.peers[l.ID]
 	if p == nil {
 		return
@@ -272,16 +283,16 @@
 	case *wire.Envelope_Beat:
 		n.handleHeartbeat(now, p, b.Beat)
 	case *wire.Envelope_Stamps:
-		n.act(now, n.engine.HandleStamps(now, p.name, decodeStamps(b.Stamps)))
+		n.perform(now, n.engine.HandleStamps(now, p.name, decodeStamps(b.Stamps)))
 	case *wire.Envelope_Pull:
-		n.act(now, n.engine.HandlePull(now, p.name, b.Pull.GetHave().GetKey(), decodeStamp(b.Pull.GetHave())))
+		n.perform(now, n.engine.HandlePull(now, p.name, b.Pull.GetHave().GetKey(), decodeStamp(b.Pull.GetHave())))
 	case *wire.Envelope_Delta:
 		d, err := decodeDelta(b.Delta)
 		if err != nil {
 			n.Log.Warn().Err(err).Str("peer", p.name).Msg("failed to decode delta")
 			return
 		}
-		n.act(now, n.engine.HandleDelta(now, p.name, d))
+		n.perform(now, n.engine.HandleDelta(now, p.name, d))
 	case *wire.Envelope_Strike:
 		n.handleStrike(now, p, b.Strike)
 	case *wire.Envelope_StrikeAck:
@@ -291,9 +302,10 @@
 	}
 }
 
-// Send queues a message on a link and reports whether it was accepted.
+// Send queues a message on a link and reports whether the link accepted it.
 func (n *Node) Send(l *mesh.Link, m *wire.Envelope) bool { return l.Send(m) == nil }
 
+// sortedPeers returns the peers in the order in which their links were opened.
 func (n *Node) sortedPeers() []*peer {
 	list := make([]*peer, 0, len(n.peers))
 	for _, p := range n.peers {
@@ -303,10 +315,11 @@
 	return list
 }
 
-// Dial keeps a link to an address that LinkAddrs does not list.
+// Dial keeps a link to an address that LinkAddrs does not list. The link stays when
+// the host list changes.
 func (n *Node) Dial(addr string) { n.mesh.Dial(addr) }
 
-// Hosts returns the host list in force.
+// Hosts returns the hosts of all failure domains, as in the host lists in force.
 func (n *Node) Hosts() []topo.Host { return n.hosts }
 
 // Ready reports whether a configuration and a host list are in force.
--- a/share/node/platform.go
+++ b/share/node/platform.go
@@ -42,7 +42,8 @@
 	parts map[string][]byte // by hash
 }
 
-// read reads a whole set for a key.
+// read reads all items of a key. It returns nil for a watch that ends without a
+// change, and for a configuration older than the one in force.
 func (p *platform) read(r syncer.ReadPlatform) (*syncer.Set, error) {
 	if r.Key == KeyConfig {
 		return p.readConfig(r)
@@ -71,7 +72,7 @@
 	return syncer.NewSet(list.Version, items)
 }
 
-// ParseHostSet decodes the hosts of a set.
+// ParseHostSet decodes the hosts of a set, in the order of their names.
 func ParseHostSet(s *syncer.Set) ([]topo.Host, error) {
 	hosts := make([]topo.Host, 0, len(s.Items))
 	for _, it := range s.Sorted() {
@@ -84,6 +85,7 @@
 	return hosts, nil
 }
 
+// readConfig reads the manifest and the parts that it lists.
 func (p *platform) readConfig(r syncer.ReadPlatform) (*syncer.Set, error) {
 	body, err := p.get(manifestName, r)
 	if err != nil || body == nil {
@@ -98,7 +100,7 @@
 	}
 	parts := make([]topo.Part, 0, len(m.Parts))
 	for _, ref := range m.Parts {
-		body, err := p.part(ref.Hash)
+		body, err := p.readPart(ref.Hash)
 		if err != nil {
 			return nil, err
 		}
@@ -126,7 +128,9 @@
 	return parts
 }
 
-func (p *platform) part(hash string) ([]byte, error) {
+// readPart returns the content of a part of the configuration, from the cache or else
+// from the platform. An error is returned if the content does not match the hash.
+func (p *platform) readPart(hash string) ([]byte, error) {
 	p.mu.Lock()
 	body, ok := p.parts[hash]
 	p.mu.Unlock()
@@ -154,7 +158,8 @@
 	p.parts = byHash
 }
 
-// get reads one value. It returns nil for a watch that ends without a change.
+// get reads one value. It returns nil if the value has not changed: a watch ends so
+// after watchTimeout.
 func (p *platform) get(key string, r syncer.ReadPlatform) ([]byte, error) {
 	path := "/v1/values/" + url.PathEscape(key)
 	timeout := readTimeout
--- a/share/node/settings_test.go
+++ b/share/node/settings_test.go
@@ -13,6 +13,7 @@
 platform: {address: "127.0.0.1:3"}
 `
 
+// load loads a settings file with this text.
 func load(t *testing.T, text string) (Settings, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.yaml")
@@ -20,6 +21,8 @@
 	return Load(path)
 }
 
+// An entry without routes settings must not serve routes. With them, it must get the
+// addresses and bounds of the file.
 func TestRoutesSettings(t *testing.T) {
 	t.Parallel()
 	s, err := load(t, basic+"routes: {listen: \"127.0.0.1:4\", gossip: \"127.0.0.1:5\", relay: \"127.0.0.1:6\", seeds: [\"127.0.0.2:5\"], second-calls: {ratio: 0.1}}\n")
--- a/share/node/settings_tls.go
+++ b/share/node/settings_tls.go
@@ -61,13 +61,14 @@
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		ClientAuth: tls.RequireAndVerifyClientCert,
-		// A client's configuration is fixed once; verify reads the authority's file
-		// for each connection, as the server side does.
+		// A client's configuration is fixed once it dials, with no hook like the
+		// server's GetConfigForClient. So verify replaces the built-in check: it reads
+		// the authority's file for each connection.
 		InsecureSkipVerify:    true,
 		VerifyPeerCertificate: k.verify,
 		GetCertificate:        func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return k.cert(), nil },
 		GetClientCertificate:  func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return k.cert(), nil },
-		GetConfigForClient:    func(*tls.ClientHelloInfo) (*tls.Config, error) { return k.server(), nil },
+		GetConfigForClient:    func(*tls.ClientHelloInfo) (*tls.Config, error) { return k.serverConfig(), nil },
 	}, nil
 }
 
@@ -94,7 +95,7 @@
 	return identity{cert, pool}, nil
 }
 
-// certReloader keeps the last valid content of the files.
+// certReloader reads the files for each connection and keeps their last valid content.
 type certReloader struct {
 	settings TLSSettings
 	report   func(error)
@@ -105,8 +106,9 @@
 	lastFault string
 }
 
-// current reads the files and returns their last valid content.
-func (k *certReloader) current() identity {
+// reload reads the files and returns their last valid content. It reports a fault
+// when it appears or changes, and nil once the files are valid again.
+func (k *certReloader) reload() identity {
 	latest, err := k.settings.read()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -123,14 +125,15 @@
 	return k.lastValid
 }
 
+// cert returns this host's certificate, for either side of a connection.
 func (k *certReloader) cert() *tls.Certificate {
-	latest := k.current()
+	latest := k.reload()
 	return &latest.cert
 }
 
-// server returns the server side's configuration.
-func (k *certReloader) server() *tls.Config {
-	latest := k.current()
+// serverConfig returns the server side's configuration.
+func (k *certReloader) serverConfig() *tls.Config {
+	latest := k.reload()
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{latest.cert},
 		ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: latest.pool,
@@ -154,7 +157,7 @@
 		}
 	}
 	_, err = leaf.Verify(x509.VerifyOptions{
-		Roots: k.current().pool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
+		Roots: k.reload().pool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
 	return errors.Wrap(err, "verify peer")
 }
--- a/share/node/status.go
+++ b/share/node/status.go
@@ -6,23 +6,26 @@
 	"dandelionstile/share/syncer"
 )
 
-// maxRefused is how many refused versions the status lists.
-const maxRefused = 8
+// maxRejected is how many rejected versions the status lists.
+const maxRejected = 8
 
-func (n *Node) recordRefused(a syncer.Reject) {
-	n.refused = append(n.refused, admin.Refused{Key: a.Key, Version: a.Stamp.Version, Reason: a.Err.Error()})
-	if len(n.refused) > maxRefused {
-		n.refused = n.refused[1:]
+// recordRejected keeps a rejected version for the status, in place of the oldest one if
+// there are maxRejected.
+func (n *Node) recordRejected(a syncer.Reject) {
+	n.rejected = append(n.rejected, admin.Refused{Key: a.Key, Version: a.Stamp.Version, Reason: a.Err.Error()})
+	if len(n.rejected) > maxRejected {
+		n.rejected = n.rejected[1:]
 	}
 }
 
-// Status returns the node's state for the admin endpoint.
+// Status returns the node's state for the admin endpoint. PlatformAge is -1 if
+// neither this host nor a peer has reached the platform.
 func (n *Node) Status(now clock.Milli) admin.Node {
 	s := admin.Node{
 		Host: n.Settings.Host.Name, Domain: n.Settings.Host.Domain, Program: n.Program,
 		Incarnation: n.Incarnation, Ready: n.Ready(), Leaving: n.leaving,
 		Watching: n.engine.Watching(now), PlatformAge: -1,
-		Refused: append([]admin.Refused{}, n.refused...),
+		Refused: append([]admin.Refused{}, n.rejected...),
 	}
 	if age, known := n.engine.PlatformAge(now); known {
 		s.PlatformAge = int64(age)
--- a/share/node/strikes.go
+++ b/share/node/strikes.go
@@ -15,34 +15,37 @@
 // ShareStrike sends a strike to all peers and calls done once all of them have
 // acknowledged it. A peer whose link closes counts as if it had.
 func (n *Node) ShareStrike(now clock.Milli, s deny.Strike, done func(now clock.Milli)) {
-	n.lastID++
-	sh := &strikeBroadcast{pendingLinks: map[uint64]bool{}, done: done}
+	n.lastStrikeID++
+	broadcast := &strikeBroadcast{pendingLinks: map[uint64]bool{}, done: done}
 	for _, p := range n.sortedPeers() {
-		if n.Send(p.link, encodeStrike(n.lastID, s)) {
-			sh.pendingLinks[p.link.ID] = true
+		if n.Send(p.link, encodeStrike(n.lastStrikeID, s)) {
+			broadcast.pendingLinks[p.link.ID] = true
 		}
 	}
-	n.strikes[n.lastID] = sh
-	n.strikeAcked(now, n.lastID, 0)
+	n.strikeBroadcasts[n.lastStrikeID] = broadcast
+	n.strikeAcked(now, n.lastStrikeID, 0) // no link has ID 0: done is called here if no peer was reached
 }
 
-func (n *Node) strikeAcked(now clock.Milli, id, link uint64) {
-	sh := n.strikes[id]
-	if sh == nil {
+// strikeAcked records that the peer on a link has acknowledged a strike or that its
+// link has closed, and calls done after the last such peer.
+func (n *Node) strikeAcked(now clock.Milli, id, linkID uint64) {
+	broadcast := n.strikeBroadcasts[id]
+	if broadcast == nil {
 		return
 	}
-	delete(sh.pendingLinks, link)
-	if len(sh.pendingLinks) > 0 {
+	delete(broadcast.pendingLinks, linkID)
+	if len(broadcast.pendingLinks) > 0 {
 		return
 	}
-	delete(n.strikes, id)
-	if sh.done != nil {
-		sh.done(now)
+	delete(n.strikeBroadcasts, id)
+	if broadcast.done != nil {
+		broadcast.done(now)
 	}
 }
 
-// handleStrike merges a peer's strike, acknowledges it, and forwards it if it was
-// new. Known strikes are not forwarded, so each host forwards a strike once.
+// handleStrike merges a peer's strike, forwards it to the other peers if it was new,
+// and acknowledges it. Known strikes are not forwarded, so each host forwards a strike
+// once. Forwarded strikes have ID 0 and are not acknowledged.
 func (n *Node) handleStrike(now clock.Milli, p *peer, w *wire.Strike) {
 	s := decodeStrike(w)
 	if n.Delegate.MergeStrike(now, s) {
--- a/share/node/tls_test.go
+++ b/share/node/tls_test.go
@@ -153,9 +153,9 @@
 	addr := serveMesh(t, files, nil)
 	dialMesh(t, former.issue(t), addr).awaitLink(t)
 	files.replaceWith(t, next.issue(t))
-	late := dialMesh(t, former.issue(t), addr)
+	formerHost := dialMesh(t, former.issue(t), addr)
 	dialMesh(t, next.issue(t), addr).awaitLink(t)
-	assert.Equal(t, late.up.Load(), int64(0))
+	assert.Equal(t, formerHost.up.Load(), int64(0))
 }
 
 // Operators replace keys file by file, so for a moment key and certificate do not
@@ -187,6 +187,9 @@
 	assert.Equal(t, recoveries.Load(), int64(1))
 }
 
+// The operator sees every fault of the file at once, each with its line. The check of
+// fields that belong together runs only after the file decodes, so it has a file of
+// its own here.
 func TestSettingsFaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.yaml")
 	text := "host: {name: h}\nlisten: {links: here, admin: 127.0.0.1:1}\nplatform: {address: 127.0.0.1:2}\ntls: {cert: x}\nextra: 1\n"
--- a/share/node/versions.go
+++ b/share/node/versions.go
@@ -8,8 +8,9 @@
 	"dandelionstile/share/wire"
 )
 
-// check decides whether a version is valid. The result depends on the set alone.
-func (n *Node) check(key string, s *syncer.Set) error {
+// checkVersion returns an error if a version is invalid. The result depends on the set alone.
+// The parsed configuration or host list is kept for adopt, which follows if it is valid.
+func (n *Node) checkVersion(key string, s *syncer.Set) error {
 	if key == KeyConfig {
 		var err error
 		n.checkedConfig, err = n.parser.Parse(s.Version, configParts(s))
@@ -20,7 +21,9 @@
 	return err
 }
 
-func (n *Node) act(now clock.Milli, actions []syncer.Action) {
+// perform carries out the actions of the syncer engine. The platform is read in another
+// goroutine, which posts the result to the control loop.
+func (n *Node) perform(now clock.Milli, actions []syncer.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case syncer.SendPull:
@@ -35,7 +38,7 @@
 				n.Post(PlatformRead{syncer.ReadResult{Key: a.Key, Set: set, Err: err}})
 			})
 		case syncer.Reject:
-			n.recordRefused(a)
+			n.recordRejected(a)
 			n.Log.Error().Err(a.Err).Str("key", a.Key).Uint64("version", a.Stamp.Version).
 				Msg("rejected invalid version; keeping the previous one")
 		case syncer.Adopt:
@@ -44,6 +47,7 @@
 	}
 }
 
+// sendTo queues a message for the peer of this name, if it has a link.
 func (n *Node) sendTo(name string, m *wire.Envelope) {
 	for _, p := range n.peers {
 		if p.name == name {
@@ -52,6 +56,8 @@
 	}
 }
 
+// adopt puts a version in force. While a ConfirmVersions is pending, it asks the peers
+// again because their answers refer to the previous versions.
 func (n *Node) adopt(now clock.Milli, a syncer.Adopt) {
 	n.Log.Info().Str("key", a.Key).Uint64("version", a.Stamp.Version).Msg("version in force")
 	if a.Key == KeyConfig {
@@ -102,7 +108,8 @@
 	return -1
 }
 
-// configure passes the versions in force to the delegate. Hosts that announced
+// configure passes the versions in force to the delegate and updates the links. It does
+// nothing until there are a configuration and a host list. Hosts that announced
 // their leaving count as leaving even before the host list marks them.
 func (n *Node) configure(now clock.Milli) {
 	if n.cfg == nil || len(n.hosts) == 0 {
@@ -125,6 +132,8 @@
 	n.updateLinks(hosts)
 }
 
+// updateLinks dials the addresses that the delegate now lists and disconnects those
+// that it no longer lists. Links to the peers of the settings stay.
 func (n *Node) updateLinks(hosts []topo.Host) {
 	want := map[string]bool{}
 	for _, addr := range n.Delegate.LinkAddrs(n.cfg, hosts) {
@@ -133,22 +142,23 @@
 		}
 	}
 	for addr := range want {
-		if !n.dialed[addr] {
+		if !n.dialedAddrs[addr] {
 			n.mesh.Dial(addr)
 		}
 	}
-	for addr := range n.dialed {
-		if !want[addr] && !n.isSeed(addr) {
+	for addr := range n.dialedAddrs {
+		if !want[addr] && !n.isConfiguredPeer(addr) {
 			n.mesh.Disconnect(addr)
 		}
 	}
 	for _, addr := range n.Settings.Peers {
 		want[addr] = true
 	}
-	n.dialed = want
+	n.dialedAddrs = want
 }
 
-func (n *Node) isSeed(addr string) bool {
+// isConfiguredPeer reports whether an address is one of the settings' peers.
+func (n *Node) isConfiguredPeer(addr string) bool {
 	for _, s := range n.Settings.Peers {
 		if s == addr {
 			return true
