--- a/share/mesh/mesh.go
+++ b/share/mesh/mesh.go
@@ -1,6 +1,6 @@
 // Package mesh carries messages between dandelionstile's processes: protobuf
 // frames on a few long-lived yamux streams per peer. It owns the sockets of all
-// links and passes received messages to a Handler.
+// links and hands received messages to a Handler.
 package mesh
 
 import (
@@ -43,7 +43,7 @@
 	// sendQueueLen is how many messages a stream queues before Send returns ErrBusy.
 	sendQueueLen = 1024
 	dialTimeout  = 2 * time.Second
-	// idlePingInterval is the pause between pings on a link without traffic, and
+	// idlePingInterval is the interval between pings on a link without traffic, and
 	// busyPingInterval on a link with traffic. A ping that takes longer than
 	// pingTimeout closes the link. The side that dialed sends the pings.
 	idlePingInterval = 2 * time.Second
@@ -67,7 +67,7 @@
 	RTT(l *Link, rtt time.Duration)
 }
 
-// Link is one connection to a peer.
+// Link is one connection to a peer. It is ready once Handler.Up has been called.
 type Link struct {
 	// ID is unique among all links of a process.
 	ID uint64
@@ -93,6 +93,8 @@
 	return l.enqueue(l.queues[l.streamFor(m)], m)
 }
 
+// enqueue adds a message to a queue. It returns ErrClosed if the link is closed and
+// ErrBusy if the queue is full.
 func (l *Link) enqueue(q chan *wire.Envelope, m *wire.Envelope) error {
 	select {
 	case <-l.done:
@@ -125,7 +127,8 @@
 	return 0
 }
 
-// Fail closes the link without waiting, so it may be called from a Handler.
+// Fail closes the link without waiting, so it may be called from a Handler. The error
+// of the first call is the one that Handler.Down gets.
 func (l *Link) Fail(err error) {
 	l.once.Do(func() {
 		l.err = err
@@ -160,7 +163,7 @@
 	listener net.Listener
 	closed   bool
 	wait     sync.WaitGroup
-	accepted atomic.Int64
+	accepted atomic.Int64 // open accepted connections
 }
 
 // DefaultMaxLinks is the default limit on accepted links.
@@ -179,6 +182,8 @@
 	return ln.Addr(), nil
 }
 
+// accept serves each accepted connection until the listener is closed. Beyond
+// MaxLinks, it closes new connections at once.
 func (m *Mesh) accept(ln net.Listener) {
 	limit := int64(m.MaxLinks)
 	if limit == 0 {
@@ -203,7 +208,7 @@
 			if m.TLS != nil {
 				c = tls.Server(c, m.TLS)
 			}
-			m.run(c, "", yamux.Server)
+			m.serve(c, "", yamux.Server)
 		})
 	}
 }
@@ -244,6 +249,9 @@
 	}
 }
 
+// redial dials an address until ctx ends, with exponential backoff, and serves each
+// link until it closes. An attempt that took longer than maxRedialDelay, most of all a
+// link that lasted, resets the backoff.
 func (m *Mesh) redial(ctx context.Context, addr string) {
 	delay := minRedialDelay
 	for ctx.Err() == nil {
@@ -253,7 +261,7 @@
 			if m.TLS != nil {
 				c = tls.Client(c, m.TLS)
 			}
-			m.run(c, addr, yamux.Client)
+			m.serve(c, addr, yamux.Client)
 		}
 		if time.Since(started) > maxRedialDelay {
 			delay = minRedialDelay
@@ -266,23 +274,25 @@
 	}
 }
 
+// yamuxConfig returns the settings of a connection's yamux session.
 func yamuxConfig() *yamux.Config {
 	c := yamux.DefaultConfig()
-	c.EnableKeepAlive = false // Link.ping replaces it and measures the round-trip time
+	c.EnableKeepAlive = false // Link.pingLoop replaces it and measures the round-trip time
 	c.ConnectionWriteTimeout = pingTimeout
 	c.MaxStreamWindowSize = MaxFrameBytes
 	c.LogOutput = io.Discard
 	return c
 }
 
-// run serves a connection until its link is closed.
-func (m *Mesh) run(c net.Conn, dialed string, side func(io.ReadWriteCloser, *yamux.Config) (*yamux.Session, error)) {
-	session, err := side(c, yamuxConfig())
+// serve serves a connection until its link is closed. dialedAddr is empty for an accepted
+// connection. The Handler gets Up and Down only if the hellos were exchanged.
+func (m *Mesh) serve(c net.Conn, dialedAddr string, newSession func(io.ReadWriteCloser, *yamux.Config) (*yamux.Session, error)) {
+	session, err := newSession(c, yamuxConfig())
 	if err != nil {
 		_ = c.Close() // nothing was sent on it
 		return
 	}
-	l := &Link{ID: lastLinkID.Add(1), DialedAddr: dialed, session: session, done: make(chan struct{})}
+	l := &Link{ID: lastLinkID.Add(1), DialedAddr: dialedAddr, session: session, done: make(chan struct{})}
 	for i := range l.queues {
 		l.queues[i] = make(chan *wire.Envelope, sendQueueLen)
 	}
@@ -291,7 +301,7 @@
 		return
 	}
 	defer m.remove(l)
-	streams, err := l.openStreams(dialed != "")
+	streams, err := l.openStreams(dialedAddr != "")
 	if err == nil {
 		err = m.exchangeHello(l, streams[0])
 	}
@@ -301,16 +311,17 @@
 	}
 	m.Handler.Up(l)
 	for i, s := range streams {
-		l.wait.Go(func() { l.write(s, l.queues[i]) })
-		l.wait.Go(func() { l.read(s, m.Handler) })
+		l.wait.Go(func() { l.writeLoop(s, l.queues[i]) })
+		l.wait.Go(func() { l.readLoop(s, m.Handler) })
 	}
-	if dialed != "" {
-		l.wait.Go(func() { l.ping(m.Handler) })
+	if dialedAddr != "" {
+		l.wait.Go(func() { l.pingLoop(m.Handler) })
 	}
 	l.wait.Wait()
 	m.Handler.Down(l, l.err)
 }
 
+// add records a link for Close and Disconnect. It returns false if the mesh is closed.
 func (m *Mesh) add(l *Link) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -336,7 +347,8 @@
 	r *bufio.Reader
 }
 
-// openStreams opens or accepts all streams, within helloTimeout.
+// openStreams opens or accepts all streams. If that takes longer than helloTimeout, it
+// closes the link.
 func (l *Link) openStreams(dialer bool) ([]stream, error) {
 	timer := time.AfterFunc(helloTimeout, func() { l.Fail(ErrUnresponsive) })
 	defer timer.Stop()
@@ -359,7 +371,8 @@
 	return streams, nil
 }
 
-// exchangeHello sends this process's hello and reads the peer's.
+// exchangeHello sends this process's hello and sets the link's Peer to the one that it
+// reads.
 func (m *Mesh) exchangeHello(l *Link, s stream) error {
 	deadline := time.Now().Add(helloTimeout)
 	_ = s.SetDeadline(deadline) // a stream accepts any deadline
@@ -379,12 +392,13 @@
 	return nil
 }
 
+// unmarshal reads one message of at most MaxFrameBytes.
 func unmarshal(r protodelim.Reader, m *wire.Envelope) error {
 	return protodelim.UnmarshalOptions{MaxSize: MaxFrameBytes}.UnmarshalFrom(r, m)
 }
 
-// write sends queued messages and combines small ones into one write.
-func (l *Link) write(s stream, q chan *wire.Envelope) {
+// writeLoop sends the messages of a queue until the link is closed.
+func (l *Link) writeLoop(s stream, q chan *wire.Envelope) {
 	w := bufio.NewWriterSize(s, 16<<10)
 	for {
 		select {
@@ -399,6 +413,8 @@
 	}
 }
 
+// writeQueued writes a message and all others that are queued by then, and flushes once,
+// so that small messages share a write.
 func (l *Link) writeQueued(w *bufio.Writer, m *wire.Envelope, q chan *wire.Envelope) error {
 	for {
 		if _, err := protodelim.MarshalTo(w, m); err != nil {
@@ -413,7 +429,9 @@
 	}
 }
 
-func (l *Link) read(s stream, h Handler) {
+// readLoop passes the messages of a stream to the handler. It closes the link when the
+// stream ends or a message violates the protocol.
+func (l *Link) readLoop(s stream, h Handler) {
 	for {
 		m := &wire.Envelope{}
 		if err := unmarshal(s.r, m); err != nil {
@@ -441,10 +459,10 @@
 	return errors.Mark(errors.Wrap(err, "read from peer"), ErrProtocol)
 }
 
-// ping measures the round-trip time and closes a link that no longer responds, for
+// pingLoop measures the round-trip time and closes a link that no longer responds, for
 // example because a middlebox dropped the connection's state. Without pings, calls
 // on such a link would be lost until TCP gives up minutes later.
-func (l *Link) ping(h Handler) {
+func (l *Link) pingLoop(h Handler) {
 	tick := time.NewTicker(idlePingInterval)
 	defer tick.Stop()
 	for {
@@ -462,8 +480,9 @@
 	}
 }
 
-// waitForPing waits until the next ping is due. It returns false if the link is
-// closed first.
+// waitForPing waits until the next ping is due: at the first tick without a frame since
+// the tick before, or else after busyPingInterval. It returns false if the link is closed
+// first.
 func (l *Link) waitForPing(tick <-chan time.Time) bool {
 	for pinged := time.Now(); ; {
 		before := l.frames.Load()
--- a/share/mesh/mesh_test.go
+++ b/share/mesh/mesh_test.go
@@ -46,12 +46,14 @@
 
 func (r *recorder) RTT(*Link, time.Duration) {}
 
+// counts returns the numbers of links up, links down and frames.
 func (r *recorder) counts() (up, down, frames int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.up), r.down, len(r.frames)
 }
 
+// await waits up to 10 s until the numbers of events meet a condition.
 func (r *recorder) await(t *testing.T, what string, cond func(up, down, frames int) bool) {
 	t.Helper()
 	for range 1000 {
@@ -63,7 +65,9 @@
 	t.Fatalf("still waiting: %s", what)
 }
 
-func pair(t *testing.T) (server, client *recorder, addr string) {
+// startLinkedPair starts two meshes with a link between them and returns their events and the
+// server's address.
+func startLinkedPair(t *testing.T) (server, client *recorder, addr string) {
 	t.Helper()
 	server, client = &recorder{}, &recorder{}
 	s := &Mesh{Hello: &wire.Hello{Host: "s"}, Handler: server}
@@ -79,10 +83,11 @@
 	return server, client, bound.String()
 }
 
+// A message could be lost without an error, or a goroutine could outlive Close.
 func TestMessagesPassAndCloseWaits(t *testing.T) {
 	ignore := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, ignore) })
-	server, client, _ := pair(t)
+	server, client, _ := startLinkedPair(t)
 	l := client.up[0]
 	assert.Equal(t, l.Peer.GetHost(), "s")
 	for range 100 {
@@ -94,7 +99,7 @@
 // A foreign client or a broken peer connects to the links' port and sends garbage.
 // That must close its own connection and no other link.
 func TestGarbageEndsOnlyItsOwnLink(t *testing.T) {
-	server, client, addr := pair(t)
+	server, client, addr := startLinkedPair(t)
 	for _, garbage := range [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n"), bytes.Repeat([]byte{0xff}, 4096), {0, 1, 0, 0}} {
 		conn, err := net.Dial("tcp", addr)
 		assert.NilError(t, err)
@@ -108,13 +113,15 @@
 
 // A message over MaxFrameBytes must close the link before memory is allocated for it.
 func TestOversizeMessageClosesTheLink(t *testing.T) {
-	server, client, _ := pair(t)
+	server, client, _ := startLinkedPair(t)
 	big := &wire.Envelope{Body: &wire.Envelope_Delta{Delta: &wire.Delta{Packed: make([]byte, MaxFrameBytes+1)}}}
 	assert.NilError(t, client.up[0].Send(big))
 	server.await(t, "link down", func(_, down, frames int) bool { return down == 1 && frames == 0 })
 	assert.Assert(t, errors.Is(server.err, ErrProtocol), "%v", server.err)
 }
 
+// A peer sends arbitrary bytes. They must not crash the reader, and no outcome may have
+// a kind that the programs don't know.
 func FuzzFrame(f *testing.F) {
 	var b bytes.Buffer
 	_, err := protodelim.MarshalTo(&b, &wire.Envelope{Body: &wire.Envelope_Beat{Beat: &wire.Beat{Sequence: 1}}})
@@ -129,8 +136,8 @@
 			return
 		}
 		if o := m.GetOutcomes(); o != nil {
-			for _, one := range o.GetOutcomes() {
-				if k := wire.OutcomeFrom(one).Kind; k.String() == "invalid" {
+			for _, outcome := range o.GetOutcomes() {
+				if k := wire.OutcomeFrom(outcome).Kind; k.String() == "invalid" {
 					t.Fatal("outcome has an invalid kind")
 				}
 			}
