--- a/share/syncer/engine.go
+++ b/share/syncer/engine.go
@@ -29,10 +29,10 @@
 	maxPrevious = 16
 )
 
-// Defaults for fields that are left zero.
+// Numbers of watchers.
 const (
-	// DefaultWatchers is how many hosts per failure domain watch the platform
-	// while it can be reached.
+	// DefaultWatchers is how many hosts per failure domain watch the platform while
+	// it can be reached, if Engine.Watchers is 0.
 	DefaultWatchers = 2
 	// maxExtraWatchers is how many more hosts of a failure domain may be promoted.
 	maxExtraWatchers = 4
@@ -54,14 +54,15 @@
 	Delta Delta
 }
 
-// SendStamps sends a peer the stamps of versions in force here.
+// SendStamps sends a peer stamps of versions in force here, so that it pulls those that
+// are newer than its own.
 type SendStamps struct {
 	Peer   string
 	Stamps map[string]Stamp
 }
 
-// ReadPlatform asks the platform for a key. If Watch is set, the read waits for a
-// version other than After.
+// ReadPlatform asks the platform for a key. If Watch is set, the platform answers only
+// once it has a version other than After, or when the watch times out.
 type ReadPlatform struct {
 	Key   string
 	After uint64
@@ -89,8 +90,8 @@
 func (Adopt) action()        {}
 func (Reject) action()       {}
 
-// ReadResult is the result of a ReadPlatform: a whole set, or an error. The program
-// assembles the set from its parts.
+// ReadResult is the result of a ReadPlatform: a whole set, an error, or neither if a
+// watch ended without a change. The program assembles the set from its parts.
 type ReadResult struct {
 	Key string
 	Set *Set
@@ -109,40 +110,44 @@
 	// Rank is the host's rank among those of its failure domain; -1 means that it is
 	// never a watcher. It may be changed when the host list changes.
 	Rank int
-	// Watchers is how many hosts of a failure domain watch the platform.
+	// Watchers is how many hosts of a failure domain watch the platform; 0 means
+	// DefaultWatchers.
 	Watchers int
 	// Check validates a version before it goes into force. Its result must depend on
 	// the set alone, so that every host reaches the same result.
 	Check func(key string, s *Set) error
 
-	started       clock.Milli
-	platformHeard clock.Milli // last contact to the platform that this host or a peer reported; 0 for none
-	keys          map[string]*keyState
-	peers         map[string]*peer
-	readers       map[string]*reader
-	requiredKeys  []string
-	digest        uint64
+	started           clock.Milli
+	platformContactAt clock.Milli // last contact to the platform that this host or a peer reported; 0 for none
+	keys              map[string]*keyState
+	peers             map[string]*peer
+	readers           map[string]*reader
+	requiredKeys      []string
+	digest            uint64
 }
 
+// keyState holds the versions of one key.
 type keyState struct {
 	current  *Set
 	stamp    Stamp
 	previous []*Set
-	refused  Stamp
-	// pull in flight
+	rejected Stamp // of the last invalid version, so that it is not pulled again
+	// pullPeer is the peer whose delta is awaited since pulledAt; empty if none is.
 	pullPeer string
 	pulledAt clock.Milli
-	attempts int
+	attempts int // pulls since a version was adopted or none was offered; selects the peer to ask
 	// how many peers were sent the version since windowStart
 	served      int
 	windowStart clock.Milli
 }
 
+// peer is what is known about the versions of a peer.
 type peer struct {
 	stamps map[string]Stamp
 	digest uint64
 }
 
+// init creates the maps at the first call and sets the start time.
 func (e *Engine) init(now clock.Milli) {
 	if e.keys != nil {
 		return
@@ -159,13 +164,14 @@
 	}
 }
 
+// stateOf returns the state of a key, and adds the key if it is new.
 func (e *Engine) stateOf(k string) *keyState {
-	v, ok := e.keys[k]
+	state, ok := e.keys[k]
 	if !ok {
-		v = &keyState{}
-		e.keys[k] = v
+		state = &keyState{}
+		e.keys[k] = state
 	}
-	return v
+	return state
 }
 
 // Stamp returns the stamp of the version in force for a key.
@@ -191,20 +197,21 @@
 // PlatformAge returns the time since the last contact to the platform that this
 // host or a peer reported, and whether there was one.
 func (e *Engine) PlatformAge(now clock.Milli) (clock.Milli, bool) {
-	if e.platformHeard == 0 {
+	if e.platformContactAt == 0 {
 		return 0, false
 	}
-	return now - e.platformHeard, true
+	return now - e.platformContactAt, true
 }
 
-// HandleHeartbeat processes a peer's heartbeat: the digest of its versions and the
-// time since the last contact to the platform that it knows of.
-func (e *Engine) HandleHeartbeat(now clock.Milli, from string, digest uint64, age clock.Milli, known bool) []Action {
+// HandleHeartbeat processes a peer's heartbeat: the digest of its versions and, if known,
+// the time since any host it knows of last reached the platform. If the digests differ,
+// it sends the peer the stamps of all versions in force.
+func (e *Engine) HandleHeartbeat(now clock.Milli, from string, digest uint64, platformAge clock.Milli, platformAgeKnown bool) []Action {
 	e.init(now)
-	p := e.peer(from)
+	p := e.peerOf(from)
 	p.digest = digest
-	if known {
-		e.platformHeard = max(e.platformHeard, now-age)
+	if platformAgeKnown {
+		e.platformContactAt = max(e.platformContactAt, now-platformAge)
 	}
 	if digest == e.digest {
 		return nil
@@ -212,7 +219,8 @@
 	return []Action{SendStamps{Peer: from, Stamps: e.allStamps()}}
 }
 
-func (e *Engine) peer(name string) *peer {
+// peerOf returns the record of a peer, and adds one if there is none.
+func (e *Engine) peerOf(name string) *peer {
 	p, ok := e.peers[name]
 	if !ok {
 		p = &peer{stamps: map[string]Stamp{}}
@@ -221,6 +229,7 @@
 	return p
 }
 
+// allStamps returns the stamps of all versions in force, by key.
 func (e *Engine) allStamps() map[string]Stamp {
 	m := make(map[string]Stamp, len(e.keys))
 	for k, v := range e.keys {
@@ -231,7 +240,8 @@
 	return m
 }
 
-// RemovePeer removes a peer whose link is closed.
+// RemovePeer removes a peer whose link is closed. Pulls that it has not answered go to
+// other peers.
 func (e *Engine) RemovePeer(now clock.Milli, name string) []Action {
 	e.init(now)
 	delete(e.peers, name)
@@ -250,6 +260,7 @@
 	*keyState
 }
 
+// sortedKeys returns the keys by name, so that actions come in the same order each time.
 func (e *Engine) sortedKeys() []namedKey {
 	list := make([]namedKey, 0, len(e.keys))
 	for k, v := range e.keys {
--- a/share/syncer/pull.go
+++ b/share/syncer/pull.go
@@ -9,12 +9,13 @@
 	"dandelionstile/share/clock"
 )
 
-// HandleStamps records a peer's stamps and pulls newer versions.
+// HandleStamps records a peer's stamps and pulls newer versions. If one of the stamps is
+// older than the version here, it sends the peer the stamps of all versions in force.
 func (e *Engine) HandleStamps(now clock.Milli, from string, stamps map[string]Stamp) []Action {
 	e.init(now)
-	p := e.peer(from)
+	p := e.peerOf(from)
 	var out []Action
-	older := false
+	peerHasOlder := false
 	names := make([]string, 0, len(stamps))
 	for k := range stamps {
 		names = append(names, k)
@@ -22,46 +23,48 @@
 	sort.Strings(names)
 	for _, k := range names {
 		p.stamps[k] = stamps[k]
-		v := e.stateOf(k)
-		if stamps[k].Less(v.stamp) {
-			older = true
+		state := e.stateOf(k)
+		if stamps[k].Less(state.stamp) {
+			peerHasOlder = true
 		}
-		out = append(out, e.pull(now, k, v)...)
+		out = append(out, e.pull(now, k, state)...)
 	}
-	if older {
+	if peerHasOlder {
 		out = append(out, SendStamps{Peer: from, Stamps: e.allStamps()})
 	}
 	return out
 }
 
-// pull asks one peer at a time for a newer version of a key. If a peer does not
-// answer because it is frozen or has reached maxServes, the next peer is asked.
-func (e *Engine) pull(now clock.Milli, key string, v *keyState) []Action {
-	if v.pullPeer != "" && now-v.pulledAt < pullTimeout {
+// pull asks a peer for the newest version of a key, if it is newer than the one in force.
+// It asks one peer at a time and does nothing while a pull is in flight. A peer that does
+// not answer within pullTimeout, because it is frozen or has reached maxServes, is
+// followed by the next one.
+func (e *Engine) pull(now clock.Milli, key string, state *keyState) []Action {
+	if state.pullPeer != "" && now-state.pulledAt < pullTimeout {
 		return nil
 	}
-	best := v.stamp
-	if best.Less(v.refused) {
-		best = v.refused
+	newest := state.stamp
+	if newest.Less(state.rejected) {
+		newest = state.rejected
 	}
-	var offers []string
+	var candidates []string
 	for name, p := range e.peers {
 		s := p.stamps[key]
 		switch {
-		case best.Less(s):
-			best, offers = s, []string{name}
-		case s == best && len(offers) > 0:
-			offers = append(offers, name)
+		case newest.Less(s):
+			newest, candidates = s, []string{name}
+		case s == newest && len(candidates) > 0:
+			candidates = append(candidates, name)
 		}
 	}
-	if len(offers) == 0 {
-		v.pullPeer, v.attempts = "", 0
+	if len(candidates) == 0 {
+		state.pullPeer, state.attempts = "", 0
 		return nil
 	}
-	from := orderForVersion(offers, key, best)[v.attempts%len(offers)]
-	v.attempts++
-	v.pullPeer, v.pulledAt = from, now
-	return []Action{SendPull{Peer: from, Key: key, Have: v.stamp}}
+	from := orderForVersion(candidates, key, newest)[state.attempts%len(candidates)]
+	state.attempts++
+	state.pullPeer, state.pulledAt = from, now
+	return []Action{SendPull{Peer: from, Key: key, Have: state.stamp}}
 }
 
 // orderForVersion orders peers differently for each version, so that the same
@@ -78,72 +81,77 @@
 	return names
 }
 
-// HandlePull answers a peer that asks for a version newer than the one it has.
+// HandlePull answers a peer that asks for a version newer than the one it has. The delta
+// starts at the peer's version if that is kept here, or else contains all items. There is
+// no answer if this host has nothing newer or has reached maxServes.
 func (e *Engine) HandlePull(now clock.Milli, from, key string, have Stamp) []Action {
 	e.init(now)
-	v, ok := e.keys[key]
-	if !ok || v.current == nil || !have.Less(v.stamp) {
+	state, ok := e.keys[key]
+	if !ok || state.current == nil || !have.Less(state.stamp) {
 		return nil
 	}
 	var base *Set
-	for _, old := range v.previous {
+	for _, old := range state.previous {
 		if old.Stamp() == have {
 			base = old
 		}
 	}
-	if now-v.windowStart >= serveWindow {
-		v.served, v.windowStart = 0, now
+	if now-state.windowStart >= serveWindow {
+		state.served, state.windowStart = 0, now
 	}
-	if v.served >= maxServes {
+	if state.served >= maxServes {
 		// Other peers have the version by now. Without the limit, a host with many
 		// links would send it to all of them.
 		return nil
 	}
-	v.served++
-	return []Action{SendDelta{Peer: from, Delta: v.current.diff(key, base)}}
+	state.served++
+	return []Action{SendDelta{Peer: from, Delta: state.current.diff(key, base)}}
 }
 
-// HandleDelta processes a peer's answer to a pull.
+// HandleDelta processes a peer's answer to a pull. A delta that starts at another version
+// than the one in force is pulled again; if a delta does not produce the version that it
+// names, the peer is asked for all items.
 func (e *Engine) HandleDelta(now clock.Milli, from string, d Delta) []Action {
 	e.init(now)
-	v := e.stateOf(d.Key)
-	if v.pullPeer == from {
-		v.pullPeer = ""
+	state := e.stateOf(d.Key)
+	if state.pullPeer == from {
+		state.pullPeer = ""
 	}
-	if !v.stamp.Less(d.To) {
+	if !state.stamp.Less(d.To) {
 		return nil
 	}
-	if d.From.Version != 0 && d.From != v.stamp {
-		return e.pull(now, d.Key, v)
+	if d.From.Version != 0 && d.From != state.stamp {
+		return e.pull(now, d.Key, state)
 	}
-	s, err := v.current.apply(d)
+	s, err := state.current.apply(d)
 	if err != nil {
-		return []Action{SendPull{Peer: from, Key: d.Key}}
+		return []Action{SendPull{Peer: from, Key: d.Key}} // an empty Have asks for all items
 	}
 	return e.adoptIfNewer(now, d.Key, s)
 }
 
-// adoptIfNewer puts a newer version in force if it is valid, and notifies the peers.
-// Versions never go back: an older stamp is ignored, whatever its source.
+// adoptIfNewer puts a newer version in force if it is valid, and sends its stamp to the
+// peers that have an older one. Versions never go back: an older stamp is ignored,
+// whatever its source.
 func (e *Engine) adoptIfNewer(now clock.Milli, key string, s *Set) []Action {
-	v := e.stateOf(key)
+	state := e.stateOf(key)
 	stamp := s.Stamp()
-	if !v.stamp.Less(stamp) || stamp == v.refused {
+	if !state.stamp.Less(stamp) || stamp == state.rejected {
 		return nil
 	}
 	if e.Check != nil {
 		if err := e.Check(key, s); err != nil {
-			v.refused = stamp
+			state.rejected = stamp
 			return []Action{Reject{Key: key, Stamp: stamp, Err: err}}
 		}
 	}
-	if v.current != nil {
-		v.previous = append(v.previous, v.current)
-		if len(v.previous) > maxPrevious {
-			v.previous = v.previous[1:]
+	if state.current != nil {
+		state.previous = append(state.previous, state.current)
+		if len(state.previous) > maxPrevious {
+			state.previous = state.previous[1:]
 		}
 	}
-	v.current, v.stamp, v.attempts = s, stamp, 0
+	state.current, state.stamp, state.attempts = s, stamp, 0
 	e.digest = e.computeDigest()
 	out := []Action{Adopt{Key: key, Set: s, Stamp: stamp}}
 	names := make([]string, 0, len(e.peers))
@@ -156,9 +164,11 @@
 			out = append(out, SendStamps{Peer: n, Stamps: map[string]Stamp{key: stamp}})
 		}
 	}
-	return append(out, e.pull(now, key, v)...)
+	return append(out, e.pull(now, key, state)...)
 }
 
+// computeDigest returns a sum over the keys and stamps of all versions in force, which
+// does not depend on the order of the keys.
 func (e *Engine) computeDigest() uint64 {
 	var sum uint64
 	for k, v := range e.keys {
--- a/share/syncer/set.go
+++ b/share/syncer/set.go
@@ -1,5 +1,6 @@
 // Package syncer distributes accepted configurations and host lists from the
-// platform to every host. A few watchers per failure domain read the platform; all
+// platform, the operators' configuration store, to every host. A few watchers per
+// failure domain read the platform; all
 // other hosts exchange deltas with their peers. It is a state machine without I/O:
 // events go in with the time, actions come out.
 package syncer
@@ -54,7 +55,8 @@
 	return s.computeStamp()
 }
 
-// computeStamp sets the stamp of a set whose items are complete.
+// computeStamp sets the stamp of a set whose items are complete. The digest is a sum of
+// the items' hashes, so it does not depend on their order.
 func (s *Set) computeStamp() *Set {
 	var sum uint64
 	for name, body := range s.Items {
@@ -67,6 +69,8 @@
 // Stamp returns the version and a digest over all items, independent of their order.
 func (s *Set) Stamp() Stamp { return s.stamp }
 
+// itemHash hashes a name and a body. A zero byte separates them, so that moving a byte
+// from one to the other changes the hash.
 func itemHash(name string, body []byte) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -96,7 +100,8 @@
 	Removed []string
 }
 
-// Size returns the approximate size of the delta on a link, in bytes.
+// Size returns the approximate size of the delta on a link, in bytes: names and bodies,
+// plus an allowance for their encoding and the stamps.
 func (d Delta) Size() int {
 	n := len(d.Key) + 40
 	for _, it := range d.Changed {
@@ -108,7 +113,8 @@
 	return n
 }
 
-// diff returns the delta that turns old into s; old may be nil.
+// diff returns the delta that turns old into s. If old is nil, the delta contains all
+// items.
 func (s *Set) diff(key string, old *Set) Delta {
 	d := Delta{Key: key, To: s.Stamp()}
 	if old == nil {
@@ -130,8 +136,9 @@
 	return d
 }
 
-// apply returns the set that a delta produces. It checks the digest, so a truncated
-// or mismatched delta is rejected.
+// apply returns the set that a delta produces from s, which may be nil. It returns
+// ErrDeltaMismatch if the result has another stamp than the delta names, as for a
+// truncated delta or one for another version.
 func (s *Set) apply(d Delta) (*Set, error) {
 	next := &Set{Version: d.To.Version, Items: map[string][]byte{}}
 	if s != nil && d.From.Version != 0 {
--- a/share/syncer/syncer_test.go
+++ b/share/syncer/syncer_test.go
@@ -10,6 +10,7 @@
 	"dandelionstile/share/clock"
 )
 
+// set returns a set whose items have these bodies and the names a, b, c and so on.
 func set(version uint64, bodies ...string) *Set {
 	items := make([]Item, len(bodies))
 	for i, b := range bodies {
@@ -18,6 +19,8 @@
 	return NewSet(version, items)
 }
 
+// A delta must contain exactly the changed and removed items, here b and c: with fewer,
+// hosts would not reach the new version, and with more, links would carry every file.
 func TestDeltaLeadsFromOneVersionToAnother(t *testing.T) {
 	old, next := set(1, "x", "y", "z"), set(2, "x", "q")
 	d := next.diff("k", old)
@@ -40,8 +43,8 @@
 
 var errBad = errors.New("bad")
 
-// Whatever the order of versions, stale answers and deltas, the version in force
-// must only rise, and an invalid version must never be in force.
+// Versions, stale answers and deltas arrive in any order. The version in force must only
+// rise, and an invalid version must never be in force.
 func TestVersionsOnlyRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := Engine{WatchKeys: []string{"k"}, Check: func(_ string, s *Set) error {
@@ -79,8 +82,8 @@
 	})
 }
 
-// The peer that was asked for a version freezes. The engine must ask another peer
-// that has the version.
+// The peer that was asked for a version freezes. If the engine waited for it, the host
+// would keep the old version although another peer has the new one.
 func TestFrozenPeerIsNotWaitedFor(t *testing.T) {
 	e := Engine{WatchKeys: []string{"k"}, Rank: -1}
 	next := set(2, "x").Stamp()
--- a/share/syncer/watch.go
+++ b/share/syncer/watch.go
@@ -6,37 +6,40 @@
 	"dandelionstile/share/clock"
 )
 
+// reader schedules the reads of one key from the platform.
 type reader struct {
-	inFlight bool
-	next     clock.Milli
-	delay    clock.Milli
+	inFlight   bool
+	nextRead   clock.Milli
+	retryDelay clock.Milli // of the last retry; 0 after a successful read
 }
 
-// HandleRead processes the result of a read of the platform.
+// HandleRead processes the result of a read of the platform: it adopts a newer version
+// and sets the earliest time of the next read, with exponential backoff after errors.
 func (e *Engine) HandleRead(now clock.Milli, r ReadResult) []Action {
 	e.init(now)
-	rd := e.reader(r.Key)
+	rd := e.readerOf(r.Key)
 	rd.inFlight = false
 	if r.Err != nil {
-		rd.delay = min(max(2*rd.delay, retryBase), retryMax)
-		rd.next = now + rd.delay
+		rd.retryDelay = min(max(2*rd.retryDelay, retryBase), retryMax)
+		rd.nextRead = now + rd.retryDelay
 		return nil
 	}
-	rd.delay = 0
-	rd.next = now + minReadInterval
-	e.platformHeard = now
+	rd.retryDelay = 0
+	rd.nextRead = now + minReadInterval
+	e.platformContactAt = now
 	if r.Set == nil {
 		return nil
 	}
 	if r.Set.Stamp().Less(e.stateOf(r.Key).stamp) {
 		// A stale platform answers a watch immediately; without this delay the watcher
 		// would read in a loop and use up the whole read budget.
-		rd.next = now + retryBase
+		rd.nextRead = now + retryBase
 	}
 	return e.adoptIfNewer(now, r.Key, r.Set)
 }
 
-func (e *Engine) reader(key string) *reader {
+// readerOf returns the reader of a key, and adds one if there is none.
+func (e *Engine) readerOf(key string) *reader {
 	r, ok := e.readers[key]
 	if !ok {
 		r = &reader{}
@@ -45,7 +48,8 @@
 	return r
 }
 
-// Tick runs periodic work. Call it a few times a second.
+// Tick runs periodic work: pulls that timed out, and reads of the platform that are due.
+// Call it a few times a second.
 func (e *Engine) Tick(now clock.Milli) []Action {
 	e.init(now)
 	var out []Action
@@ -53,10 +57,10 @@
 		out = append(out, e.pull(now, v.name, v.keyState)...)
 	}
 	for _, k := range e.WatchKeys {
-		out = append(out, e.read(now, k, e.Watching(now))...)
+		out = append(out, e.readIfDue(now, k, e.Watching(now))...)
 	}
 	for _, k := range e.requiredKeys {
-		out = append(out, e.read(now, k, false)...)
+		out = append(out, e.readIfDue(now, k, false)...)
 	}
 	return out
 }
@@ -72,9 +76,11 @@
 	}
 }
 
-func (e *Engine) read(now clock.Milli, key string, watch bool) []Action {
-	rd := e.reader(key)
-	if rd.inFlight || now < rd.next {
+// readIfDue reads a key from the platform if this host watches it, or if it has no version
+// startupPeerWait after the start. It does nothing while a read is in flight or delayed.
+func (e *Engine) readIfDue(now clock.Milli, key string, watch bool) []Action {
+	rd := e.readerOf(key)
+	if rd.inFlight || now < rd.nextRead {
 		return nil
 	}
 	missing := e.stateOf(key).current == nil && now-e.started >= startupPeerWait
@@ -83,6 +89,7 @@
 	}
 	rd.inFlight = true
 	after := e.stateOf(key).stamp.Version
+	// Without a version in force, the current one is needed at once.
 	return []Action{ReadPlatform{Key: key, After: after, Watch: watch && after > 0}}
 }
 
@@ -104,6 +111,6 @@
 	if e.Rank >= watchers+maxExtraWatchers {
 		return false
 	}
-	silence := now - max(e.platformHeard, e.started)
-	return silence > promoteAfter*clock.Milli(e.Rank-watchers+1)
+	sinceContact := now - max(e.platformContactAt, e.started)
+	return sinceContact > promoteAfter*clock.Milli(e.Rank-watchers+1)
 }
