--- a/share/topo/parse.go
+++ b/share/topo/parse.go
@@ -128,7 +128,7 @@
 			r = parsePart(part)
 		}
 		next[key] = r
-		b.add(r)
+		b.addPart(r)
 	}
 	p.parsed = next
 	b.checkReferences()
@@ -155,9 +155,10 @@
 	return r
 }
 
-// entity identifies an object whose name must be unique.
+// entity identifies an object whose name must be unique among its kind.
 type entity struct{ kind, name string }
 
+// position is a key in a file.
 type position struct {
 	src conf.Source
 	key string
@@ -182,12 +183,14 @@
 	position position
 }
 
+// reference is the name of an object in a rule or route.
 type reference struct {
 	entity
 	position position
 }
 
-func (b *builder) add(r parsedPart) {
+// addPart adds the objects of a parsed file. Of a file with faults it adds only the faults.
+func (b *builder) addPart(r parsedPart) {
 	if len(r.faults) > 0 {
 		b.faults = append(b.faults, r.faults...)
 		return
@@ -199,7 +202,8 @@
 	b.addRoutes(r.source, r.file)
 }
 
-func (b *builder) fault(src conf.Source, key, problem, hint string) {
+// addFault records a fault of a key; the hint may be empty.
+func (b *builder) addFault(src conf.Source, key, problem, hint string) {
 	b.faults = append(b.faults, src.Fault(key, problem, hint))
 }
 
@@ -207,14 +211,15 @@
 func (b *builder) define(src conf.Source, kind, name, key string) {
 	id := entity{kind, name}
 	if first, ok := b.seen[id]; ok {
-		b.fault(src, key, fmt.Sprintf("%s %s is given twice", kind, name),
+		b.addFault(src, key, fmt.Sprintf("%s %s is defined twice", kind, name),
 			fmt.Sprintf("first at %s:%d", first.src.File, first.src.Line(first.key)))
 		return
 	}
 	b.seen[id] = position{src, key}
 }
 
-func (b *builder) defined(kind, name string) bool {
+// isDefined reports whether a part defines an object.
+func (b *builder) isDefined(kind, name string) bool {
 	_, ok := b.seen[entity{kind, name}]
 	return ok
 }
@@ -239,7 +244,7 @@
 		}
 		for j, l := range s.Layouts {
 			if _, twice := service.Layout(l.ID); twice {
-				b.fault(src, fmt.Sprintf("%s.layouts[%d].id", key, j), fmt.Sprintf("layout %d is given twice", l.ID), "")
+				b.addFault(src, fmt.Sprintf("%s.layouts[%d].id", key, j), fmt.Sprintf("layout %d is defined twice", l.ID), "")
 			}
 			service.Layouts = append(service.Layouts, Layout(l))
 		}
@@ -247,12 +252,13 @@
 	}
 }
 
-func orDefault[T comparable](v, d T) T {
+// orDefault returns the value, or the default if the value is zero.
+func orDefault[T comparable](value, defaultValue T) T {
 	var zero T
-	if v == zero {
-		return d
+	if value == zero {
+		return defaultValue
 	}
-	return v
+	return value
 }
 
 func (b *builder) addServers(src conf.Source, f filePart) {
@@ -273,24 +279,26 @@
 	}
 }
 
+// checkServer reports the references of a server that lead nowhere: its failure domain,
+// its service, and the layouts and shards of its leaves.
 func (b *builder) checkServer(src conf.Source, key string, s Server) {
-	if !b.defined("failure domain", s.Domain) {
-		b.fault(src, key+".failure-domain", fmt.Sprintf("failure domain %q is not in the inventory", s.Domain), "")
+	if !b.isDefined("failure domain", s.Domain) {
+		b.addFault(src, key+".failure-domain", fmt.Sprintf("failure domain %q is not in the inventory", s.Domain), "")
 	}
 	service, ok := b.services[s.Service]
 	if !ok {
-		b.fault(src, key+".service", fmt.Sprintf("service %q is not in the inventory", s.Service), "")
+		b.addFault(src, key+".service", fmt.Sprintf("service %q is not in the inventory", s.Service), "")
 		return
 	}
 	for j, leaf := range s.Leaves {
 		for k, h := range leaf.Holds {
-			at := fmt.Sprintf("%s.leafs[%d].holds[%d]", key, j, k)
+			path := fmt.Sprintf("%s.leafs[%d].holds[%d]", key, j, k)
 			layout, ok := service.Layout(h.Layout)
 			switch {
 			case !ok:
-				b.fault(src, at+".layout", fmt.Sprintf("service %s has no layout %d", s.Service, h.Layout), "")
+				b.addFault(src, path+".layout", fmt.Sprintf("service %s has no layout %d", s.Service, h.Layout), "")
 			case h.Shard >= layout.Shards:
-				b.fault(src, at+".shard", fmt.Sprintf("shard %d is outside layout %d, which has %d shards", h.Shard, h.Layout, layout.Shards), "shards count from 0")
+				b.addFault(src, path+".shard", fmt.Sprintf("shard %d is outside layout %d, which has %d shards", h.Shard, h.Layout, layout.Shards), "shards are numbered from 0")
 			}
 		}
 	}
@@ -300,29 +308,30 @@
 	rules := &b.config.Rules
 	for i, d := range f.Out {
 		rules.DomainsOut = append(rules.DomainsOut, d)
-		b.reference(src, fmt.Sprintf("out-of-service[%d]", i), "failure domain", d)
+		b.addReference(src, fmt.Sprintf("out-of-service[%d]", i), "failure domain", d)
 	}
 	for i, c := range f.Carry {
 		rules.ServerLimits = append(rules.ServerLimits, ServerLimit(c))
 		key := fmt.Sprintf("carry[%d]", i)
 		b.define(src, "carry rule for", c.Server, key+".server")
-		b.reference(src, key+".server", "server", c.Server)
+		b.addReference(src, key+".server", "server", c.Server)
 		if c.Slots == 0 && !c.Out {
-			b.fault(src, key, "neither slots nor out is given", "slots: 0 would carry nothing; say out: true")
+			b.addFault(src, key, "neither slots nor out is set", "to take the server out of service, set out: true")
 		}
 	}
 	for i, n := range f.Never {
 		rules.NeverRepeat = append(rules.NeverRepeat, NeverRepeat(n))
-		b.reference(src, fmt.Sprintf("never-repeat[%d].service", i), "service", n.Service)
+		b.addReference(src, fmt.Sprintf("never-repeat[%d].service", i), "service", n.Service)
 	}
 }
 
-// reference records that a rule or route refers to an object. checkReferences
+// addReference records that a rule or route refers to an object. checkReferences
 // reports a fault if no part defines it.
-func (b *builder) reference(src conf.Source, key, kind, name string) {
+func (b *builder) addReference(src conf.Source, key, kind, name string) {
 	b.references = append(b.references, reference{entity{kind, name}, position{src, key}})
 }
 
+// checkReferences reports references to objects that no part defines.
 func (b *builder) checkReferences() {
 	b.services = make(map[string]Service, len(b.config.Inventory.Services))
 	for _, s := range b.config.Inventory.Services {
@@ -332,8 +341,8 @@
 		b.checkServer(s.position.src, s.position.key, s.server)
 	}
 	for _, e := range b.references {
-		if !b.defined(e.kind, e.name) {
-			b.fault(e.position.src, e.position.key, fmt.Sprintf("%s %q is not in the inventory", e.kind, e.name), "")
+		if !b.isDefined(e.kind, e.name) {
+			b.addFault(e.position.src, e.position.key, fmt.Sprintf("%s %q is not in the inventory", e.kind, e.name), "")
 		}
 	}
 }
@@ -365,7 +374,7 @@
 func ParseManifest(body []byte) (Manifest, error) {
 	var f fileManifest
 	if len(body) > MaxPartBytes {
-		return Manifest{}, conf.Faults{{File: "manifest", Line: 1, Problem: "over the size limit"}}
+		return Manifest{}, conf.Faults{{File: "manifest", Line: 1, Problem: "larger than 1 MiB"}}
 	}
 	if _, err := conf.Decode("manifest", body, &f); err != nil {
 		return Manifest{}, err
@@ -390,7 +399,7 @@
 	return body
 }
 
-// NewManifest returns the manifest for a set of parts.
+// NewManifest returns the manifest that lists these parts.
 func NewManifest(version uint64, parts []Part) Manifest {
 	m := Manifest{Version: version}
 	for _, p := range parts {
@@ -399,7 +408,7 @@
 	return m
 }
 
-// ParseSnapshotID parses a snapshot id of the form layout-version.
+// ParseSnapshotID parses a snapshot ID of the form layout-version.
 func ParseSnapshotID(s string) (SnapshotID, bool) {
 	l, v, ok := strings.Cut(s, "-")
 	if !ok {
@@ -416,7 +425,7 @@
 	return SnapshotID{Layout: uint32(layout), Version: version}, true
 }
 
-// String returns the snapshot id in the form layout-version.
+// String returns the snapshot ID in the form layout-version.
 func (p SnapshotID) String() string {
 	return strconv.FormatUint(uint64(p.Layout), 10) + "-" + strconv.FormatUint(p.Version, 10)
 }
--- a/share/topo/parse_test.go
+++ b/share/topo/parse_test.go
@@ -9,7 +9,7 @@
 	"dandelionstile/share/conf"
 )
 
-const good = `failure-domains:
+const validInventory = `failure-domains:
   - {name: a, region: r}
 services:
   - name: search
@@ -23,8 +23,9 @@
       - {name: l, slots: 2, connections: 8, holds: [{layout: 1, shard: 0}]}
 `
 
+// An inventory without faults must parse, and keys that it omits must get their defaults.
 func TestParseGood(t *testing.T) {
-	c, err := Parse(3, []Part{{Name: "a.yaml", Body: []byte(good)}})
+	c, err := Parse(3, []Part{{Name: "a.yaml", Body: []byte(validInventory)}})
 	assert.NilError(t, err)
 	assert.Equal(t, c.Inventory.Servers[0].Leaves[0].Slots, 2)
 	assert.Equal(t, c.Inventory.Services[0].Patience, 100)
@@ -33,7 +34,7 @@
 // A parser that reports only the first fault, or the wrong file, makes operators
 // find faults one by one.
 func TestEveryFaultNamesFileLineAndKey(t *testing.T) {
-	bad := strings.NewReplacer("slots: 2", "slots: 0", "shard: 0", "shard: 7").Replace(good)
+	bad := strings.NewReplacer("slots: 2", "slots: 0", "shard: 0", "shard: 7").Replace(validInventory)
 	rules := "out-of-service: [b]\ncarry:\n  - {server: nobody, slots: 1}\ncolour: red\n"
 	_, err := Parse(1, []Part{{Name: "inventory.yaml", Body: []byte(bad)}, {Name: "rules.yaml", Body: []byte(rules)}})
 	assert.Assert(t, err != nil)
@@ -44,7 +45,7 @@
 		assert.Assert(t, strings.Contains(err.Error(), want), "%s\nlacks %s", err, want)
 	}
 	_, err = Parse(1, []Part{
-		{Name: "inventory.yaml", Body: []byte(strings.Replace(good, "shard: 0", "shard: 7", 1))},
+		{Name: "inventory.yaml", Body: []byte(strings.Replace(validInventory, "shard: 0", "shard: 7", 1))},
 		{Name: "rules.yaml", Body: []byte("out-of-service: [b]\ncarry:\n  - {server: nobody, slots: 1}\n")},
 	})
 	for _, want := range []string{
@@ -57,13 +58,16 @@
 	assert.ErrorIs(t, err, conf.ErrInvalid)
 }
 
+// The platform cannot store a larger file, so it must be reported as a fault.
 func TestPartOverAMegabyte(t *testing.T) {
 	_, err := Parse(1, []Part{{Name: "big.yaml", Body: make([]byte, MaxPartBytes+1)}})
 	assert.ErrorContains(t, err, "over the limit")
 }
 
+// Faulty input must not crash the parser, and every result is either a configuration or
+// an error.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validInventory))
 	f.Add([]byte("servers: [{}]"))
 	f.Add([]byte("a: &x [*x]"))
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -74,6 +78,7 @@
 	})
 }
 
+// Faulty host lists and manifests must not crash the parsers.
 func FuzzParseHosts(f *testing.F) {
 	f.Add([]byte("version: 1\nhosts: [{name: a, failure-domain: d, entry: 127.0.0.1:1, aggregator: 127.0.0.1:2}]"))
 	f.Fuzz(func(_ *testing.T, body []byte) {
--- a/share/topo/routes.go
+++ b/share/topo/routes.go
@@ -48,6 +48,7 @@
 	route.FieldTimeout: "timeout-ms",
 }
 
+// route returns the route with defaults for the keys that the file omits.
 func (f fileRoute) route() route.Route {
 	r := route.Route{
 		Name: f.Name, Host: f.Host, Prefix: f.Prefix, Idempotent: f.Idempotent,
@@ -76,48 +77,51 @@
 		b.config.Routes = append(b.config.Routes, r.route())
 		b.routePositions = append(b.routePositions, position{src, key})
 		if r.Service != "" && len(r.Services) > 0 {
-			b.fault(src, key+".service", "both service and services are given", "list it among the services")
+			b.addFault(src, key+".service", "service and services are both set", "move service into services")
 		}
 		if r.Service != "" {
-			b.reference(src, key+".service", "service", r.Service)
+			b.addReference(src, key+".service", "service", r.Service)
 		}
 		for j, s := range r.Services {
-			b.reference(src, fmt.Sprintf("%s.services[%d].service", key, j), "service", s.Service)
+			b.addReference(src, fmt.Sprintf("%s.services[%d].service", key, j), "service", s.Service)
 		}
 		for j, s := range r.Shards {
-			b.reference(src, fmt.Sprintf("%s.shards[%d]", key, j), "service", s)
+			b.addReference(src, fmt.Sprintf("%s.shards[%d]", key, j), "service", s)
 		}
 	}
 }
 
-// checkRoutes reports the faults of the routes of all files.
+// checkRoutes reports the faults of the routes of all files, with the file and key of
+// each.
 func (b *builder) checkRoutes() {
 	for _, f := range route.Faults(b.config.Routes) {
-		at := b.routePositions[f.Route]
-		key := at.key
+		pos := b.routePositions[f.Route]
+		key := pos.key
 		if name, ok := fieldKeys[f.Field]; ok {
 			key += "." + name
 		} else if f.Field != route.FieldRoute {
 			key += "." + string(f.Field)
 		}
-		b.fault(at.src, key, f.Problem, "")
+		b.addFault(pos.src, key, f.Problem, "")
 	}
 	for i, r := range b.config.Routes {
 		for j, name := range r.Regions {
 			if !b.hasRegion(name) {
-				at := b.routePositions[i]
-				b.fault(at.src, fmt.Sprintf("%s.regions[%d]", at.key, j), fmt.Sprintf("no failure domain lies in region %q", name), "")
+				pos := b.routePositions[i]
+				b.addFault(pos.src, fmt.Sprintf("%s.regions[%d]", pos.key, j), fmt.Sprintf("region %q has no failure domain", name), "")
 			}
 		}
 	}
 }
 
+// hasRegion reports whether a failure domain belongs to the region.
 func (b *builder) hasRegion(name string) bool {
 	return slices.ContainsFunc(b.config.Inventory.Domains, func(d Domain) bool { return d.Region == name })
 }
 
-// RouteTable returns the routes with the properties of their services. The leaves of
-// a service share one connection limit, so the lowest of its servers' limits applies.
+// RouteTable returns the routes with the properties of their services. A route.Service
+// has a single connection limit, which applies to each of its backend servers (the router
+// calls them leaves), so it is the lowest of the servers' limits.
 func (c *Config) RouteTable() *route.Table {
 	t := &route.Table{
 		Version: c.Version, Routes: c.Routes,
--- a/share/topo/routes_test.go
+++ b/share/topo/routes_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const routed = `routes:
+const validRoutes = `routes:
   - name: find
     host: find.example
     prefix: /find/
@@ -24,8 +24,10 @@
     services: [{service: search, weight: 3}]
 `
 
+// The router must find the routes of the inventory with their services, and keys that a
+// route omits must get their defaults.
 func TestRoutesOfTheInventory(t *testing.T) {
-	c, err := Parse(7, []Part{{Name: "a.yaml", Body: []byte(good)}, {Name: "routes.yaml", Body: []byte(routed)}})
+	c, err := Parse(7, []Part{{Name: "a.yaml", Body: []byte(validInventory)}, {Name: "routes.yaml", Body: []byte(validRoutes)}})
 	assert.NilError(t, err)
 	table := c.RouteTable()
 	assert.Equal(t, table.Version, uint64(7))
@@ -48,17 +50,17 @@
 	bad := strings.NewReplacer(
 		"prefix: /find/", "prefix: /find", "shards: [search]", "shards: [search, search, lost]",
 		"regions: [r]", "regions: [moon]", "idempotent: true", "idempotent: false",
-	).Replace(routed)
+	).Replace(validRoutes)
 	second := "routes:\n  - {name: twin, host: find.example, prefix: /file/, service: search}\n  - {name: none, host: h, prefix: /n/}\n"
 	_, err := Parse(1, []Part{
-		{Name: "a.yaml", Body: []byte(good)}, {Name: "routes.yaml", Body: []byte(bad)}, {Name: "second.yaml", Body: []byte(second)},
+		{Name: "a.yaml", Body: []byte(validInventory)}, {Name: "routes.yaml", Body: []byte(bad)}, {Name: "second.yaml", Body: []byte(second)},
 	})
 	for _, want := range []string{
 		`routes.yaml:4: routes[0].prefix: prefix "/find" must begin and end with a slash`,
 		`routes.yaml:5: routes[0].idempotent: a query over shards must be idempotent`,
 		`routes.yaml:7: routes[0].shards: shard "search" stands twice`,
 		`routes.yaml:7: routes[0].shards[2]: service "lost" is not in the inventory`,
-		`routes.yaml:10: routes[0].regions[0]: no failure domain lies in region "moon"`,
+		`routes.yaml:10: routes[0].regions[0]: region "moon" has no failure domain`,
 		`second.yaml:2: routes[0].prefix: host and prefix are those of route "file"`,
 		`second.yaml:3: routes[1].services: no service gets requests`,
 	} {
--- a/share/topo/topo.go
+++ b/share/topo/topo.go
@@ -1,6 +1,6 @@
 // Package topo holds the operators' configuration: the inventory (failure domains,
 // services, backend servers, leaves), the rules on top of it, and routes. It parses
-// and validates configurations and takes no decisions from them.
+// and validates configurations; other packages act on them.
 package topo
 
 import (
@@ -56,7 +56,7 @@
 	HealthPath string
 }
 
-// Layout returns the layout with the given id.
+// Layout returns the layout with the given ID.
 func (s Service) Layout(id uint32) (Layout, bool) {
 	for _, l := range s.Layouts {
 		if l.ID == id {
@@ -109,7 +109,7 @@
 	Servers  []Server
 }
 
-// ServerLimit limits the load on one backend server.
+// ServerLimit limits the load on one backend server, or takes it out of service.
 type ServerLimit struct {
 	Server string
 	// Slots caps the slots used on each of the server's leaves; it is ignored if Out
@@ -119,7 +119,8 @@
 	Out bool
 }
 
-// NeverRepeat marks an operation of a service as non-idempotent.
+// NeverRepeat marks an operation of a service as non-idempotent: its requests are
+// never repeated.
 type NeverRepeat struct {
 	Service   string
 	Operation string
@@ -150,11 +151,11 @@
 
 // ServerLimits returns the limits by backend server.
 func (c *Config) ServerLimits() map[string]ServerLimit {
-	rules := make(map[string]ServerLimit, len(c.Rules.ServerLimits))
+	limits := make(map[string]ServerLimit, len(c.Rules.ServerLimits))
 	for _, r := range c.Rules.ServerLimits {
-		rules[r.Server] = r
+		limits[r.Server] = r
 	}
-	return rules
+	return limits
 }
 
 // Service returns a service by name.
