--- a/share/httpd/bytes_test.go
+++ b/share/httpd/bytes_test.go
@@ -24,6 +24,7 @@
 	reader *bufio.Reader
 }
 
+// dial opens a connection to a server, which the test closes at its end.
 func dial(t *testing.T, s *Server) *client {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Addr())
@@ -49,7 +50,8 @@
 	return body, res.Body.Close()
 }
 
-// Guards against two answers that share one buffer after a large chunked answer.
+// After a large chunked answer, the library frees a buffer twice. If the next two
+// answers got the same buffer, their callers would read each other's bytes.
 func TestAnswersAfterALargeOneShareNoBuffer(t *testing.T) {
 	// With one processor, the next two answers take the buffers that were freed last.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
@@ -85,8 +87,9 @@
 	}
 }
 
-// Guards against bytes of one caller in the answer to another, at sizes below and
-// above the library's packet size and the size of a socket buffer.
+// The library writes to buffers that it has freed. A caller could then get bytes of
+// another one's answer, at sizes below and above the library's packet size and the size
+// of a socket buffer.
 func TestEachCallerGetsItsOwnBytes(t *testing.T) {
 	// pattern returns the body for a caller and a size.
 	pattern := func(caller, size int) []byte {
--- a/share/httpd/conns.go
+++ b/share/httpd/conns.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// idleGrace is how long after its handler has returned a connection counts as
+// idleGrace is how long a connection must be without a request before it counts as
 // idle. nbhttp writes the answer only after the handler returns, and closing the
 // connection before that would cut the answer off.
 const idleGrace = 100 * time.Millisecond
@@ -20,6 +20,7 @@
 	open map[string]*openConn
 }
 
+// openConn is the state of one connection and of its last request.
 type openConn struct {
 	conn net.Conn
 	// requests counts the requests that were read and not answered yet.
@@ -40,6 +41,7 @@
 	rejectedAt time.Time
 }
 
+// add records a connection that was accepted.
 func (c *conns) add(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,9 +66,9 @@
 	return r.WithContext(ctx), cancel
 }
 
-// peerClosed records that the caller has closed a connection. Its requests may
-// still be running.
-func (c *conns) peerClosed(conn net.Conn) {
+// recordPeerClosed records that the caller has closed a connection, and cancels the request
+// that is being handled on it.
+func (c *conns) recordPeerClosed(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o := c.open[conn.RemoteAddr().String()]
@@ -79,8 +81,8 @@
 	}
 }
 
-// remove forgets a connection once its last request has been handled. Another
-// connection may have the same address by then.
+// remove removes a connection once its last request has been handled. It does nothing if
+// another connection has the same address by then.
 func (c *conns) remove(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,10 +92,10 @@
 	}
 }
 
-// requestRead records that a request has been read completely. The library calls
+// recordRequestRead records that a request has been read completely. The library calls
 // it before it schedules the handler: a busy host may run the handler tens of ms
 // later, and closing the connection in between would lose the request.
-func (c *conns) requestRead(remote string) {
+func (c *conns) recordRequestRead(remote string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if o := c.open[remote]; o != nil {
@@ -103,8 +105,9 @@
 	}
 }
 
-// recordBytes records n bytes of a request. It reports whether they are to be
-// parsed, and the status to reject the request with if they make it too large.
+// recordBytes records n bytes of a request and reports whether they are to be parsed.
+// They are not if the request has been rejected, or if they make it larger than the
+// limits allow; then status is the one to reject it with, and otherwise 0.
 func (c *conns) recordBytes(remote string, n int, l Limits) (status int, accepted bool) {
 	now := time.Now()
 	c.mu.Lock()
@@ -127,8 +130,9 @@
 	return status, status == 0
 }
 
-// requestDone records that the handler of a request has returned.
-func (c *conns) requestDone(remote string) {
+// recordRequestDone records that the handler of a request has returned; the connection is idle
+// from then on.
+func (c *conns) recordRequestDone(remote string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if o := c.open[remote]; o != nil {
@@ -159,7 +163,8 @@
 	return err == nil && unread
 }
 
-// closeIdle closes the connections that have no request in flight.
+// closeIdle closes the connections that have no request in flight, none unread, and have
+// had none for idleGrace.
 func (c *conns) closeIdle() {
 	c.mu.Lock()
 	var idle []net.Conn
--- a/share/httpd/httpd.go
+++ b/share/httpd/httpd.go
@@ -46,7 +46,8 @@
 	// engineIdleTimeout is the library's own limit, longer than any in Limits.
 	engineIdleTimeout = 10 * time.Minute
 	writeTimeout      = 10 * time.Second
-	maxHandlers       = 8192
+	// maxHandlers bounds the handlers that run concurrently.
+	maxHandlers = 8192
 	// defaultPollers is how many event loops read connections: one more than
 	// small hosts have cores, so that one large request delays only some of them.
 	defaultPollers = 2
@@ -56,8 +57,9 @@
 // caller closes the connection. Fields must be set before Start.
 type Server struct {
 	// Address is the IP and port to listen on; with port 0 the system chooses one.
-	Address  string
-	Handler  http.Handler
+	Address string
+	Handler http.Handler
+	// MaxConns limits the open connections; 0 means defaultMaxConns.
 	MaxConns int
 	// Limits apply until SetLimits replaces them.
 	Limits Limits
@@ -101,7 +103,7 @@
 		MessageHandlerPoolSize: maxHandlers,
 		Handler:                http.HandlerFunc(s.serve),
 		// Called when the request has been read, before its handler is scheduled.
-		OnRequest: func(_ http.ResponseWriter, r *http.Request) { s.conns.requestRead(r.RemoteAddr) },
+		OnRequest: func(_ http.ResponseWriter, r *http.Request) { s.conns.recordRequestRead(r.RemoteAddr) },
 		Listen:    func(string, string) (net.Listener, error) { return s.listener, nil },
 	})
 	s.engine.OnRead(s.onReadable)
@@ -124,7 +126,7 @@
 // BodyLimit returns the current limit on request bodies, in bytes.
 func (s *Server) BodyLimit() int { return s.limits.Load().MaxBodyBytes }
 
-// sweep applies the time limits to all connections at an interval, until Close.
+// sweep applies the time limits to all connections every sweepInterval, until Close.
 func (s *Server) sweep() {
 	defer close(s.sweepDone)
 	ticks := time.NewTicker(sweepInterval)
@@ -158,7 +160,7 @@
 	for {
 		n, closed := readAvailable(c, *buf)
 		if closed {
-			s.conns.peerClosed(c)
+			s.conns.recordPeerClosed(c)
 			_ = c.CloseWithError(io.EOF) // the caller has closed it
 			return
 		}
@@ -189,6 +191,7 @@
 	return n, false
 }
 
+// getBuffer returns a buffer of readBufferBytes from the pool, or a new one.
 func (s *Server) getBuffer() *[]byte {
 	if b, ok := s.buffers.Get().(*[]byte); ok {
 		return b
@@ -197,7 +200,8 @@
 	return &b
 }
 
-// recordBytes records n bytes of a request and reports whether to parse them.
+// recordBytes records n bytes of a request and reports whether to parse them. If they
+// make the request too large, it rejects the request.
 func (s *Server) recordBytes(conn net.Conn, n int) bool {
 	status, accepted := s.conns.recordBytes(conn.RemoteAddr().String(), n, *s.limits.Load())
 	if status != 0 {
@@ -206,12 +210,13 @@
 	return accepted
 }
 
-// reject answers an incomplete request with an error status.
+// reject reports an incomplete request as rejected and answers it with an error status.
 func (s *Server) reject(conn net.Conn, status int) {
 	s.reportRejected(conn.RemoteAddr().String(), status)
 	_, _ = conn.Write(errorResponse(status)) // the caller may have disconnected
 }
 
+// reportRejected calls OnRejected, if it is set.
 func (s *Server) reportRejected(remote string, status int) {
 	if s.OnRejected != nil {
 		s.OnRejected(remote, status)
@@ -222,7 +227,7 @@
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	s.active.Add(1)
 	defer s.active.Done()
-	defer s.conns.requestDone(r.RemoteAddr)
+	defer s.conns.recordRequestDone(r.RemoteAddr)
 	if status := s.limits.Load().checkRequest(r); status != 0 {
 		s.reportRejected(r.RemoteAddr, status)
 		w.Header().Set("Connection", "close")
@@ -248,7 +253,9 @@
 func (s *Server) CloseIdle() { s.conns.closeIdle() }
 
 // Close waits for the requests in flight and stops the server. Requests that
-// arrive during Close may be cut off.
+// arrive during Close may be cut off. It first waits until the engine accepts
+// connections and all event loops run, because an engine that is stopped earlier never
+// ends.
 func (s *Server) Close() error {
 	if s.engine == nil {
 		return nil
@@ -266,8 +273,10 @@
 	return nil
 }
 
-// ReadJSON decodes a whole body into v. It rejects unknown fields, since a
-// misspelt field would otherwise be ignored without an error.
+// ReadJSON decodes a whole body into v. It returns ErrTooLarge for a body over the limit
+// (in bytes), and an error marked with ErrSyntax for one that is not a single JSON value.
+// It rejects unknown fields, since a misspelt field would otherwise be ignored without an
+// error.
 func ReadJSON(r *http.Request, limit int64, v any) error {
 	if r.ContentLength > limit {
 		return ErrTooLarge
@@ -311,12 +320,12 @@
 	w.Header().Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
 }
 
-// Status is the body of health checks.
+// Status is the body of the answer to a readiness check.
 type Status struct {
 	Status string `json:"status"`
 }
 
-// WriteReady answers a readiness check.
+// WriteReady answers a readiness check with 200, or with 503 if the program is not ready.
 func WriteReady(w http.ResponseWriter, ready bool) {
 	if ready {
 		WriteJSON(w, http.StatusOK, Status{Status: "ready"})
--- a/share/httpd/httpd_test.go
+++ b/share/httpd/httpd_test.go
@@ -10,7 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a daemon that hangs instead of failing if its address is in use.
+// An engine that finds its address in use never returns from its start. The daemon would
+// hang instead of failing.
 func TestAddressInUseIsAnError(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -20,6 +21,7 @@
 	assert.NilError(t, s.Close())
 }
 
+// A server must answer requests, and Close must return once callers have none in flight.
 func TestServeAndClose(t *testing.T) {
 	s := Server{Address: "127.0.0.1:0", Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		WriteJSON(w, http.StatusOK, Status{Status: "ok"})
@@ -33,7 +35,9 @@
 	assert.NilError(t, s.Close())
 }
 
-// Guards against closing a connection whose request was read but not handled yet.
+// A busy host runs a handler some time after its request was read, and the library writes
+// the answer after the handler returns. A connection that counted as idle meanwhile would
+// be closed without an answer.
 func TestIdleCloseSparesARequestThatWasRead(t *testing.T) {
 	var c conns
 	server, peer := net.Pipe()
@@ -41,12 +45,12 @@
 	c.add(server)
 	remote := server.RemoteAddr().String()
 	c.open[remote].idleSince = time.Now().Add(-time.Minute)
-	c.requestRead(remote)
+	c.recordRequestRead(remote)
 	c.closeIdle()
 	go func() { _, _ = server.Write([]byte("x")) }()
 	_, err := peer.Read(make([]byte, 1))
 	assert.NilError(t, err, "closed while a request was in flight")
-	c.requestDone(remote)
+	c.recordRequestDone(remote)
 	c.closeIdle()
 	go func() { _, _ = server.Write([]byte("x")) }()
 	_, err = peer.Read(make([]byte, 1))
@@ -57,8 +61,9 @@
 	assert.ErrorContains(t, err, "EOF")
 }
 
-// Guards against work for callers that have closed or reset their connection.
-func TestContextEndsWhenTheCallerLeaves(t *testing.T) {
+// A caller closes or resets its connection while its request is handled. Without a
+// canceled context, the host would go on working for nobody.
+func TestContextEndsWhenTheCallerDisconnects(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn){
 		"close": func(c *net.TCPConn) { assert.Check(t, c.Close()) },
 		"reset": func(c *net.TCPConn) {
@@ -93,9 +98,10 @@
 	}
 }
 
-// Guards against handling the requests of callers that disconnected while the
-// host was paused.
-func TestRequestOfACallerThatHasLeftIsNotHandled(t *testing.T) {
+// Callers send requests and disconnect while the host is paused. When it continues, it
+// finds requests and ends of connections together, and would handle requests whose
+// callers no longer wait.
+func TestRequestOfADisconnectedCallerIsNotHandled(t *testing.T) {
 	handled := make(chan string, 4)
 	s := Server{Address: "127.0.0.1:0", Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { handled <- r.URL.Path })}
 	// With its only event loop blocked, the server reads nothing.
@@ -120,8 +126,8 @@
 	assert.Equal(t, len(handled), 0, "the request of the disconnected caller was handled")
 }
 
-// Guards against a close event of an earlier connection that cancels requests on
-// the next connection from the same address.
+// A caller closes a connection and opens the next one from the same address. The close
+// event of the first one may come later, and must not cancel requests on the next one.
 func TestEndOfAFormerConnectionSparesTheNextFromItsAddress(t *testing.T) {
 	var c conns
 	former, a := net.Pipe()
@@ -131,9 +137,9 @@
 	c.add(next) // all pipes have the same address
 	r, cancel := c.withCancel(&http.Request{RemoteAddr: next.RemoteAddr().String()})
 	defer cancel()
-	c.peerClosed(former)
+	c.recordPeerClosed(former)
 	c.remove(former)
 	assert.NilError(t, r.Context().Err())
-	c.peerClosed(next)
+	c.recordPeerClosed(next)
 	assert.ErrorIs(t, r.Context().Err(), context.Canceled)
 }
--- a/share/httpd/limits.go
+++ b/share/httpd/limits.go
@@ -10,9 +10,9 @@
 // Limits bound the size and duration of requests. A field that is not above zero
 // takes its default.
 type Limits struct {
-	// MaxHeaderBytes and MaxBodyBytes bound the header and body of a request.
+	// MaxHeaderBytes bounds the path and header of a request, MaxBodyBytes its body.
 	MaxHeaderBytes, MaxBodyBytes int
-	// StallTimeout is how long a caller may pause within a request.
+	// StallTimeout is how long a caller may send nothing within a request.
 	StallTimeout time.Duration
 	// IdleTimeout is how long a connection may stay open between requests.
 	IdleTimeout time.Duration
@@ -25,6 +25,7 @@
 	defaultIdleTimeout    = 2 * time.Minute
 )
 
+// withDefaults returns the limits with a default for each field that is not above zero.
 func (l Limits) withDefaults() Limits {
 	if l.MaxHeaderBytes <= 0 {
 		l.MaxHeaderBytes = defaultMaxHeaderBytes
@@ -52,7 +53,8 @@
 	// rejected. Closing it at once, with bytes unread, would reset it, and the
 	// caller would not see the answer.
 	rejectLinger = time.Second
-	// chunkingBytes is what chunked encoding may add to the size of a request.
+	// chunkingBytes is what chunked encoding may add to the size of a request, besides
+	// a quarter of the body.
 	chunkingBytes = 16 << 10
 )
 
@@ -95,8 +97,9 @@
 	rejectTimedOut
 )
 
-// nextAction returns what to do with a connection. Bytes that have arrived and
-// are not read yet count as in time.
+// nextAction returns what to do with a connection. While a handler runs, no time limit
+// applies. Bytes that have arrived and are not read yet count as in
+// time, except for the limit on the whole request.
 func (l Limits) nextAction(o *openConn, now time.Time) connAction {
 	switch {
 	case o.requests > 0:
@@ -121,8 +124,8 @@
 	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))
 }
 
-// sweep closes connections that were idle for too long, and returns those whose
-// request timed out.
+// sweep closes the connections that were idle or rejected for too long. It marks those
+// whose request timed out as rejected and returns them.
 func (c *conns) sweep(l Limits, now time.Time) (timedOut []net.Conn) {
 	var expired []net.Conn
 	c.mu.Lock()
--- a/share/httpd/limits_test.go
+++ b/share/httpd/limits_test.go
@@ -18,11 +18,11 @@
 // startEcho starts an echo server with limits and opens a connection to it.
 func startEcho(t *testing.T, l Limits) (*Server, net.Conn) {
 	t.Helper()
-	return startEchoLoops(t, l, 0)
+	return startEchoWithLoops(t, l, 0)
 }
 
-// startEchoLoops is startEcho with a number of event loops; 0 for the default.
-func startEchoLoops(t *testing.T, l Limits, loops int) (*Server, net.Conn) {
+// startEchoWithLoops is startEcho with a number of event loops; 0 for the default.
+func startEchoWithLoops(t *testing.T, l Limits, loops int) (*Server, net.Conn) {
 	t.Helper()
 	s := &Server{Address: "127.0.0.1:0", Limits: l, pollers: loops, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -52,7 +52,8 @@
 	return res.StatusCode
 }
 
-// Guards against incomplete requests that hold their connections forever.
+// A caller stops in the middle of a request. Without a timeout, it would hold its
+// connection forever.
 func TestHalfSentRequestIsTimedOut(t *testing.T) {
 	_, c := startEcho(t, Limits{StallTimeout: 300 * time.Millisecond})
 	_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nContent-Le")
@@ -62,7 +63,8 @@
 	assert.ErrorContains(t, err, "EOF")
 }
 
-// Guards against requests that arrive a byte at a time, with pauses below the limit.
+// A caller sends a byte at a time, with pauses below the stall timeout. Without a limit on
+// the whole request, it would hold its connection forever.
 func TestDrippingRequestIsTimedOut(t *testing.T) {
 	_, c := startEcho(t, Limits{StallTimeout: 100 * time.Millisecond})
 	go func() {
@@ -77,7 +79,8 @@
 	assert.Assert(t, time.Since(began) < 10*time.Second)
 }
 
-// Guards against rejecting slow callers whose pauses are within the limit.
+// A slow caller pauses within the limit, and for longer than it in sum. The time limit
+// applies to each pause, so the request must be served.
 func TestSlowRequestIsServed(t *testing.T) {
 	_, c := startEcho(t, Limits{StallTimeout: 400 * time.Millisecond})
 	for _, part := range []string{"POST / HTTP/1.1\r\nHost: h\r\n", "Content-Length: 4\r\n\r\n", "ab", "cd"} {
@@ -88,8 +91,9 @@
 	assert.Equal(t, readStatus(t, c), http.StatusOK)
 }
 
-// Guards against a reset instead of an answer while a caller sends a body over the limit.
-func TestLargeBodyIsRefusedWithAnAnswer(t *testing.T) {
+// A caller sends a body over the limit. If the server closed the connection with bytes
+// unread, the caller would see a reset instead of the answer.
+func TestLargeBodyIsRejectedWithAnAnswer(t *testing.T) {
 	_, c := startEcho(t, Limits{MaxBodyBytes: 100 << 10})
 	go func() {
 		_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3000000\r\n\r\n")
@@ -100,8 +104,9 @@
 	assert.Equal(t, readStatus(t, c), http.StatusRequestEntityTooLarge)
 }
 
-// Guards against a reset instead of an answer for chunked bodies, which name no size.
-func TestLargeChunkedBodyIsRefusedWithAnAnswer(t *testing.T) {
+// A chunked body names no size, so it is over the limit only once its bytes have arrived.
+// The caller must see an answer and not a reset.
+func TestLargeChunkedBodyIsRejectedWithAnAnswer(t *testing.T) {
 	_, c := startEcho(t, Limits{MaxBodyBytes: 100 << 10})
 	go func() {
 		_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -112,10 +117,11 @@
 	assert.Equal(t, readStatus(t, c), http.StatusRequestEntityTooLarge)
 }
 
-// Guards against rejecting a body within the limit because it arrives in many pieces.
-func TestBodyWithinTheLimitIsTaken(t *testing.T) {
+// A body within the limit arrives in many pieces. The library resets connections with an
+// incomplete request above its own limit, which must not apply before ours.
+func TestBodyWithinTheLimitIsAccepted(t *testing.T) {
 	_, c := startEcho(t, Limits{MaxBodyBytes: 256 << 10})
-	body := bytes.Repeat([]byte("0123456789abcdef"), 16<<10)
+	body := bytes.Repeat([]byte("0123456789abcdef"), 16<<10) // 262144 bytes, as the header says
 	go func() {
 		_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 262144\r\n\r\n")
 		for i := 0; i < len(body) && err == nil; i += 10000 {
@@ -132,15 +138,16 @@
 	assert.Assert(t, bytes.Equal(got, body))
 }
 
-// Guards against accepting headers over the limit.
-func TestLargeHeaderIsRefused(t *testing.T) {
+// A header over the limit must be rejected with an answer and not reach the handler.
+func TestLargeHeaderIsRejected(t *testing.T) {
 	_, c := startEcho(t, Limits{MaxHeaderBytes: 4 << 10})
 	_, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\nX-Long: "+strings.Repeat("x", 8<<10)+"\r\n\r\n")
 	assert.NilError(t, err)
 	assert.Equal(t, readStatus(t, c), http.StatusRequestHeaderFieldsTooLarge)
 }
 
-// Guards against idle connections that stay open, or are closed before the timeout.
+// An idle connection must be closed after its timeout, and not before: requests at shorter
+// intervals extend it.
 func TestIdleConnectionIsClosedAfterItsTime(t *testing.T) {
 	_, c := startEcho(t, Limits{IdleTimeout: time.Second})
 	for range 2 {
@@ -153,7 +160,8 @@
 	assert.ErrorContains(t, err, "EOF")
 }
 
-// Guards against new limits that do not apply to open connections.
+// Limits are replaced while a connection is open. They must apply to its next and
+// incomplete requests too.
 func TestLimitsAreReplacedWhileOpen(t *testing.T) {
 	s, c := startEcho(t, Limits{})
 	_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\n")
@@ -162,7 +170,8 @@
 	assert.Equal(t, readStatus(t, c), http.StatusRequestTimeout)
 }
 
-// Guards against callers that never read their large answers and block others, or Close.
+// Callers request large answers and never read them. Their unsent bytes must block
+// neither other callers nor Close.
 func TestCallersThatNeverReadHoldUpNobody(t *testing.T) {
 	large := bytes.Repeat([]byte("x"), 4<<20)
 	s := &Server{Address: "127.0.0.1:0", Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -229,7 +238,8 @@
 	return release
 }
 
-// hasRead reports whether a connection has read so many bytes of an incomplete request.
+// hasRead returns a check that some connection has read this many bytes of an incomplete
+// request.
 func (c *conns) hasRead(bytes int) poll.Check {
 	return func(poll.LogT) poll.Result {
 		c.mu.Lock()
@@ -243,8 +253,8 @@
 	}
 }
 
-// Guards against a reset or a timeout for a request that arrived in time and was
-// read late by its host.
+// A request arrives in time, but its host is busy and reads it late. Its connection looks
+// idle or stalled by then, and closing it would reset or time out the request.
 func TestRequestsThatWaitUnreadAreServed(t *testing.T) {
 	const limit = 300 * time.Millisecond
 	for _, c := range []struct {
@@ -256,7 +266,7 @@
 		{"within a request", Limits{StallTimeout: limit}, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\na", "b"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s, conn := startEchoLoops(t, c.limits, 1)
+			s, conn := startEchoWithLoops(t, c.limits, 1)
 			_, err := io.WriteString(conn, plainRequest)
 			assert.NilError(t, err)
 			assert.Equal(t, readStatus(t, conn), http.StatusOK)
@@ -273,10 +283,10 @@
 	}
 }
 
-// Guards against a reset of a request that arrived before the host closed its
-// idle connections and was not read yet.
+// A host closes its idle connections while a request has arrived on one of them and was
+// not read yet. Closing it would reset the request.
 func TestIdleCloseSparesRequestsThatWaitUnread(t *testing.T) {
-	s, conn := startEchoLoops(t, Limits{}, 1)
+	s, conn := startEchoWithLoops(t, Limits{}, 1)
 	_, err := io.WriteString(conn, plainRequest)
 	assert.NilError(t, err)
 	assert.Equal(t, readStatus(t, conn), http.StatusOK)
--- a/share/httpd/reuse_test.go
+++ b/share/httpd/reuse_test.go
@@ -38,11 +38,12 @@
 	assert.NilError(t, syscall.Connect(fd, to))
 }
 
-// Guards against closing a new connection that reuses the descriptor of a former
-// one, because the former one's close event still waits in the event loop.
+// A connection is closed while its last event still waits in the event loop, and a new
+// connection gets its descriptor. The library hands the event to the new connection, which
+// is closed without an answer.
 func TestNewConnectionOutlivesEventsOfFormerOnes(t *testing.T) {
 	const formerConns, settle = 5, 50 * time.Millisecond
-	s, first := startEchoLoops(t, Limits{}, 1)
+	s, first := startEchoWithLoops(t, Limits{}, 1)
 	clients := []net.Conn{first}
 	for range formerConns + 1 {
 		clients = append(clients, dial(t, s).conn)
