--- a/share/fetch/client.go
+++ b/share/fetch/client.go
@@ -16,13 +16,13 @@
 	conn *Conn
 }
 
-// Do makes a call and waits for the reply until the timeout. A connection may
-// stop responding for good while new ones work.
+// Do makes a call and waits for the reply until the timeout. After an error it closes
+// the connection: one may stop responding for good while new ones work.
 func (c *Client) Do(r *http.Request, timeout time.Duration) (Reply, error) {
 	if c.conn == nil {
 		c.conn = &Conn{Engine: c.Engine, Address: c.Address}
 	}
-	reply, err := c.conn.wait(r, timeout)
+	reply, err := c.conn.doAndWait(r, timeout)
 	if err != nil {
 		c.Disconnect()
 	}
@@ -37,18 +37,19 @@
 	}
 }
 
-// wait makes a call and waits for the reply.
-func (c *Conn) wait(r *http.Request, timeout time.Duration) (Reply, error) {
+// doAndWait makes a call and waits for the reply. It returns an error marked with ErrConnLost
+// after the timeout or when the engine is closed; the call may still be in flight then.
+func (c *Conn) doAndWait(r *http.Request, timeout time.Duration) (Reply, error) {
 	type result struct {
 		reply Reply
 		err   error
 	}
-	got := make(chan result, 1)
-	go c.Do(r, func(reply Reply, err error) { got <- result{reply, err} })
+	results := make(chan result, 1)
+	go c.Do(r, func(reply Reply, err error) { results <- result{reply, err} })
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case g := <-got:
+	case g := <-results:
 		return g.reply, g.err
 	case <-c.Engine.done:
 		// A connection that was opened while the engine stopped never gets a
--- a/share/fetch/fetch.go
+++ b/share/fetch/fetch.go
@@ -51,7 +51,7 @@
 	Source string
 
 	engine *nbhttp.Engine
-	loops  evloop.Prober
+	prober evloop.Prober
 	done   chan struct{}
 }
 
@@ -67,21 +67,22 @@
 	return errors.Wrap(e.engine.Start(), "start http client")
 }
 
-// Close closes all connections and waits for the event loops. Calls in progress
-// end with ErrConnLost; later calls open no connection.
+// Close closes all connections and waits for the event loops. Calls in flight end with
+// ErrConnLost; later calls open no connection.
 func (e *Engine) Close() error {
 	if e.engine == nil {
 		return nil
 	}
 	close(e.done)
-	if err := e.loops.AwaitLoops(e.engine.Engine, pollers); err != nil {
+	if err := e.prober.AwaitLoops(e.engine.Engine, pollers); err != nil {
 		return errors.Wrap(err, "stop http client")
 	}
 	e.engine.Stop()
 	return nil
 }
 
-func (e *Engine) closed() bool {
+// isClosed reports whether Close has been called.
+func (e *Engine) isClosed() bool {
 	select {
 	case <-e.done:
 		return true
@@ -102,14 +103,15 @@
 
 	mu     sync.Mutex
 	client *nbhttp.ClientConn
-	opened bool
+	opened bool // the connection was open once, so a request may have been sent
 	closed bool
 }
 
-// Do sends a request and calls done once, from another goroutine. It may block
-// until the connection is open.
+// Do sends a request and calls done once, from another goroutine, or at once with
+// ErrNotOpened if the Conn or its engine is closed. It may block until the connection is
+// open.
 func (c *Conn) Do(r *http.Request, done func(Reply, error)) {
-	client, ok := c.start()
+	client, ok := c.openClient()
 	if !ok {
 		done(Reply{}, ErrNotOpened)
 		return
@@ -117,16 +119,18 @@
 	var once sync.Once
 	client.Do(r, func(res *http.Response, _ net.Conn, err error) {
 		once.Do(func() {
-			reply, err := c.read(res, err)
+			reply, err := c.readReply(res, err)
 			done(reply, err)
 		})
 	})
 }
 
-func (c *Conn) start() (*nbhttp.ClientConn, bool) {
+// openClient returns the library's connection and creates it for the first call; it opens when
+// it is used. The result is false if the Conn or its engine is closed.
+func (c *Conn) openClient() (*nbhttp.ClientConn, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || c.Engine.closed() {
+	if c.closed || c.Engine.isClosed() {
 		return nil, false
 	}
 	if c.client == nil {
@@ -138,6 +142,7 @@
 	return c.client, true
 }
 
+// dial opens the connection; the library calls it.
 func (c *Conn) dial(network, addr string) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout, LocalAddr: SourceAddr(c.Engine.Source)}
 	conn, err := d.Dial(network, addr)
@@ -160,7 +165,9 @@
 	return &net.TCPAddr{IP: parsed}
 }
 
-func (c *Conn) read(res *http.Response, err error) (Reply, error) {
+// readReply reads the whole body of a reply. It marks errors with ErrNotOpened, ErrConnLost or
+// ErrTooLarge.
+func (c *Conn) readReply(res *http.Response, err error) (Reply, error) {
 	if err != nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -184,8 +191,8 @@
 	return reply, nil
 }
 
-// Close closes the connection. A call in progress ends with ErrConnLost. Close
-// must not be called from within done.
+// Close closes the connection. A call in flight ends with ErrConnLost. Close must not be
+// called from within done.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	client := c.client
@@ -227,5 +234,5 @@
 func CallRequest(e *Engine, address string, r *http.Request, timeout time.Duration) (Reply, error) {
 	c := &Conn{Engine: e, Address: address}
 	defer c.Close()
-	return c.wait(r, timeout)
+	return c.doAndWait(r, timeout)
 }
--- a/share/fetch/fetch_test.go
+++ b/share/fetch/fetch_test.go
@@ -34,10 +34,9 @@
 	return ln.Addr().String()
 }
 
-// Guards against a program that hangs for half a minute when it is stopped: it
-// waits for a watch at the platform, and no reply can arrive because the HTTP
-// engine has stopped.
-func TestCloseEndsCallsUnderWay(t *testing.T) {
+// A program waits for a watch at the platform when it is stopped. The HTTP engine stops
+// first, so no reply can arrive, and the program would hang for half a minute.
+func TestCloseEndsCallsInFlight(t *testing.T) {
 	ignore := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, ignore) }) // runs after the cleanup of listenSilent
 	e := &Engine{}
@@ -55,6 +54,8 @@
 	assert.Assert(t, errors.Is(err, ErrNotOpened) || errors.Is(err, ErrConnLost))
 }
 
+// A refused connection must not look like a lost one: only ErrNotOpened proves that the
+// request did not run, so that it may be sent again.
 func TestRefusedConnectionIsNotOpened(t *testing.T) {
 	e := &Engine{}
 	assert.NilError(t, e.Start())
@@ -67,8 +68,8 @@
 	assert.Assert(t, errors.Is(err, ErrNotOpened))
 }
 
-// Guards against a command line program that never ends after its only call: it
-// stops the engine before the event loops run, and they miss the stop.
+// A command line program makes its only call and stops the engine before the event loops
+// run. They miss the stop, and the program never ends.
 func TestCloseRightAfterStart(t *testing.T) {
 	for range 20 {
 		e := &Engine{}
@@ -77,8 +78,8 @@
 	}
 }
 
-// Guards against a Close that never returns if the event loops start late, because
-// other work keeps the processors busy.
+// Other work keeps the processors busy, so the event loops start late. A Close that comes
+// before them would never return.
 func TestCloseBeforeLoopsHaveBegun(t *testing.T) {
 	former := runtime.GOMAXPROCS(1)
 	defer runtime.GOMAXPROCS(former)
