--- a/share/evloop/evloop.go
+++ b/share/evloop/evloop.go
@@ -19,8 +19,8 @@
 // maxTriesPerLoop bounds the connections that are opened until each loop has one.
 const maxTriesPerLoop = 16
 
-// Prober runs a probe on each event loop of an engine and tells the connections
-// of its probes from others. The zero value is ready to use.
+// Prober checks that each event loop of an engine runs, by a connection of its own to each
+// of them. The zero value is ready to use.
 type Prober struct {
 	mu     sync.Mutex
 	probes map[*nbio.Conn]*probe
@@ -32,8 +32,8 @@
 	done chan struct{}
 }
 
-// HandleProbe must be called first by the OnRead handler of an engine, if it has
-// one. It reports whether the connection belongs to a probe.
+// HandleProbe handles an event of a probe's connection and reports whether c is one. An
+// engine's OnRead handler, if there is one, must call it first.
 func (p *Prober) HandleProbe(c *nbio.Conn) bool {
 	p.mu.Lock()
 	pr := p.probes[c]
@@ -49,8 +49,9 @@
 }
 
 // AwaitLoops waits until each of an engine's loops has handled an event. The engine
-// assigns connections to loops by their descriptors.
-func (p *Prober) AwaitLoops(g *nbio.Engine, loops int) error {
+// assigns connections to loops by their descriptors, so it opens connections until each
+// loop has one. It returns ErrUnreachable after maxTriesPerLoop connections per loop.
+func (p *Prober) AwaitLoops(engine *nbio.Engine, loopCount int) error {
 	reached := map[int]bool{}
 	// All descriptors stay open until the end, and each round opens more of them
 	// in between. Otherwise the next connection would be assigned to the same loop.
@@ -64,8 +65,8 @@
 			_ = syscall.Close(fd)
 		}
 	}()
-	for try := 0; len(reached) < loops; try++ {
-		if try == loops*maxTriesPerLoop {
+	for try := 0; len(reached) < loopCount; try++ {
+		if try == loopCount*maxTriesPerLoop {
 			return ErrUnreachable
 		}
 		pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC, 0)
@@ -73,13 +74,14 @@
 			return errors.Wrap(err, "create socket pair")
 		}
 		fds = append(fds, pair[1])
-		c, err := p.probeLoop(g, pair[0], pair[1])
+		c, err := p.probeLoop(engine, pair[0], pair[1])
 		if err != nil {
 			return err
 		}
 		conns = append(conns, c)
-		reached[c.Hash()%loops] = true
-		for range try / loops % loops {
+		reached[c.Hash()%loopCount] = true // as the engine assigns it
+		// Every loopCount rounds, one more descriptor is opened in between.
+		for range try / loopCount % loopCount {
 			if fd, err := syscall.Dup(pair[1]); err == nil {
 				fds = append(fds, fd)
 			}
@@ -88,8 +90,9 @@
 	return nil
 }
 
-// probeLoop waits until the loop of one connection has handled an event on it.
-func (p *Prober) probeLoop(g *nbio.Engine, fd, peer int) (*nbio.Conn, error) {
+// probeLoop adds a connection to the engine and waits until its loop has handled an event
+// on it. The event is a byte that is written to peer, the other end.
+func (p *Prober) probeLoop(engine *nbio.Engine, fd, peer int) (*nbio.Conn, error) {
 	file := os.NewFile(uintptr(fd), "loop")
 	conn, err := net.FileConn(file)
 	err = errors.CombineErrors(err, file.Close())
@@ -108,7 +111,7 @@
 	p.probes[c] = pr
 	p.mu.Unlock()
 	c.OnData(func(c *nbio.Conn, _ []byte) { p.HandleProbe(c) })
-	if _, err := g.AddConn(c); err != nil {
+	if _, err := engine.AddConn(c); err != nil {
 		return nil, errors.Wrap(err, "add probe connection to event loop")
 	}
 	if _, err := syscall.Write(peer, []byte{0}); err != nil {
--- a/share/evloop/evloop_test.go
+++ b/share/evloop/evloop_test.go
@@ -9,8 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a loop that is assigned none of the connections, because the free
-// descriptors have the same remainder each time.
+// The engine assigns connections to loops by their descriptors. If the free descriptors
+// have the same remainder each time, a loop gets none of the connections and AwaitLoops
+// would never end.
 func TestEveryLoopIsReached(t *testing.T) {
 	for _, loops := range []int{1, 2, 3, 4} {
 		for _, gap := range []int{0, 1, 2, 3} {
--- a/share/netio/netio.go
+++ b/share/netio/netio.go
@@ -11,6 +11,7 @@
 	// The library logs to standard output, which the programs use for their output.
 	logging.SetLevel(logging.LevelNone)
 	// The library writes to buffers that it has freed, and frees some of them twice.
-	// With its default allocator, two connections would share such a buffer.
+	// With its default allocator, which reuses them, two connections would share such a
+	// buffer.
 	mempool.DefaultMemPool = mempool.NewSTD()
 }
