--- a/share/conf/conf.go
+++ b/share/conf/conf.go
@@ -59,7 +59,8 @@
 // Is reports whether the target is ErrInvalid.
 func (f Faults) Is(target error) bool { return target == ErrInvalid }
 
-// Err returns the list as an error, sorted by file and line, or nil if it is empty.
+// Err returns the list as an error, or nil if it is empty. It sorts the list by file and
+// line.
 func (f Faults) Err() error {
 	if len(f) == 0 {
 		return nil
@@ -82,7 +83,7 @@
 }
 
 // Line returns the line of the value at a path such as servers[3].slots, or of its
-// nearest parent that is in the file.
+// nearest parent that is in the file; 1 if there is none.
 func (s Source) Line(key string) int {
 	for key != "" {
 		if n := s.findNode(key); n != nil {
@@ -98,6 +99,7 @@
 	return Fault{File: s.File, Line: s.Line(key), Key: key, Problem: problem, Hint: hint}
 }
 
+// findNode returns the node at a path, or nil if the file has none or cannot be parsed.
 func (s Source) findNode(key string) ast.Node {
 	tree, err := parser.ParseBytes(s.body, 0)
 	if err != nil {
@@ -114,6 +116,7 @@
 	return n
 }
 
+// parentKey returns the path without its last key or index, and "" for a top-level key.
 func parentKey(key string) string {
 	i := strings.LastIndexAny(key, ".[")
 	if i < 0 {
@@ -183,7 +186,7 @@
 			if !ok {
 				faults = append(faults, Fault{
 					File: file, Line: pair.Key.GetToken().Position.Line, Key: path,
-					Problem: "unknown key", Hint: "known here: " + joinNames(known),
+					Problem: "unknown key", Hint: "known here: " + joinKeys(known),
 				})
 				continue
 			}
@@ -193,6 +196,7 @@
 	return faults
 }
 
+// yamlKeys returns the types of a struct's fields by their keys in the file.
 func yamlKeys(t reflect.Type) map[string]reflect.Type {
 	known := make(map[string]reflect.Type, t.NumField())
 	for i := range t.NumField() {
@@ -204,7 +208,8 @@
 	return known
 }
 
-func joinNames(known map[string]reflect.Type) string {
+// joinKeys returns the keys as text, in alphabetical order.
+func joinKeys(known map[string]reflect.Type) string {
 	list := make([]string, 0, len(known))
 	for k := range known {
 		list = append(list, k)
@@ -213,6 +218,7 @@
 	return strings.Join(list, ", ")
 }
 
+// yamlName returns the key of a field in the file, or "" if the field is not in the file.
 func yamlName(f reflect.StructField) string {
 	name, _, _ := strings.Cut(f.Tag.Get("yaml"), ",")
 	if name == "-" {
@@ -221,6 +227,7 @@
 	return name
 }
 
+// validate checks structs. Its errors name fields by their keys in the file.
 var validate = func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(yamlName)
@@ -236,12 +243,13 @@
 	}
 	faults := make(Faults, 0, len(list))
 	for _, e := range list {
-		_, key, _ := strings.Cut(e.Namespace(), ".")
+		_, key, _ := strings.Cut(e.Namespace(), ".") // without the name of the struct type
 		faults = append(faults, src.Fault(key, describe(e), ""))
 	}
 	return faults
 }
 
+// describe returns the problem of a value that fails a validate tag.
 func describe(e validator.FieldError) string {
 	switch e.Tag() {
 	case "required":
@@ -256,6 +264,7 @@
 	return fmt.Sprintf("%v fails the check %s %s", e.Value(), e.Tag(), e.Param())
 }
 
+// comparison returns the words for a validate tag that compares.
 func comparison(tag string) string {
 	switch tag {
 	case "gt":
