--- a/share/daemon/daemon.go
+++ b/share/daemon/daemon.go
@@ -52,6 +52,7 @@
 	Platform string `arg:"--platform" placeholder:"IP:PORT" help:"address of the platform"`
 }
 
+// overrideSettings replaces the settings whose flags are set.
 func (a Arguments) overrideSettings(s *node.Settings) {
 	for _, o := range []struct {
 		from string
@@ -68,7 +69,7 @@
 	}
 }
 
-// Env holds what a program is started with.
+// Env holds what a program needs to start.
 type Env struct {
 	Settings node.Settings
 	Log      zerolog.Logger
@@ -76,16 +77,20 @@
 	Tracer   *spans.Tracer
 }
 
-// Service is a running program.
+// Service is a running program, as its start function returns it.
 type Service struct {
+	// Admin serves the admin address.
 	Admin http.Handler
-	// Leave drains the service; a second signal skips it.
+	// Leave drains the service after the first signal; a second signal ends the wait
+	// for it.
 	Leave func()
+	// Close stops the service, drained or not.
 	Close func() error
 }
 
-// Main runs a program and returns its exit code. The arguments are parsed into
-// args, which embeds common.
+// Main runs a program until a signal stops it and returns its exit code: ExitSettings if
+// the settings are invalid, ExitFailure after any other error. The arguments are parsed
+// into args, which embeds common.
 func Main(program string, args any, common *Arguments, start func(Env) (Service, error)) int {
 	arg.MustParse(args)
 	settings, err := node.Load(common.Settings)
@@ -108,6 +113,7 @@
 	return ExitOK
 }
 
+// run starts the program and its admin server, and stops both after a signal.
 func run(program string, settings node.Settings, start func(Env) (Service, error)) error {
 	log, err := logs.New(os.Stderr, settings.Log.Level, program, settings.Host.Name)
 	if err != nil {
