--- a/share/logs/bounded.go
+++ b/share/logs/bounded.go
@@ -14,8 +14,8 @@
 	// flushInterval is how long lines are collected before they are written. It
 	// limits a busy second to about twenty writes instead of thousands.
 	flushInterval = 50 * time.Millisecond
-	// maxQueueBytes bounds each queue of lines that wait for a slow reader. Lines
-	// beyond it are dropped and counted.
+	// maxQueueBytes bounds each of the two queues of lines that wait for a slow reader.
+	// Lines beyond it are dropped and counted.
 	maxQueueBytes = 256 << 10
 	// closeTimeout bounds how long Close waits for a reader that is blocked.
 	closeTimeout = time.Second
@@ -36,11 +36,14 @@
 	closeOnce sync.Once
 }
 
+// queue holds lines that are not written yet, and the number of lines dropped since the
+// last flush.
 type queue struct {
 	buf     bytes.Buffer
 	dropped int
 }
 
+// add adds a line, or drops it if the queue is full.
 func (q *queue) add(line []byte) {
 	if q.buf.Len()+len(line) > maxQueueBytes {
 		q.dropped++
@@ -49,17 +52,19 @@
 	q.buf.Write(line)
 }
 
-// NewBoundedWriter returns a BoundedWriter that forwards lines to out.
+// NewBoundedWriter returns a BoundedWriter that forwards lines to out, from a goroutine
+// that Close ends.
 func NewBoundedWriter(out io.Writer) *BoundedWriter {
 	b := &BoundedWriter{out: out, ready: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
-	go b.run()
+	go b.flushLoop()
 	return b
 }
 
-// Write queues a line without a level.
+// Write queues a line without a level among those about successful requests.
 func (b *BoundedWriter) Write(line []byte) (int, error) { return b.WriteLevel(zerolog.InfoLevel, line) }
 
-// WriteLevel queues a line; zerolog calls it.
+// WriteLevel queues a line, and drops it if its queue is full; zerolog calls it. The result
+// is never an error.
 func (b *BoundedWriter) WriteLevel(level zerolog.Level, line []byte) (int, error) {
 	b.mu.Lock()
 	if level >= zerolog.WarnLevel {
@@ -75,7 +80,8 @@
 	return len(line), nil
 }
 
-func (b *BoundedWriter) run() {
+// flushLoop writes the queued lines flushInterval after the first of them, until Close.
+func (b *BoundedWriter) flushLoop() {
 	defer close(b.done)
 	for {
 		select {
@@ -92,7 +98,8 @@
 	}
 }
 
-// flush writes the queued lines, failures first.
+// flush writes the queued lines, failures first, and a line with the numbers of dropped
+// lines if there are any. It blocks while the reader does.
 func (b *BoundedWriter) flush() {
 	b.mu.Lock()
 	lines := make([]byte, 0, b.failures.buf.Len()+b.normal.buf.Len())
@@ -112,7 +119,8 @@
 	}
 }
 
-// Close writes the queued lines and waits for that, at most for closeTimeout.
+// Close writes the queued lines and waits for that, at most for closeTimeout. Lines that
+// are logged later are lost.
 func (b *BoundedWriter) Close() error {
 	b.closeOnce.Do(func() { close(b.stop) })
 	select {
--- a/share/logs/bounded_test.go
+++ b/share/logs/bounded_test.go
@@ -20,25 +20,26 @@
 	written bytes.Buffer
 }
 
-func (s *blockedWriter) Write(p []byte) (int, error) {
-	<-s.unblock
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.written.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.unblock
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.written.Write(p)
 }
 
-func (s *blockedWriter) text() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.written.String()
+// text returns what has been written.
+func (w *blockedWriter) text() string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.written.String()
 }
 
-// Guards against a log reader that stops reading and blocks the program, and
-// against failures that are dropped when the queue overflows with lines about
-// successful requests. The number of dropped lines is logged.
+// The reader of the logs stops reading. The program must not block, and lines about
+// successful requests, 4 MB here, must not displace failures from the queue. The number
+// of dropped lines is logged.
 func TestLogNeverBlocksAndKeepsFailures(t *testing.T) {
-	s := &blockedWriter{unblock: make(chan struct{})}
-	b := NewBoundedWriter(s)
+	blocked := &blockedWriter{unblock: make(chan struct{})}
+	b := NewBoundedWriter(blocked)
 	log := zerolog.New(b)
 	began := time.Now()
 	for range 50000 {
@@ -48,26 +49,27 @@
 		log.Warn().Msg("refused")
 	}
 	assert.Assert(t, time.Since(began) < 5*time.Second)
-	close(s.unblock)
+	close(blocked.unblock)
 	assert.NilError(t, b.Close())
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if strings.Contains(s.text(), "log-lines-left-out") {
+		if strings.Contains(blocked.text(), "log-lines-left-out") {
 			return poll.Success()
 		}
 		return poll.Continue("no line about dropped lines yet")
 	})
-	assert.Equal(t, strings.Count(s.text(), "refused"), 10)
-	assert.Assert(t, strings.Count(s.text(), `"answered"`) < 50000)
+	assert.Equal(t, strings.Count(blocked.text(), "refused"), 10)
+	assert.Assert(t, strings.Count(blocked.text(), `"answered"`) < 50000)
 }
 
-// Guards against a reader that never reads again and keeps the program from exiting.
+// The reader of the logs never reads again. Close must not wait for it, or the program
+// would never exit.
 func TestCloseDoesNotWaitForEver(t *testing.T) {
-	s := &blockedWriter{unblock: make(chan struct{})}
-	b := NewBoundedWriter(s)
+	blocked := &blockedWriter{unblock: make(chan struct{})}
+	b := NewBoundedWriter(blocked)
 	log := zerolog.New(b)
 	log.Warn().Msg("last")
 	began := time.Now()
 	assert.NilError(t, b.Close())
 	assert.Assert(t, time.Since(began) < 3*closeTimeout)
-	close(s.unblock)
+	close(blocked.unblock)
 }
