--- a/share/clock/clock.go
+++ b/share/clock/clock.go
@@ -75,12 +75,14 @@
 	v.now = end
 }
 
+// event is a function that Virtual runs at a time; seq is its rank among equal times.
 type event struct {
 	at  Milli
 	seq uint64
 	run func()
 }
 
+// eventHeap orders events by time and, at equal times, by seq.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
--- a/share/meter/meter.go
+++ b/share/meter/meter.go
@@ -26,14 +26,14 @@
 	ReplacementCharacter: tally.DefaultReplacementCharacter,
 }
 
-// Meter is the root of a program's metrics. The zero value records nothing.
+// Meter is the root of a program's metrics. The zero value and nil record nothing.
 type Meter struct {
 	scope    tally.Scope
 	closer   io.Closer
 	reporter prometheus.Reporter
 }
 
-// New returns a meter for a program.
+// New returns a meter for a program, whose name is a label of all its metrics.
 func New(program string) *Meter {
 	registry := prom.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{
@@ -53,7 +53,8 @@
 // Label is one label of a metric.
 type Label struct{ Name, Value string }
 
-func (m *Meter) tagged(labels []Label) tally.Scope {
+// scopeWith returns the scope of the metrics that have these labels.
+func (m *Meter) scopeWith(labels []Label) tally.Scope {
 	if m == nil || m.scope == nil {
 		return tally.NoopScope
 	}
@@ -69,12 +70,12 @@
 
 // Count adds to a counter.
 func (m *Meter) Count(name string, n int64, labels ...Label) {
-	m.tagged(labels).Counter(name).Inc(n)
+	m.scopeWith(labels).Counter(name).Inc(n)
 }
 
 // Gauge sets a gauge.
 func (m *Meter) Gauge(name string, v float64, labels ...Label) {
-	m.tagged(labels).Gauge(name).Update(v)
+	m.scopeWith(labels).Gauge(name).Update(v)
 }
 
 // latencyBuckets are the bounds of latency histograms.
@@ -86,13 +87,13 @@
 
 // Latency records a duration in a histogram.
 func (m *Meter) Latency(name string, d time.Duration, labels ...Label) {
-	m.tagged(labels).Histogram(name, latencyBuckets).RecordDuration(d)
+	m.scopeWith(labels).Histogram(name, latencyBuckets).RecordDuration(d)
 }
 
 // Handler returns a handler that serves the metrics page.
 func (m *Meter) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
-// Close reports the remaining metrics and waits for it.
+// Close reports the remaining metrics to the registry and ends the reports.
 func (m *Meter) Close() error {
 	if m == nil || m.closer == nil {
 		return nil
--- a/share/spans/spans.go
+++ b/share/spans/spans.go
@@ -15,15 +15,16 @@
 	api "go.opentelemetry.io/otel/trace"
 )
 
-// Tracer starts spans. The zero value starts spans that record nothing.
+// Tracer starts spans. The zero value and nil start spans that record nothing.
 type Tracer struct {
 	provider *trace.TracerProvider
 	tracer   api.Tracer
 	file     *os.File
 }
 
-// New returns a tracer that writes the given ratio of all traces to a file. An
-// empty path disables tracing.
+// New returns a tracer that appends the spans of a ratio of all traces to a file. A trace
+// that another process began is recorded if that process records it. An empty path
+// disables tracing.
 func New(path, program, host string, ratio float64) (*Tracer, error) {
 	if path == "" {
 		return &Tracer{}, nil
@@ -100,7 +101,7 @@
 	}
 }
 
-// Close writes the remaining spans and closes the file.
+// Close writes the remaining spans and closes the file. Spans must not end afterwards.
 func (t *Tracer) Close() error {
 	if t == nil || t.provider == nil {
 		return nil
