--- a/share/admin/admin.go
+++ b/share/admin/admin.go
@@ -1,4 +1,4 @@
-// Package admin holds the bodies of the programs' admin endpoints, which the
+// Package admin holds the JSON bodies of the programs' admin endpoints, which the
 // programs write and `stile` reads.
 package admin
 
@@ -9,8 +9,8 @@
 	"dandelionstile/share/query"
 )
 
-// Status is the body of /v1/status. An aggregator sets Leaves, an entry sets
-// Services.
+// Status is the body of /v1/status. Only an aggregator sets Leaves, and only an entry
+// sets Services.
 type Status struct {
 	Node     Node      `json:"node"`
 	Leaves   []Leaf    `json:"leafs,omitempty"`
@@ -24,18 +24,21 @@
 	Domain      string `json:"failure-domain"`
 	Program     string `json:"program"`
 	Incarnation uint64 `json:"incarnation"`
-	Ready       bool   `json:"ready"`
-	Leaving     bool   `json:"leaving"`
-	Watching    bool   `json:"watching"`
+	// Ready is set once a configuration and a host list are in force.
+	Ready bool `json:"ready"`
+	// Leaving is set while the process shuts down.
+	Leaving bool `json:"leaving"`
+	// Watching is set while the host watches the platform for new versions.
+	Watching bool `json:"watching"`
 	// PlatformAge is the time since any process that this program knows of last
-	// heard from the platform, in ms; -1 if none has.
+	// reached the platform, in ms; -1 if none has.
 	PlatformAge int64     `json:"platform-age-ms"`
 	Versions    []Version `json:"versions"`
 	Refused     []Refused `json:"refused"`
 	Peers       []Peer    `json:"peers"`
 }
 
-// Version is the version of a key that is in use.
+// Version is the version of a key that is in force.
 type Version struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
@@ -49,7 +52,7 @@
 	Reason  string `json:"why"`
 }
 
-// Peer is a host that this one has a link to.
+// Peer is a process that this one has a link to, with the name host/program#link.
 type Peer struct {
 	Name    string `json:"name"`
 	Leaving bool   `json:"leaving"`
@@ -57,24 +60,31 @@
 
 // Leaf is a leaf as its aggregator sees it.
 type Leaf struct {
-	Leaf      string `json:"leaf"`
-	Server    string `json:"server"`
-	Service   string `json:"service"`
-	Primary   bool   `json:"primary"`
-	Exclusive bool   `json:"exclusive"`
-	Busy      int    `json:"busy"`
-	Queued    int    `json:"queued"`
-	Limit     int    `json:"limit"`
-	Slots     int    `json:"slots"`
-	Conns     int    `json:"connections"`
-	RampLeft  int64  `json:"ramp-left-ms"`
-	Closed    string `json:"closed"`
+	Leaf    string `json:"leaf"`
+	Server  string `json:"server"`
+	Service string `json:"service"`
+	// Primary is set if this host is the first of the leaf's aggregators, Exclusive
+	// if it holds the lease on the leaf's server or is the only candidate.
+	Primary   bool `json:"primary"`
+	Exclusive bool `json:"exclusive"`
+	// Busy and Queued count the requests that the leaf runs and those that wait for
+	// it. Limit is how many the aggregator sends to it at once, at most Slots.
+	Busy   int `json:"busy"`
+	Queued int `json:"queued"`
+	Limit  int `json:"limit"`
+	Slots  int `json:"slots"`
+	Conns  int `json:"connections"`
+	// RampLeft is the time until a warming leaf gets its full load, in ms.
+	RampLeft int64 `json:"ramp-left-ms"`
+	// Closed is why the leaf gets no requests; empty if it does.
+	Closed string `json:"closed"`
 }
 
 // Service is the coverage that an entry could give a service's queries now.
 type Service struct {
-	Service  string    `json:"service"`
-	Snapshot string    `json:"snapshot"`
+	Service  string `json:"service"`
+	Snapshot string `json:"snapshot"`
+	// Shards counts all shards, Answered those that some leaf could serve.
 	Shards   int       `json:"shards"`
 	Answered int       `json:"reachable"`
 	Missing  []Missing `json:"missing"`
@@ -88,28 +98,36 @@
 
 // Strike is a request that is rejected because it crashed servers.
 type Strike struct {
+	// Fingerprint identifies the request, in 16 hexadecimal digits.
 	Fingerprint string `json:"fingerprint"`
-	Count       int    `json:"count"`
-	Left        int64  `json:"left-ms"`
+	// Count is the number of servers that it crashed.
+	Count int `json:"count"`
+	// Left is the time until the strike expires, in ms.
+	Left int64 `json:"left-ms"`
 }
 
-// Query is the body of /v1/explain.
+// Query is the body of /v1/explain: an answered query with the decisions about it.
 type Query struct {
-	ID       string    `json:"id"`
-	Service  string    `json:"service"`
-	Snapshot string    `json:"snapshot"`
+	ID       string `json:"id"`
+	Service  string `json:"service"`
+	Snapshot string `json:"snapshot"`
+	// Took is the time from the query's arrival to its answer, in ms.
 	Took     int64     `json:"took-ms"`
 	Shards   int       `json:"shards"`
 	Answered int       `json:"answered"`
 	Missing  []Missing `json:"missing"`
-	Calls    int       `json:"calls"`
-	Extra    int       `json:"extra-attempts"`
-	Refused  string    `json:"refused"`
-	Steps    []Step    `json:"steps"`
+	// Calls counts all calls to leaves, Extra those beyond the first for each shard
+	// and all that were made before the query was pinned to another snapshot.
+	Calls int `json:"calls"`
+	Extra int `json:"extra-attempts"`
+	// Refused is why the query was rejected; empty if it was not.
+	Refused string `json:"refused"`
+	Steps   []Step `json:"steps"`
 }
 
 // Step is one decision about a query.
 type Step struct {
+	// At is the time since the query's arrival, in ms.
 	At    int64  `json:"at-ms"`
 	Event string `json:"event"`
 	Shard int    `json:"shard"`
@@ -118,7 +136,8 @@
 	Cause string `json:"cause"`
 }
 
-// MissingFrom converts the missing shards of a coverage.
+// MissingFrom converts the missing shards of a coverage; the result is never nil, so that
+// its JSON is a list.
 func MissingFrom(list []query.Missing) []Missing {
 	out := make([]Missing, len(list))
 	for i, m := range list {
@@ -127,7 +146,7 @@
 	return out
 }
 
-// StrikesFrom converts the strikes of a table.
+// StrikesFrom converts the strikes of a table; the result is never nil.
 func StrikesFrom(list []deny.Strike) []Strike {
 	out := make([]Strike, len(list))
 	for i, s := range list {
--- a/share/wire/map.go
+++ b/share/wire/map.go
@@ -8,7 +8,8 @@
 	"dandelionstile/share/topo"
 )
 
-// OutcomeTo converts an outcome to its message.
+// OutcomeTo converts an outcome to its message. Body, the result of an update, is not part
+// of the message.
 func OutcomeTo(o query.Outcome) *Outcome {
 	w := &Outcome{
 		Call: o.Call, Kind: uint32(o.Kind), Reason: string(o.Reason),
@@ -40,7 +41,8 @@
 	return o
 }
 
-// KindFrom converts a number to a kind.
+// KindFrom converts a number to a kind. It returns query.Unknown for a number that is no
+// kind.
 func KindFrom(n uint32) query.Kind {
 	if n < uint32(query.OK) || n > uint32(query.Died) {
 		return query.Unknown
@@ -59,7 +61,7 @@
 	return w
 }
 
-// FeedbackFrom converts a message to feedback.
+// FeedbackFrom converts a message to feedback; a nil message gives the zero value.
 func FeedbackFrom(w *Feedback) query.Feedback {
 	fb := query.Feedback{
 		Leaf: w.GetLeaf(), Busy: int(w.GetBusy()), Limit: int(w.GetLimit()), Queued: int(w.GetQueued()), Closed: w.GetClosed(), CallTime: float64(w.GetPaceMs()),
