--- a/share/httpd/httpd_test.go
+++ b/share/httpd/httpd_test.go
@@ -115,7 +115,7 @@
 	<-held
 	second, err := net.Dial("tcp", s.Addr())
 	assert.NilError(t, err)
-	_, err = second.Write([]byte("GET /leaves HTTP/1.1\r\nHost: h\r\n\r\n"))
+	_, err = second.Write([]byte("GET /disconnects HTTP/1.1\r\nHost: h\r\n\r\n"))
 	assert.NilError(t, err)
 	assert.NilError(t, second.Close())
 	time.Sleep(50 * time.Millisecond) // until the close has crossed loopback
--- a/share/mesh/mesh.go
+++ b/share/mesh/mesh.go
@@ -1,6 +1,6 @@
 // Package mesh carries messages between dandelionstile's processes: protobuf
 // frames on a few long-lived yamux streams per peer. It owns the sockets of all
-// links and hands received messages to a Handler.
+// links and passes received messages to a Handler.
 package mesh
 
 import (
@@ -250,8 +250,8 @@
 }
 
 // redial dials an address until ctx ends, with exponential backoff, and serves each
-// link until it closes. An attempt that took longer than maxRedialDelay, most of all a
-// link that lasted, resets the backoff.
+// link until it closes. An attempt that took longer than maxRedialDelay, such as
+// one whose link lasted, resets the backoff.
 func (m *Mesh) redial(ctx context.Context, addr string) {
 	delay := minRedialDelay
 	for ctx.Err() == nil {
--- a/share/node/codec.go
+++ b/share/node/codec.go
@@ -82,6 +82,7 @@
 // larger delta is cut off there and then fails to unmarshal or to apply.
 const maxExpandedBytes = 64 << 20
 
+// expandItems decompresses and unmarshals the items of a delta.
 func expandItems(packed []byte) (*wire.Items, error) {
 	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxExpandedBytes))
 	if err != nil {
--- a/share/syncer/pull.go
+++ b/share/syncer/pull.go
@@ -67,8 +67,8 @@
 	return []Action{SendPull{Peer: from, Key: key, Have: state.stamp}}
 }
 
-// orderForVersion orders peers differently for each version, so that the same
-// peer is not always asked first.
+// orderForVersion sorts peers by a hash of their names and a version, so that the same
+// peer is not asked first for every version.
 func orderForVersion(names []string, key string, s Stamp) []string {
 	salt := key + strconv.FormatUint(s.Version, 10)
 	sort.Slice(names, func(i, j int) bool {
--- a/share/topo/parse.go
+++ b/share/topo/parse.go
@@ -139,6 +139,7 @@
 	return b.config, nil
 }
 
+// parsePart parses a file. A file over MaxPartBytes is a fault and is not parsed.
 func parsePart(p Part) parsedPart {
 	if len(p.Body) > MaxPartBytes {
 		return parsedPart{faults: conf.Faults{{
