--- a/share/member/codec.go
+++ b/share/member/codec.go
@@ -21,41 +21,43 @@
 const perMille = 1000
 
 // Encode encodes a packet. It omits updates of hosts without a valid IP and port,
-// which are unreachable.
+// which are unreachable, and fails if the sender has none.
 func Encode(p Packet) ([]byte, error) {
 	e := encoder{domains: map[string]uint32{}}
-	g := &wire.MemberPacket{
-		Kind: uint32(p.Kind), Sequence: p.Sequence, Sender: e.member(p.Sender), Target: packAddress(p.Target), Digest: p.Digest, Sum: p.Checksum,
+	message := &wire.MemberPacket{
+		Kind: uint32(p.Kind), Sequence: p.Sequence, Sender: e.encodeUpdate(p.Sender), Target: packAddress(p.Target), Digest: p.Digest, Sum: p.Checksum,
 		Updates: make([]*wire.Member, 0, len(p.Updates)),
 	}
-	if g.Sender == nil {
+	if message.Sender == nil {
 		return nil, errors.Wrapf(ErrInvalidPacket, "sender %q", p.Sender.Host.GossipAddress)
 	}
 	for _, u := range p.Updates {
-		if m := e.member(u); m != nil {
-			g.Updates = append(g.Updates, m)
+		if m := e.encodeUpdate(u); m != nil {
+			message.Updates = append(message.Updates, m)
 		}
 	}
-	g.Domains = e.names
+	message.Domains = e.names
 	for _, c := range p.Crashes {
-		g.Crashes = append(g.Crashes, &wire.CrashReport{Fingerprint: c.Fingerprint, Leaf: c.Leaf, AgeMs: uint32(max(0, c.Age))})
+		message.Crashes = append(message.Crashes, &wire.CrashReport{Fingerprint: c.Fingerprint, Leaf: c.Leaf, AgeMs: uint32(max(0, c.Age))})
 	}
-	for _, n := range p.Leaves {
-		g.Leaves = append(g.Leaves, &wire.LeafReport{Leaf: n.ID, LateMs: uint32(max(0, n.ExtraLatency)), Failing: uint32(n.FailureRatio * perMille)})
+	for _, leaf := range p.Leaves {
+		message.Leaves = append(message.Leaves, &wire.LeafReport{Leaf: leaf.ID, LateMs: uint32(max(0, leaf.ExtraLatency)), Failing: uint32(leaf.FailureRatio * perMille)})
 	}
-	body, err := proto.Marshal(g)
+	body, err := proto.Marshal(message)
 	return body, errors.Wrap(err, "encode packet")
 }
 
-// encoder assigns numbers to the failure domains of a packet.
+// encoder numbers the failure domains of a packet, so that each name is sent once.
 type encoder struct {
 	names   []string
 	domains map[string]uint32
 }
 
-func (e *encoder) member(u Update) *wire.Member {
-	at := packAddress(u.Host.GossipAddress)
-	if at == nil {
+// encodeUpdate encodes the state of one host and numbers its failure domain on first use.
+// It returns nil if the gossip address is not an IP and port.
+func (e *encoder) encodeUpdate(u Update) *wire.Member {
+	address := packAddress(u.Host.GossipAddress)
+	if address == nil {
 		return nil
 	}
 	index, ok := e.domains[u.Host.Domain]
@@ -65,80 +67,81 @@
 		e.names = append(e.names, u.Host.Domain)
 	}
 	return &wire.Member{
-		Address: at, ForwardPort: portOf(u.Host.ForwardAddress), Domain: index,
+		Address: address, ForwardPort: portOf(u.Host.ForwardAddress), Domain: index,
 		Started: u.Host.Started, Incarnation: u.Host.Incarnation, State: uint32(u.State),
 		Capacity: u.Host.Capacity,
 	}
 }
 
-// Decode decodes a packet.
+// Decode decodes a packet. It skips updates that are invalid.
 func Decode(body []byte) (Packet, error) {
-	var g wire.MemberPacket
-	if err := proto.Unmarshal(body, &g); err != nil {
+	var message wire.MemberPacket
+	if err := proto.Unmarshal(body, &message); err != nil {
 		return Packet{}, errors.Wrap(err, "decode packet")
 	}
-	sender, ok := decodeUpdate(&g, g.GetSender())
-	if !ok || g.GetKind() > uint32(Diff) {
+	sender, ok := decodeUpdate(&message, message.GetSender())
+	if !ok || message.GetKind() > uint32(Diff) {
 		return Packet{}, ErrInvalidPacket
 	}
-	p := Packet{Kind: Kind(g.GetKind()), Sequence: g.GetSequence(), Sender: sender, Digest: g.GetDigest(), Checksum: g.GetSum()}
+	p := Packet{Kind: Kind(message.GetKind()), Sequence: message.GetSequence(), Sender: sender, Digest: message.GetDigest(), Checksum: message.GetSum()}
 	if p.Kind == PingReq {
-		if p.Target, ok = unpackAddress(g.GetTarget()); !ok {
+		if p.Target, ok = unpackAddress(message.GetTarget()); !ok {
 			return Packet{}, ErrInvalidPacket
 		}
 	}
-	for _, m := range g.GetUpdates() {
-		if u, ok := decodeUpdate(&g, m); ok {
+	for _, m := range message.GetUpdates() {
+		if u, ok := decodeUpdate(&message, m); ok {
 			p.Updates = append(p.Updates, u)
 		}
 	}
-	for _, c := range g.GetCrashes() {
+	for _, c := range message.GetCrashes() {
 		p.Crashes = append(p.Crashes, crash.Report{Fingerprint: c.GetFingerprint(), Leaf: c.GetLeaf(), Age: clock.Milli(c.GetAgeMs())})
 	}
-	for _, n := range g.GetLeaves() {
+	for _, leaf := range message.GetLeaves() {
 		p.Leaves = append(p.Leaves, report.Leaf{
-			ID: n.GetLeaf(), ExtraLatency: clock.Milli(n.GetLateMs()), FailureRatio: min(1, float64(n.GetFailing())/perMille),
+			ID: leaf.GetLeaf(), ExtraLatency: clock.Milli(leaf.GetLateMs()), FailureRatio: min(1, float64(leaf.GetFailing())/perMille),
 		})
 	}
 	return p, nil
 }
 
-// decodeUpdate decodes one member. It reports false if the address is invalid or
-// the state is unknown.
-func decodeUpdate(g *wire.MemberPacket, m *wire.Member) (Update, bool) {
-	at, ok := unpackAddress(m.GetAddress())
-	if !ok || m.GetState() > uint32(Left) || int(m.GetDomain()) >= len(g.GetDomains()) {
+// decodeUpdate decodes the state of one host. It reports false if the address, the
+// state or the number of the failure domain is invalid.
+func decodeUpdate(message *wire.MemberPacket, encoded *wire.Member) (Update, bool) {
+	address, ok := unpackAddress(encoded.GetAddress())
+	if !ok || encoded.GetState() > uint32(Left) || int(encoded.GetDomain()) >= len(message.GetDomains()) {
 		return Update{}, false
 	}
-	ip, _, err := net.SplitHostPort(at)
+	ip, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return Update{}, false
 	}
-	return Update{State: State(m.GetState()), Host: Host{
-		GossipAddress: at, ForwardAddress: net.JoinHostPort(ip, strconv.Itoa(int(m.GetForwardPort()))), Domain: g.GetDomains()[m.GetDomain()],
-		Started: m.GetStarted(), Incarnation: m.GetIncarnation(), Capacity: m.GetCapacity(),
+	return Update{State: State(encoded.GetState()), Host: Host{
+		GossipAddress: address, ForwardAddress: net.JoinHostPort(ip, strconv.Itoa(int(encoded.GetForwardPort()))), Domain: message.GetDomains()[encoded.GetDomain()],
+		Started: encoded.GetStarted(), Incarnation: encoded.GetIncarnation(), Capacity: encoded.GetCapacity(),
 	}}, true
 }
 
 // packAddress encodes an IP and port; it returns nil for any other text.
-func packAddress(text string) []byte {
-	at, err := netip.ParseAddrPort(text)
+func packAddress(address string) []byte {
+	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil
 	}
-	packed, err := at.MarshalBinary()
+	packed, err := parsed.MarshalBinary()
 	if err != nil {
 		return nil
 	}
 	return packed
 }
 
+// unpackAddress decodes an IP and port. It reports false if they are invalid.
 func unpackAddress(packed []byte) (string, bool) {
-	var at netip.AddrPort
-	if err := at.UnmarshalBinary(packed); err != nil || !at.IsValid() {
+	var address netip.AddrPort
+	if err := address.UnmarshalBinary(packed); err != nil || !address.IsValid() {
 		return "", false
 	}
-	return at.String(), true
+	return address.String(), true
 }
 
 // portOf returns the port of an address, or 0 if it has none, as for a host that
--- a/share/member/diff_test.go
+++ b/share/member/diff_test.go
@@ -36,8 +36,8 @@
 	return answers
 }
 
-// Guards against a host that misses a few adjacent hosts on the ring and repeatedly
-// gets answers with hosts it already knows.
+// A host lacks a few adjacent hosts of the ring. If answers were not made of whole
+// buckets, it would repeatedly get hosts that it already knows.
 func TestEachAnswerToADigestSettlesSome(t *testing.T) {
 	const hosts, lacking, seeds = 4000, 300, 20
 	slowest, sum := 0, 0
@@ -47,28 +47,30 @@
 		sum += answers
 	}
 	t.Logf("%.1f answers on average, %d at most", float64(sum)/seeds, slowest)
-	// Each answer settles all its buckets except the first and the last.
-	const most = hosts/(maxSyncUpdates-2*2*hosts/maxBuckets) + 1
-	assert.Assert(t, slowest <= most, "%d answers, at most %d", slowest, most)
+	// An answer leaves at most two of its buckets unequal, the first and the last. A
+	// bucket has hosts/maxBuckets hosts on average, here taken twice as large.
+	const limit = hosts/(maxSyncUpdates-2*2*hosts/maxBuckets) + 1
+	assert.Assert(t, slowest <= limit, "%d answers, at most %d", slowest, limit)
 }
 
-// Guards against a lost comparison in a series that brings hosts, which is then repeated
-// only after the full interval.
+// A comparison brings hosts, and the answer to the next one is lost. The comparison must
+// be repeated soon, not after the full interval.
 func TestLostComparisonIsMadeAgainSoon(t *testing.T) {
 	l := &List{Self: Host{GossipAddress: "10.9.0.1:1"}, syncs: startupSyncs}
 	l.start(1000)
-	for _, one := range []struct {
-		learned int
-		pause   clock.Milli
+	for _, step := range []struct {
+		learned  int
+		interval clock.Milli
 	}{{fastSyncThreshold, syncFastInterval}, {0, syncSoonInterval}, {0, syncInterval}, {1, syncSoonInterval}, {0, syncInterval}} {
-		l.learned = one.learned
+		l.learned = step.learned
 		l.sync(1000)
-		assert.Equal(t, l.syncAt, 1000+one.pause, "%+v", one)
+		assert.Equal(t, l.syncAt, 1000+step.interval, "%+v", step)
 	}
 }
 
-// Guards against new hosts that all get the same few others in answers.
-func TestFreshHostsAreToldOfDifferentOnes(t *testing.T) {
+// Many hosts start at once and send their digests. If answers always held the same few
+// hosts, the new hosts could not learn the others from each other.
+func TestAnswersToNewHostsDiffer(t *testing.T) {
 	const hosts, answers = 4000, 10
 	l := &List{Self: Host{GossipAddress: "10.9.0.1:1"}}
 	l.start(1000)
--- a/share/member/fleet_test.go
+++ b/share/member/fleet_test.go
@@ -16,11 +16,14 @@
 	rand   *rand.Rand
 	hosts  []*simHost
 	byName map[string]*simHost
-	loss   float64
-	cut    func(from, to string) bool
+	// lossRatio is the ratio of packets lost at random, and cut reports whether the
+	// network between two hosts is cut.
+	lossRatio float64
+	cut       func(from, to string) bool
 	// packets and bytes count what was sent since the last reset.
 	packets, bytes int
-	// sampleEvery is the interval of packets that are encoded to measure their size.
+	// sampleEvery is the number of packets for each one that is encoded to measure its
+	// size.
 	sampleEvery int
 }
 
@@ -29,15 +32,17 @@
 	list    *List
 	stopped bool
 	dead    bool
-	waiting []Packet
-	due     clock.Milli
+	// unread holds the packets that arrived while the host was stopped.
+	unread []Packet
+	// nextTickAt is when the scheduled tick is.
+	nextTickAt clock.Milli
 }
 
 const domains = 6
 
 func newFleet(t *testing.T, n int, loss float64) *fleet {
 	t.Helper()
-	w := &fleet{rand: rand.New(rand.NewPCG(uint64(n), 7)), byName: map[string]*simHost{}, loss: loss, sampleEvery: 1}
+	w := &fleet{rand: rand.New(rand.NewPCG(uint64(n), 7)), byName: map[string]*simHost{}, lossRatio: loss, sampleEvery: 1}
 	if n > 1000 {
 		w.sampleEvery = 32
 	}
@@ -50,7 +55,7 @@
 
 func name(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/200, i%200) }
 
-// start adds a host, which replaces one at the same address.
+// start adds a host, which replaces one at the same address, and returns it.
 func (w *fleet) start(t *testing.T, host string, seeds []string, started uint64) *simHost {
 	r := &simHost{list: &List{Seeds: seeds, Self: Host{
 		GossipAddress: host, ForwardAddress: host, Domain: fmt.Sprintf("d%d", len(w.hosts)%domains), Started: started,
@@ -73,20 +78,21 @@
 	w.schedule(t, r)
 }
 
-// schedule schedules the next tick of a host.
+// schedule schedules the next tick of a host, unless an earlier one is scheduled.
 func (w *fleet) schedule(t *testing.T, r *simHost) {
 	at := max(r.list.Next(), w.now.Now()+1)
-	if r.due > w.now.Now() && r.due <= at {
+	if r.nextTickAt > w.now.Now() && r.nextTickAt <= at {
 		return
 	}
-	r.due = at
+	r.nextTickAt = at
 	w.now.At(at, func() {
-		if r.due == at {
+		if r.nextTickAt == at {
 			w.tick(t, r)
 		}
 	})
 }
 
+// send measures packets, loses some and delivers the others after a delay of 1 to 24 ms.
 func (w *fleet) send(t *testing.T, packets []Packet) {
 	for _, p := range packets {
 		if w.packets++; w.packets%w.sampleEvery == 0 {
@@ -95,7 +101,7 @@
 			const headers = 28 // of IP and UDP
 			w.bytes += (len(body) + headers) * w.sampleEvery
 		}
-		if w.rand.Float64() < w.loss || w.cut != nil && w.cut(p.Sender.Host.GossipAddress, p.To) {
+		if w.rand.Float64() < w.lossRatio || w.cut != nil && w.cut(p.Sender.Host.GossipAddress, p.To) {
 			continue
 		}
 		w.now.After(1+clock.Milli(w.rand.IntN(24)), func() { w.deliver(t, p) })
@@ -107,23 +113,23 @@
 	switch {
 	case r == nil || r.dead:
 	case r.stopped:
-		r.waiting = append(r.waiting, p)
+		r.unread = append(r.unread, p)
 	default:
 		w.send(t, r.list.Receive(w.now.Now(), p))
 		w.schedule(t, r)
 	}
 }
 
-// stop stalls a host for a span; it reads the packets sent meanwhile afterwards.
+// stop stops a host for a span; it then reads the packets sent meanwhile.
 func (w *fleet) stop(t *testing.T, r *simHost, span clock.Milli) {
 	r.stopped = true
 	w.now.After(span, func() {
 		r.stopped = false
 		w.tick(t, r)
-		for _, p := range r.waiting {
+		for _, p := range r.unread {
 			w.deliver(t, p)
 		}
-		r.waiting = nil
+		r.unread = nil
 	})
 }
 
--- a/share/member/fuzz_test.go
+++ b/share/member/fuzz_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against datagrams from any sender that add a host without an address, or
-// updates that can't be encoded.
+// Packets come from any sender. None may add a host without an address, or an update
+// that cannot be encoded.
 func FuzzDecode(f *testing.F) {
 	body, err := Encode(Packet{Kind: Sync, Sender: Update{Host: Host{GossipAddress: "10.0.0.1:1", ForwardAddress: "10.0.0.1:2", Domain: "d"}}, Digest: make([]uint32, maxBuckets)})
 	if err != nil {
--- a/share/member/gossip.go
+++ b/share/member/gossip.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// gossipPeriod is the interval between gossip rounds while updates are
+	// gossipInterval is the interval between gossip rounds while updates are
 	// queued.
-	gossipPeriod clock.Milli = 200
+	gossipInterval clock.Milli = 200
 	// gossipSameDomain and gossipAnyDomain are how many hosts of the own failure
 	// domain and of all domains get a packet each round. Few cross domains because
 	// traffic between domains is billed.
@@ -20,32 +20,33 @@
 	gossipAnyDomain  = 1
 	// updatesPerPacket is the limit of updates in a packet, about 1 KB.
 	updatesPerPacket = 32
-	// extraSends is how often a host sends an update beyond the bit length of the
-	// number of hosts, after which it has reached nearly all of them.
+	// extraSends is how many times more than the bit length of the number of hosts
+	// each host sends an update. After that many sends it has reached nearly all.
 	extraSends = 2
 	// maxQueued bounds the queued updates. When more hosts change at once, digests
-	// repair what was not published.
+	// repair what was not queued.
 	maxQueued = 10 * updatesPerPacket
 	// leaveFanout is how many hosts a leaving host notifies directly.
 	leaveFanout = 24
 
-	// syncInterval is the interval between digest comparisons. syncSoonInterval
-	// follows one that found a difference or came after syncFastInterval, and
-	// syncFastInterval one that found many, or each of the first startupSyncs.
+	// syncInterval is the interval between digest comparisons. It is syncFastInterval
+	// after each of the first startupSyncs and after a comparison that brought at least
+	// fastSyncThreshold hosts, and syncSoonInterval after one that brought fewer or
+	// that followed another by syncFastInterval.
 	syncInterval                 = 5 * clock.Second
 	syncSoonInterval             = clock.Second
 	syncFastInterval clock.Milli = 150
 	startupSyncs                 = 12
-	// fastSyncThreshold is how many hosts a comparison must bring to be followed by
-	// another after syncFastInterval.
+	// fastSyncThreshold is how many hosts a comparison must bring for the next one to
+	// follow after syncFastInterval.
 	fastSyncThreshold = 8
-	// seedSyncEvery is the number of comparisons per comparison with a seed, which
+	// seedSyncEvery is the number of comparisons for each comparison with a seed, which
 	// rejoins partitions of the system.
 	seedSyncEvery = 4
-	// maxSyncUpdates is how many hosts the answer to a digest may hold, and
-	// fullSyncsPerSecond how many answers a second may do so. Further answers hold
-	// updatesPerPacket hosts, which the receiver can ask in turn. The limit protects
-	// seeds, which every starting host asks.
+	// maxSyncUpdates is how many hosts an answer to a digest may hold, and
+	// fullSyncsPerSecond how many answers per second may hold that many. Further
+	// answers hold updatesPerPacket hosts, and the receiver can send a digest to those.
+	// The limit protects seeds, to which every starting host sends a digest.
 	maxSyncUpdates     = 12 * updatesPerPacket
 	fullSyncsPerSecond = 40
 	// maxBuckets is the largest number of buckets in a digest, a power of two. A
@@ -54,7 +55,8 @@
 	hostsPerBucket = 8
 )
 
-// publish queues an update for the next packets.
+// publish queues an update for the next packets. A queued update starts over with its
+// sends. If the queue is full, only the update of this host itself is queued.
 func (l *List) publish(e *entry) {
 	e.sendsLeft = extraSends + bits.Len(uint(len(l.ring)+1))
 	if !e.queued && (len(l.queue) < maxQueued || e == &l.self) {
@@ -65,9 +67,10 @@
 
 func (l *List) publishSelf() { l.publish(&l.self) }
 
-// takeUpdates dequeues updates for one packet, and requeues those with sends left.
-func (l *List) takeUpdates(room int) []Update {
-	n := min(room, len(l.queue))
+// takeUpdates returns up to limit queued updates for one packet, and requeues those with
+// sends left.
+func (l *List) takeUpdates(limit int) []Update {
+	n := min(limit, len(l.queue))
 	if n <= 0 {
 		return nil
 	}
@@ -85,8 +88,9 @@
 	return list
 }
 
-// packet adds the sender and queued updates to a packet.
-func (l *List) packet(to string, p Packet) Packet {
+// fillPacket sets the receiver and the sender of a packet and fills it up with queued
+// updates.
+func (l *List) fillPacket(to string, p Packet) Packet {
 	p.To = to
 	p.Sender = l.self.Update
 	p.Updates = append(p.Updates, l.takeUpdates(updatesPerPacket-len(p.Updates))...)
@@ -98,53 +102,58 @@
 	l.start(now)
 	var packets []Packet
 	for _, e := range append(l.sample(l.sameDomain, gossipSameDomain, nil), l.sample(l.ring, gossipAnyDomain, nil)...) {
-		packets = append(packets, l.packet(e.Host.GossipAddress, Packet{Kind: Publish}))
+		packets = append(packets, l.fillPacket(e.Host.GossipAddress, Packet{Kind: Publish}))
 	}
 	return packets
 }
 
-// sample returns up to limit distinct random hosts of a list, except one.
-func (l *List) sample(from []*entry, limit int, except *entry) []*entry {
-	if len(from) <= 2*limit {
-		list := slices.DeleteFunc(slices.Clone(from), func(e *entry) bool { return e == except })
+// sample returns up to limit distinct random hosts of a list, without the excluded one.
+func (l *List) sample(candidates []*entry, limit int, excluded *entry) []*entry {
+	if len(candidates) <= 2*limit {
+		// Drawing until enough differ is slow for a short list, and does not end if it
+		// has fewer than limit hosts.
+		list := slices.DeleteFunc(slices.Clone(candidates), func(e *entry) bool { return e == excluded })
 		l.rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		return list[:min(len(list), limit)]
 	}
 	list := make([]*entry, 0, limit)
 	for len(list) < limit {
-		if e := from[l.rand.IntN(len(from))]; e != except && !slices.Contains(list, e) {
+		if e := candidates[l.rand.IntN(len(candidates))]; e != excluded && !slices.Contains(list, e) {
 			list = append(list, e)
 		}
 	}
 	return list
 }
 
-// sync sends the digest of the list to another host, a seed or both.
+// sync returns packets with the digest of the list for another host, a seed or both, and
+// schedules the next comparison.
 func (l *List) sync(now clock.Milli) []Packet {
 	l.syncs++
 	l.syncedAt = now
-	period := syncInterval
+	interval := syncInterval
 	switch {
 	case l.syncs <= startupSyncs || l.learned >= fastSyncThreshold:
-		period = syncFastInterval
-	case l.learned > 0 || l.syncPeriod == syncFastInterval:
-		// A comparison that brings nothing after others that did may have been lost.
-		period = syncSoonInterval
+		interval = syncFastInterval
+	case l.learned > 0 || l.lastSyncInterval == syncFastInterval:
+		// If a comparison brings nothing after others that did, its answer may be
+		// lost.
+		interval = syncSoonInterval
 	}
-	l.syncPeriod, l.syncAt = period, now+period
+	l.lastSyncInterval, l.syncAt = interval, now+interval
 	l.learned = 0
 	whole := l.fullDigest()
 	digest := foldDigest(whole[:], l.digestSize())
 	var packets []Packet
 	send := func(to string) {
 		if to != l.Self.GossipAddress {
-			packets = append(packets, l.packet(to, Packet{Kind: Sync, Digest: digest}))
+			packets = append(packets, l.fillPacket(to, Packet{Kind: Sync, Digest: digest}))
 		}
 	}
 	if len(l.Seeds) > 0 && (len(l.ring) == 0 || l.syncs%seedSyncEvery == 1) {
 		send(l.Seeds[l.rand.IntN(len(l.Seeds))])
 	}
 	if l.syncWith != "" {
+		// The host's checksum has shown that its list differs.
 		send(l.syncWith)
 		l.syncWith = ""
 		return packets
@@ -156,13 +165,14 @@
 }
 
 // diffPackets answers a digest with the hosts of the differing buckets, including
-// removed hosts, which the receiver may still list.
+// removed hosts, which the receiver may still list. It returns nil if the digest's
+// length is not a power of two up to maxBuckets.
 func (l *List) diffPackets(now clock.Milli, to string, digest []uint32) []Packet {
 	size := len(digest)
 	if size == 0 || size > maxBuckets || size&(size-1) != 0 {
 		return nil
 	}
-	limit := l.syncBudget(now)
+	limit := l.takeSyncBudget(now)
 	whole := l.fullDigest()
 	own := foldDigest(whole[:], size)
 	differs := func(e *entry) bool {
@@ -179,15 +189,16 @@
 	}
 	count(l.ring)
 	count(l.removed)
-	// Prefers whole buckets, which one answer settles. Starting at a random bucket
-	// lets several hosts together answer a long list in full.
-	room := limit
+	// Prefers buckets that fit whole, since the receiver's bucket then matches. The
+	// first differing bucket is chosen even if it does not fit. Starting at a random
+	// bucket lets several hosts together answer a long list in full.
+	remaining := limit
 	var chosen [maxBuckets]bool
 	for i, first := 0, l.rand.IntN(size); i < size; i++ {
 		bucket := (first + i) % size
-		if n := counts[bucket]; n > 0 && (n <= room || room == limit) {
+		if n := counts[bucket]; n > 0 && (n <= remaining || remaining == limit) {
 			chosen[bucket] = true
-			room -= n
+			remaining -= n
 		}
 	}
 	var list []Update
@@ -210,14 +221,14 @@
 	var packets []Packet
 	for len(list) > 0 {
 		n := min(updatesPerPacket, len(list))
-		packets = append(packets, l.packet(to, Packet{Kind: Diff, Updates: list[:n:n]}))
+		packets = append(packets, l.fillPacket(to, Packet{Kind: Diff, Updates: list[:n:n]}))
 		list = list[n:]
 	}
 	return packets
 }
 
-// syncBudget returns how many hosts the answer to one more digest may hold.
-func (l *List) syncBudget(now clock.Milli) int {
+// takeSyncBudget counts an answer to a digest and returns how many hosts it may hold.
+func (l *List) takeSyncBudget(now clock.Milli) int {
 	if now >= l.syncsServedAt+clock.Second {
 		l.syncsServedAt, l.syncsServed = now, 0
 	}
@@ -257,12 +268,13 @@
 	return sum
 }
 
-// toggleDigest adds a host to the digest or removes it.
+// toggleDigest adds a host to the digest, or removes it if the digest contains it.
 func (l *List) toggleDigest(e *entry) { l.digest[e.bucket()] ^= e.fingerprint() }
 
+// bucket returns the digest bucket of a host.
 func (e *entry) bucket() int { return int(e.hash % maxBuckets) }
 
-// fingerprint returns a hash of a host and its incarnation.
+// fingerprint returns a hash of a host's address, start time and incarnation.
 func (e *entry) fingerprint() uint32 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], e.Host.Started)
--- a/share/member/member.go
+++ b/share/member/member.go
@@ -29,7 +29,8 @@
 	// GossipAddress receives packets over UDP and identifies the host.
 	// ForwardAddress receives forwarded requests over TCP.
 	GossipAddress, ForwardAddress string
-	Domain                        string
+	// Domain is the host's failure domain.
+	Domain string
 	// Capacity is the available CPU in thousandths of a core; 0 if unknown.
 	Capacity uint32
 	// Started is when the process started, in Unix ms by its own clock.
@@ -105,7 +106,8 @@
 	Leaves  []report.Leaf
 }
 
-// Change is an added or removed host, for the log.
+// Change is a host that was added, removed, restarted or moved to another forward
+// address, for the log.
 type Change struct {
 	Host  Host
 	State State
@@ -127,35 +129,48 @@
 
 	started bool
 	rand    *rand.Rand
-	known   map[string]*entry
+	// known holds all hosts of ring and removed by gossip address.
+	known map[string]*entry
 	// ring holds the other hosts that are up, in order of their hashes, and
 	// sameDomain the ones in the own failure domain.
 	ring, sameDomain []*entry
 	// removed holds the hosts that are down or have left, oldest first.
-	removed        []*entry
-	digest         [maxBuckets]uint32
-	queue          []*entry
-	self           entry
-	version        uint64
+	removed []*entry
+	// digest holds a hash for each bucket of ring; fullDigest adds this host.
+	digest [maxBuckets]uint32
+	// queue holds the hosts whose updates go into the next packets.
+	queue   []*entry
+	self    entry
+	version uint64
+	// changes holds the changes since the last call of Changes. Further ones are only
+	// counted, in droppedChanges.
 	changes        []Change
 	droppedChanges int
 
+	// probes holds the probes in progress, and proxiedProbes those on behalf of other
+	// hosts, by sequence number.
 	probes        map[uint64]*probe
 	proxiedProbes map[uint64]proxiedProbe
 	sequence      uint64
 	suspects      []*entry
-	nextTickAt    clock.Milli
-	probeAt       clock.Milli
-	gossipAt      clock.Milli
-	syncAt        clock.Milli
-	// syncPeriod is the interval that followed the last sync.
-	syncPeriod clock.Milli
-	syncedAt   clock.Milli
+	// nextTickAt is when the next call of Tick is due, and probeAt, gossipAt and syncAt
+	// when the next rounds of probes, gossip and digest comparisons are.
+	nextTickAt clock.Milli
+	probeAt    clock.Milli
+	gossipAt   clock.Milli
+	syncAt     clock.Milli
+	// lastSyncInterval is the interval that followed the last sync.
+	lastSyncInterval clock.Milli
+	// syncedAt is when the last sync was sent.
+	syncedAt clock.Milli
 	// syncWith is a host whose list differs; empty if none.
 	syncWith string
-	syncs    int
-	// learned counts the new hosts and states since the last sync.
-	learned       int
+	// syncs counts the comparisons that this host has started.
+	syncs int
+	// learned counts the new hosts and states that answers have brought since the last
+	// sync.
+	learned int
+	// syncsServed counts the answers to digests in the second from syncsServedAt.
 	syncsServedAt clock.Milli
 	syncsServed   int
 }
@@ -174,6 +189,7 @@
 // up reports whether the host counts as up.
 func (e *entry) up() bool { return e.State == Alive || e.State == Suspect }
 
+// start prepares the list on first use.
 func (l *List) start(now clock.Milli) {
 	if l.started {
 		return
@@ -186,7 +202,7 @@
 	// The seed is derived from the address: reproducible and different on each host.
 	l.rand = rand.New(rand.NewPCG(l.self.hash, l.Self.Started))
 	// A random phase spreads the probes of all hosts over the period.
-	l.probeAt = now + clock.Milli(l.rand.Int64N(int64(probePeriod)))
+	l.probeAt = now + clock.Milli(l.rand.Int64N(int64(probeInterval)))
 	l.syncAt = now
 	l.publishSelf()
 }
@@ -202,24 +218,27 @@
 	return list
 }
 
-// Suspected reports whether a host that counts as up does not reply to probes.
-func (l *List) Suspected(gossip string) bool {
-	e := l.known[gossip]
+// Suspected reports whether the host with a gossip address does not reply to probes, but
+// still counts as up.
+func (l *List) Suspected(gossipAddress string) bool {
+	e := l.known[gossipAddress]
 	return e != nil && e.State == Suspect
 }
 
 // Version counts the changes of Alive and Suspected.
 func (l *List) Version() uint64 { return l.version }
 
-// Changes returns the hosts added or removed since the last call, and how many
-// more were dropped from the list.
+// Changes returns the changes since the last call, and the number of further ones that
+// were not kept.
 func (l *List) Changes() (list []Change, more int) {
 	list, more = l.changes, l.droppedChanges
 	l.changes, l.droppedChanges = nil, 0
 	return list, more
 }
 
-// apply records an update from another host and reports whether it changed the list.
+// apply records an update from another host. It reports whether the update added a host
+// that is up, or replaced the state of a known one. An update about this host itself is
+// refuted if necessary; one that does not supersede the known state is ignored.
 func (l *List) apply(now clock.Milli, u Update) bool {
 	switch u.Host.GossipAddress {
 	case "":
@@ -239,8 +258,8 @@
 	return true
 }
 
-// add records an unknown host. A removed one is kept only to block older updates
-// that would re-add it.
+// add records an unknown host and reports whether it is up. A host that is not up is
+// kept only to block older updates that would add it.
 func (l *List) add(now clock.Milli, u Update) bool {
 	e := &entry{Update: u, hash: rank.Hash(u.Host.GossipAddress)}
 	l.known[u.Host.GossipAddress] = e
@@ -251,7 +270,7 @@
 	}
 	l.insert(e)
 	l.startSuspicion(now, e)
-	l.changed(e)
+	l.recordChange(e)
 	return true
 }
 
@@ -262,7 +281,8 @@
 	}
 }
 
-// replace replaces the state of a host.
+// replace replaces the state of a host, moves it between the hosts that are up and the
+// removed ones, and records what matters to the log.
 func (l *List) replace(now clock.Milli, e *entry, u Update) {
 	former := *e
 	if former.up() {
@@ -279,14 +299,14 @@
 		l.removed = append(l.removed, e)
 	}
 	if former.up() != e.up() || former.Host.Started != e.Host.Started || former.Host.ForwardAddress != e.Host.ForwardAddress {
-		l.changed(e)
+		l.recordChange(e)
 	} else if former.State != e.State {
 		l.version++
 	}
 }
 
-// changed records a change for the log.
-func (l *List) changed(e *entry) {
+// recordChange counts a change and keeps it for the log, if there is capacity left.
+func (l *List) recordChange(e *entry) {
 	l.version++
 	if len(l.changes) >= maxChanges {
 		l.droppedChanges++
@@ -295,19 +315,21 @@
 	l.changes = append(l.changes, Change{Host: e.Host, State: e.State})
 }
 
+// insert adds a host that is up to the digest and the ring.
 func (l *List) insert(e *entry) {
 	l.toggleDigest(e)
-	at, _ := l.position(e)
-	l.ring = slices.Insert(l.ring, at, e)
+	index, _ := l.position(e)
+	l.ring = slices.Insert(l.ring, index, e)
 	if e.Host.Domain == l.Self.Domain {
 		l.sameDomain = append(l.sameDomain, e)
 	}
 }
 
+// remove removes a host from the digest and the ring.
 func (l *List) remove(e *entry) {
 	l.toggleDigest(e)
-	if at, ok := l.position(e); ok {
-		l.ring = slices.Delete(l.ring, at, at+1)
+	if index, ok := l.position(e); ok {
+		l.ring = slices.Delete(l.ring, index, index+1)
 	}
 	l.sameDomain = slices.DeleteFunc(l.sameDomain, func(o *entry) bool { return o == e })
 }
@@ -325,7 +347,7 @@
 	})
 }
 
-// pruneRemoved forgets hosts that were removed long ago.
+// pruneRemoved deletes hosts that were removed longer than removedRetention ago.
 func (l *List) pruneRemoved(now clock.Milli) {
 	for len(l.removed) > 0 && now-l.removed[0].removedAt > removedRetention {
 		delete(l.known, l.removed[0].Host.GossipAddress)
--- a/share/member/member_test.go
+++ b/share/member/member_test.go
@@ -12,16 +12,16 @@
 )
 
 // full enables the largest fleets, which take minutes and gigabytes.
-var full = flag.Bool("full", false, "also play fleets of 5,600 hosts")
+var full = flag.Bool("full", false, "also run fleets of 5,600 hosts")
 
 // fleetCase is a fleet's number of hosts and its share of lost packets.
 type fleetCase struct {
-	hosts int
-	loss  float64
+	hosts     int
+	lossRatio float64
 }
 
-// Guards against lists that miss live hosts, keep dead ones, or cause more traffic as
-// the fleet grows.
+// Packet loss, stalls and many hosts that stop at once may leave lists that lack live
+// hosts or keep dead ones. Traffic per host must not grow with the fleet.
 func TestListsHoldAtEverySize(t *testing.T) {
 	runCases(t, []fleetCase{
 		{6, 0},
@@ -39,7 +39,7 @@
 	})
 }
 
-// Guards against the same at the largest supported size.
+// Tests the same as TestListsHoldAtEverySize, at the largest supported size.
 func TestListsHoldAtFullSize(t *testing.T) {
 	if !*full {
 		t.Skip("takes minutes and gigabytes: -full")
@@ -47,12 +47,12 @@
 	runCases(t, []fleetCase{{5600, 0}, {5600, 0.02}, {5600, 0.1}})
 }
 
-func runCases(t *testing.T, list []fleetCase) {
+func runCases(t *testing.T, cases []fleetCase) {
 	t.Helper()
-	for _, one := range list {
-		t.Run(fmt.Sprintf("%d-hosts-%.0f-lost", one.hosts, 100*one.loss), func(t *testing.T) {
+	for _, c := range cases {
+		t.Run(fmt.Sprintf("%d-hosts-%.0f-lost", c.hosts, 100*c.lossRatio), func(t *testing.T) {
 			t.Parallel()
-			testFleet(t, one.hosts, one.loss)
+			testFleet(t, c.hosts, c.lossRatio)
 		})
 	}
 }
@@ -70,12 +70,12 @@
 	assert.Equal(t, w.minKnown(), n-1)
 
 	w.packets, w.bytes = 0, 0
-	dropped := w.maxDropped(10*clock.Second, nil)
+	missing := w.maxMissing(10*clock.Second, nil)
 	packets, bytes := float64(w.packets)/float64(n)/10, float64(w.bytes)/float64(n)/10
-	t.Logf("calm: %.1f packets and %.0f bytes a host and second, %d pairs dropped at most", packets, bytes, dropped)
-	const mostPackets, mostBytes = 15, 1500
-	assert.Assert(t, packets < mostPackets && bytes < mostBytes)
-	assert.Assert(t, dropped <= n*n/1000, "live hosts removed: %d pairs", dropped)
+	t.Logf("steady: %.1f packets and %.0f bytes a host and second, %d pairs removed at most", packets, bytes, missing)
+	const maxPackets, maxBytes = 15, 1500
+	assert.Assert(t, packets < maxPackets && bytes < maxBytes)
+	assert.Assert(t, missing <= n*n/1000, "live hosts removed: %d pairs", missing)
 
 	stopped := map[*simHost]bool{}
 	for i := 1; i <= n/10; i++ {
@@ -83,9 +83,9 @@
 		stopped[r] = true
 		w.stop(t, r, 3*clock.Second)
 	}
-	dropped = w.maxDropped(3*clock.Second, stopped)
-	t.Logf("%d stalled: %d pairs of other hosts removed at most", len(stopped), dropped)
-	assert.Assert(t, dropped <= n*n/1000, "hosts that did not stall were removed: %d pairs", dropped)
+	missing = w.maxMissing(3*clock.Second, stopped)
+	t.Logf("%d stalled: %d pairs of other hosts removed at most", len(stopped), missing)
+	assert.Assert(t, missing <= n*n/1000, "hosts that did not stall were removed: %d pairs", missing)
 	w.run(4 * clock.Second)
 	assert.Assert(t, w.knownPairs() >= n*(n-1)-n*n/1000, "stalled hosts are still removed: %d of %d pairs", w.knownPairs(), n*(n-1))
 
@@ -99,38 +99,38 @@
 	t.Logf("%d dead: %d of %d pairs still list them after 6 s", dead, extra, left*dead)
 	assert.Assert(t, extra*100 <= left*dead, "more than one pair in a hundred still lists dead hosts")
 
-	fresh := w.start(t, "10.8.0.1:7000", []string{name(0), name(1)}, 1)
+	added := w.start(t, "10.8.0.1:7000", []string{name(0), name(1)}, 1)
 	w.run(3 * clock.Second)
-	t.Logf("a new host lists %d of %d", len(fresh.list.ring), left)
-	assert.Assert(t, len(fresh.list.ring) >= left, "a new host lists %d of %d", len(fresh.list.ring), left)
+	t.Logf("a new host lists %d of %d", len(added.list.ring), left)
+	assert.Assert(t, len(added.list.ring) >= left, "a new host lists %d of %d", len(added.list.ring), left)
 }
 
-// maxDropped runs the fleet for a span and returns the highest number, at any moment,
-// of pairs of a host and a live host missing from its list. Stalled hosts are
-// excluded.
-func (w *fleet) maxDropped(span clock.Milli, excluded map[*simHost]bool) int {
-	most := 0
+// maxMissing runs the fleet for a span and returns the highest number, at any moment,
+// of pairs of a host and a live host missing from its list. It leaves out the
+// excluded hosts.
+func (w *fleet) maxMissing(span clock.Milli, excluded map[*simHost]bool) int {
+	highest := 0
 	for range span / 250 {
 		w.run(250)
-		dropped := 0
+		missing := 0
 		for _, r := range w.running() {
 			if excluded[r] {
 				continue
 			}
 			for _, o := range w.running() {
 				if e := r.list.known[o.list.Self.GossipAddress]; o != r && !excluded[o] && (e == nil || !e.up()) {
-					dropped++
+					missing++
 				}
 			}
 		}
-		most = max(most, dropped)
+		highest = max(highest, missing)
 	}
-	return most
+	return highest
 }
 
-// Guards against dead hosts that stay in the lists, and against a restarted host that
-// is ignored because its clock was set back.
-func TestKilledHostsAreMissed(t *testing.T) {
+// Hosts are killed, and then new processes start at their addresses, one of them with a
+// clock that was set back. The lists must lose the dead hosts and get the new ones.
+func TestKilledHostsAreRemoved(t *testing.T) {
 	w := newFleet(t, 20, 0)
 	w.run(10 * clock.Second)
 	w.byName[name(5)].dead = true
@@ -143,8 +143,8 @@
 	assert.Equal(t, w.minKnown(), 19)
 }
 
-// Guards against requests forwarded to a host that has announced that it is leaving.
-func TestLeavingHostIsDropped(t *testing.T) {
+// A host announces that it is leaving. No other host may still forward requests to it.
+func TestLeavingHostIsRemoved(t *testing.T) {
 	w := newFleet(t, 7, 0)
 	w.run(8 * clock.Second)
 	r := w.byName[name(3)]
@@ -157,8 +157,9 @@
 	}
 }
 
-// Guards against a leaving host that many hosts of a large fleet still list.
-func TestLeavingHostIsDroppedByLargeFleets(t *testing.T) {
+// A leaving host of a large fleet notifies only some of the others, which must publish
+// it to all.
+func TestLeavingHostIsRemovedByLargeFleets(t *testing.T) {
 	w := newFleet(t, 200, 0.02)
 	w.run(8 * clock.Second)
 	r := w.byName[name(3)]
@@ -169,8 +170,9 @@
 	}
 }
 
-// Guards against partitions of the system that do not rejoin after the network heals.
-func TestPartsFindEachOtherAgain(t *testing.T) {
+// The network is cut until the hosts of each half have removed those of the other, so that
+// none knows a live host of the other half. The halves must rejoin when it heals.
+func TestPartitionsRejoin(t *testing.T) {
 	for _, n := range []int{20, 200} {
 		w := newFleet(t, n, 0)
 		w.run(10 * clock.Second)
@@ -187,9 +189,9 @@
 	}
 }
 
-// Guards against old updates that re-add a dead host, and against a new process at its
-// address that is mistaken for it.
-func TestOldUpdatesDoNotReviveTheDead(t *testing.T) {
+// Old updates of a dead host arrive late and must not add it again. A new process at its
+// address must be added, also if an update of the old one arrives afterwards.
+func TestOldUpdatesDoNotAddDeadHosts(t *testing.T) {
 	l := List{Self: Host{GossipAddress: "10.0.0.1:1", Domain: "d0", Started: 1}}
 	other := Host{GossipAddress: "10.0.0.2:1", Domain: "d1", Started: 5, Incarnation: 3}
 	receive := func(h Host, s State) { l.apply(1000, Update{Host: h, State: s}) }
@@ -212,23 +214,25 @@
 	assert.DeepEqual(t, l.Alive(), []Host{next})
 }
 
-// Guards against the removal of live hosts: a suspected host must refute in time.
+// A host suspects a live one, for example after packet loss. The suspected host must
+// refute before the others remove it.
 func TestSuspectedHostRefutes(t *testing.T) {
 	w := newFleet(t, 30, 0)
 	w.run(10 * clock.Second)
-	r, by := w.byName[name(7)], w.byName[name(8)]
-	version := by.list.Version()
-	w.send(t, by.list.suspect(w.now.Now(), by.list.known[name(7)]))
-	assert.Assert(t, by.list.Suspected(name(7)) && by.list.Version() > version)
-	w.schedule(t, by)
+	suspected, suspecter := w.byName[name(7)], w.byName[name(8)]
+	version := suspecter.list.Version()
+	w.send(t, suspecter.list.suspect(w.now.Now(), suspecter.list.known[name(7)]))
+	assert.Assert(t, suspecter.list.Suspected(name(7)) && suspecter.list.Version() > version)
+	w.schedule(t, suspecter)
 	w.run(1500)
-	assert.Equal(t, r.list.Self.Incarnation, uint64(1))
+	assert.Equal(t, suspected.list.Self.Incarnation, uint64(1))
 	w.run(4 * clock.Second)
 	assert.Equal(t, w.minKnown(), 29)
 }
 
-// Guards against a stalled host that removes all others once it runs again.
-func TestStoppedHostDropsNobody(t *testing.T) {
+// A stalled host gets no replies to its probes. Once it runs again, it must not remove the
+// other hosts for that.
+func TestStalledHostRemovesNobody(t *testing.T) {
 	w := newFleet(t, 30, 0)
 	w.run(10*clock.Second + 100)
 	r := w.byName[name(7)]
@@ -240,9 +244,9 @@
 	assert.Equal(t, w.minKnown(), 29)
 }
 
-// Guards against hosts of the own failure domain that never get a packet when there
-// are more hosts than the limit.
-func TestNearHostsAreTold(t *testing.T) {
+// A failure domain has more hosts than the limit. If each call chose the same ones, the
+// others would never get a packet.
+func TestDomainPacketsReachEveryHost(t *testing.T) {
 	l := List{Self: Host{GossipAddress: "10.0.0.1:1", Domain: "d0"}}
 	l.start(1000)
 	for i := range 40 {
@@ -260,7 +264,7 @@
 	assert.Equal(t, len(notified), 20)
 }
 
-// Guards against a log that grows with the number of hosts that change at once.
+// Many hosts change at once. The log of changes must not grow with their number.
 func TestChangesAreBounded(t *testing.T) {
 	l := List{Self: Host{GossipAddress: "10.0.0.1:1", Domain: "d0"}}
 	l.start(1000)
@@ -274,9 +278,8 @@
 	assert.Equal(t, len(list)+more, 0)
 }
 
-// Guards against load reports that are altered by encoding, and against values out
-// of range.
-func TestLeafReportsTravel(t *testing.T) {
+// Values of load reports may be altered by encoding. Those out of range must be limited.
+func TestLeafReportsAreEncoded(t *testing.T) {
 	sent := []report.Leaf{{ID: "i-1", ExtraLatency: 170, FailureRatio: 0.25}, {ID: "i-2"}, {ID: "i-3", ExtraLatency: -5, FailureRatio: 3}}
 	body, err := Encode(Packet{Sender: Update{Host: Host{GossipAddress: "10.0.0.1:1"}}, Leaves: sent})
 	assert.NilError(t, err)
@@ -286,8 +289,8 @@
 	assert.DeepEqual(t, p.Leaves, sent)
 }
 
-// Guards against fields that are lost in encoding.
-func TestPacketsTravel(t *testing.T) {
+// Encoding may lose fields.
+func TestPacketsAreEncoded(t *testing.T) {
 	sender := Update{Host: Host{GossipAddress: "10.0.0.1:1", ForwardAddress: "10.0.0.1:2", Domain: "d0", Capacity: 800, Started: 7, Incarnation: 2}}
 	other := Update{Host: Host{GossipAddress: "10.0.0.2:1", ForwardAddress: "10.0.0.2:2", Domain: "d1", Started: 8}, State: Suspect}
 	for _, p := range []Packet{
--- a/share/member/probe.go
+++ b/share/member/probe.go
@@ -7,30 +7,31 @@
 )
 
 const (
-	// probePeriod is the interval between rounds of probes.
-	probePeriod = clock.Second
+	// probeInterval is the interval between rounds of probes.
+	probeInterval = clock.Second
 	// sameDomainProbes and ringProbes are how many hosts are probed each round: the
-	// next ones of the own failure domain and of all, in order of hashes. Each host
-	// is thus probed by the same number of others, not all in its own domain.
+	// next ones on the ring of the own failure domain, and of any domain. Each host is
+	// thus probed by the same number of others, not all in its own domain.
 	sameDomainProbes = 1
 	ringProbes       = 2
 	// probeRetryInterval is the interval between attempts of a probe. It covers a
 	// cross-region round trip and the scheduling delay of a busy host.
 	probeRetryInterval clock.Milli = 200
-	// directAttempts and proxyAttempts are how often a host is probed directly and
-	// then through others before it is suspected. Packet loss alone must not cause
-	// suspicions, since each one is published to all hosts.
+	// directAttempts is how often a host is probed directly, and proxyAttempts how
+	// often it is then probed through other hosts before it is suspected. Packet loss
+	// alone must not cause suspicions, since each one is published to all hosts.
 	directAttempts = 3
 	proxyAttempts  = 2
 	// proxyFanout is how many other hosts are asked to probe a host.
 	proxyFanout = 3
-	// proxyTimeout bounds the last attempt.
+	// proxyTimeout is how long the last attempt waits for an Ack.
 	proxyTimeout clock.Milli = 300
-	// suspicionTimeout is how long a suspected host has to refute.
+	// suspicionTimeout is how long a suspected host has to refute before it is removed.
 	suspicionTimeout = 2 * clock.Second
 	// stallThreshold is the delay of a tick from which this host counts as stalled.
 	stallThreshold clock.Milli = 400
-	// proxyAckTTL is how long an Ack is forwarded to the host that requested it.
+	// proxyAckTTL is how long after its request an Ack is still forwarded to the host
+	// that requested the probe.
 	proxyAckTTL = clock.Second
 )
 
@@ -43,49 +44,51 @@
 
 // proxiedProbe is a probe on behalf of another host.
 type proxiedProbe struct {
-	from     string
-	sequence uint64
-	at       clock.Milli
+	// requester is the address of that host, and sequence the number of its own probe.
+	requester   string
+	sequence    uint64
+	requestedAt clock.Milli
 }
 
-// startProbes starts the probes of a round.
+// startProbes starts the probes of a round and deletes expired proxied probes.
 func (l *List) startProbes(now clock.Milli) {
 	for _, e := range l.probeTargets() {
 		l.sequence++
 		l.probes[l.sequence] = &probe{target: e, nextAt: now}
 	}
 	for sequence, p := range l.proxiedProbes {
-		if now-p.at > proxyAckTTL {
+		if now-p.requestedAt > proxyAckTTL {
 			delete(l.proxiedProbes, sequence)
 		}
 	}
 }
 
-// probeTargets returns the next hosts on the ring, including one of the own failure
-// domain.
+// probeTargets returns the hosts to probe in a round: the alive hosts that follow this
+// host on the ring.
 func (l *List) probeTargets() []*entry {
-	at, _ := l.position(&l.self)
+	start, _ := l.position(&l.self)
 	var list []*entry
-	near, far := sameDomainProbes, ringProbes
+	sameDomainLeft, ringLeft := sameDomainProbes, ringProbes
 	for i := range l.ring {
-		e := l.ring[(at+i)%len(l.ring)]
+		e := l.ring[(start+i)%len(l.ring)]
 		switch {
-		case e.State != Alive:
-		case near > 0 && e.Host.Domain == l.Self.Domain:
-			near--
+		case e.State != Alive: // a suspected host is not probed again
+		case sameDomainLeft > 0 && e.Host.Domain == l.Self.Domain:
+			sameDomainLeft--
 			list = append(list, e)
-		case far > 0:
-			far--
+		case ringLeft > 0:
+			ringLeft--
 			list = append(list, e)
 		}
-		if far == 0 && (near == 0 || len(l.sameDomain) == 0) {
+		if ringLeft == 0 && (sameDomainLeft == 0 || len(l.sameDomain) == 0) {
 			break
 		}
 	}
 	return list
 }
 
-// runProbes sends the packets due for probes in progress.
+// runProbes returns the packets that are due for probes in progress, and suspects the
+// hosts that have not replied to the last attempt.
 func (l *List) runProbes(now clock.Milli) []Packet {
 	var packets []Packet
 	for _, sequence := range l.probeSequences() {
@@ -97,10 +100,10 @@
 		case !p.target.up():
 			delete(l.probes, sequence)
 		case p.attempts < directAttempts:
-			packets = append(packets, l.packet(p.target.Host.GossipAddress, Packet{Kind: Ping, Sequence: sequence}))
+			packets = append(packets, l.fillPacket(p.target.Host.GossipAddress, Packet{Kind: Ping, Sequence: sequence}))
 		case p.attempts < directAttempts+proxyAttempts:
 			for _, e := range l.sample(l.ring, proxyFanout, p.target) {
-				packets = append(packets, l.packet(e.Host.GossipAddress, Packet{Kind: PingReq, Sequence: sequence, Target: p.target.Host.GossipAddress}))
+				packets = append(packets, l.fillPacket(e.Host.GossipAddress, Packet{Kind: PingReq, Sequence: sequence, Target: p.target.Host.GossipAddress}))
 			}
 		default:
 			delete(l.probes, sequence)
@@ -125,8 +128,8 @@
 	return list
 }
 
-// suspect publishes that a host does not reply. It also notifies that host, which
-// can refute it fastest.
+// suspect marks a host as suspected and publishes this. It returns a packet that notifies
+// the host itself, which can refute it fastest, or nil if the host is not Alive.
 func (l *List) suspect(now clock.Milli, e *entry) []Packet {
 	if e.State != Alive {
 		return nil
@@ -135,10 +138,10 @@
 	u.State = Suspect
 	l.replace(now, e, u)
 	l.publish(e)
-	return []Packet{l.packet(e.Host.GossipAddress, Packet{Kind: Publish, Updates: []Update{u}})}
+	return []Packet{l.fillPacket(e.Host.GossipAddress, Packet{Kind: Publish, Updates: []Update{u}})}
 }
 
-// startSuspicion starts the time within which a suspected host may refute.
+// startSuspicion starts the time that a host has to refute if it is suspected.
 func (l *List) startSuspicion(now clock.Milli, e *entry) {
 	if e.State != Suspect {
 		return
@@ -147,12 +150,12 @@
 	l.suspects = append(l.suspects, e)
 }
 
-// expire removes suspected hosts that have not refuted in time.
+// expire marks suspected hosts as dead that have not refuted in time, and publishes this.
 func (l *List) expire(now clock.Milli) {
 	rest := l.suspects[:0]
 	for _, e := range l.suspects {
 		switch {
-		case e.State != Suspect:
+		case e.State != Suspect: // refuted, removed or left
 		case now-e.suspectedAt < suspicionTimeout:
 			rest = append(rest, e)
 		default:
@@ -165,16 +168,18 @@
 	l.suspects = rest
 }
 
-// compensateStall compensates for a stall of this host. Replies to its probes may
-// have been lost meanwhile, and refutations may be unread.
-func (l *List) compensateStall(late clock.Milli) {
+// compensateStall deletes the probes in progress and extends the time to refute by the
+// delay of this host's tick: replies to its probes may have been lost meanwhile, and
+// refutations may be unread.
+func (l *List) compensateStall(delay clock.Milli) {
 	clear(l.probes)
 	for _, e := range l.suspects {
-		e.suspectedAt += late
+		e.suspectedAt += delay
 	}
 }
 
-// refute raises the own incarnation above that of an update about this host.
+// refute supersedes an update about this host that would supersede its own state, by a
+// higher incarnation or a later start time, and publishes it.
 func (l *List) refute(u Update) {
 	switch own := l.self.Update; {
 	case u.Host.Started > own.Host.Started:
--- a/share/member/run.go
+++ b/share/member/run.go
@@ -14,7 +14,7 @@
 	l.expire(now)
 	var packets []Packet
 	if now >= l.probeAt {
-		l.probeAt = now + probePeriod
+		l.probeAt = now + probeInterval
 		l.startProbes(now)
 		packets = append(packets, l.reconnect()...)
 	}
@@ -23,7 +23,7 @@
 		packets = append(packets, l.sync(now)...)
 	}
 	if len(l.queue) > 0 && now >= l.gossipAt {
-		l.gossipAt = now + gossipPeriod
+		l.gossipAt = now + gossipInterval
 		packets = append(packets, l.Gossip(now)...)
 	}
 	l.nextTickAt = l.Next()
@@ -45,7 +45,8 @@
 	return next
 }
 
-// Receive processes a packet and returns the replies to it.
+// Receive processes a packet and returns the replies to it. It ignores packets without a
+// sender or from this host itself.
 func (l *List) Receive(now clock.Milli, p Packet) []Packet {
 	l.start(now)
 	if p.Sender.Host.GossipAddress == "" || p.Sender.Host.GossipAddress == l.Self.GossipAddress {
@@ -65,6 +66,7 @@
 	return l.reply(now, p)
 }
 
+// reply returns the replies to a packet whose updates have been applied.
 func (l *List) reply(now clock.Milli, p Packet) []Packet {
 	from := p.Sender.Host.GossipAddress
 	// A removed host that sends a packet learns its recorded state from any receiver
@@ -75,31 +77,32 @@
 	}
 	switch p.Kind {
 	case Ping:
-		return []Packet{l.packet(from, Packet{Kind: Ack, Sequence: p.Sequence, Checksum: l.checksum(), Updates: corrections})}
+		return []Packet{l.fillPacket(from, Packet{Kind: Ack, Sequence: p.Sequence, Checksum: l.checksum(), Updates: corrections})}
 	case Ack:
 		return l.onAck(now, p)
 	case PingReq:
 		l.sequence++
-		l.proxiedProbes[l.sequence] = proxiedProbe{from: from, sequence: p.Sequence, at: now}
-		return []Packet{l.packet(p.Target, Packet{Kind: Ping, Sequence: l.sequence})}
+		l.proxiedProbes[l.sequence] = proxiedProbe{requester: from, sequence: p.Sequence, requestedAt: now}
+		return []Packet{l.fillPacket(p.Target, Packet{Kind: Ping, Sequence: l.sequence})}
 	case Sync:
 		list := l.diffPackets(now, from, p.Digest)
 		if len(corrections) > 0 {
-			list = append(list, l.packet(from, Packet{Kind: Publish, Updates: corrections}))
+			list = append(list, l.fillPacket(from, Packet{Kind: Publish, Updates: corrections}))
 		}
 		return list
 	}
 	if len(corrections) > 0 {
-		return []Packet{l.packet(from, Packet{Kind: Publish, Updates: corrections})}
+		return []Packet{l.fillPacket(from, Packet{Kind: Publish, Updates: corrections})}
 	}
 	return nil
 }
 
-// onAck ends a probe, or forwards the Ack to the host that requested the probe.
+// onAck ends a probe, or forwards the Ack to the host that requested the probe. If the
+// sender's list differs, the next sync goes to the sender.
 func (l *List) onAck(now clock.Milli, p Packet) []Packet {
 	delete(l.probes, p.Sequence)
 	if p.Checksum != l.checksum() && len(l.queue) == 0 {
-		// Queued updates would account for the difference.
+		// Queued updates alone may explain a difference.
 		l.syncWith = p.Sender.Host.GossipAddress
 		l.syncAt = min(l.syncAt, max(now, l.syncedAt+syncSoonInterval))
 	}
@@ -108,11 +111,11 @@
 		return nil
 	}
 	delete(l.proxiedProbes, p.Sequence)
-	return []Packet{l.packet(request.from, Packet{Kind: Ack, Sequence: request.sequence, Checksum: p.Checksum})}
+	return []Packet{l.fillPacket(request.requester, Packet{Kind: Ack, Sequence: request.sequence, Checksum: p.Checksum})}
 }
 
-// reconnect pings a random dead host, which rejoins partitions of the system that
-// have removed each other.
+// reconnect returns a ping for a random dead host, or nil. It rejoins partitions of the
+// system that have removed each other: the ping shows the host that it counts as dead.
 func (l *List) reconnect() []Packet {
 	if len(l.removed) == 0 {
 		return nil
@@ -122,11 +125,11 @@
 		return nil
 	}
 	l.sequence++
-	return []Packet{l.packet(e.Host.GossipAddress, Packet{Kind: Ping, Sequence: l.sequence, Updates: []Update{e.Update}})}
+	return []Packet{l.fillPacket(e.Host.GossipAddress, Packet{Kind: Ping, Sequence: l.sequence, Updates: []Update{e.Update}})}
 }
 
-// Leave announces that this host no longer accepts forwarded requests. The notified
-// hosts publish it.
+// Leave marks this host as leaving: it no longer accepts forwarded requests. The packets
+// notify up to leaveFanout hosts, which publish it.
 func (l *List) Leave(now clock.Milli) []Packet {
 	l.start(now)
 	l.self.State = Left
@@ -140,8 +143,9 @@
 	return packets
 }
 
-// DomainPackets returns an empty packet for each host of the own failure domain, up
-// to a limit. If there are more hosts, it draws random ones at each call.
+// DomainPackets returns a packet without updates for each host of the own failure domain,
+// up to a limit, for the caller's payload. If there are more hosts, each call draws random
+// ones.
 func (l *List) DomainPackets(now clock.Milli, limit int) []Packet {
 	l.start(now)
 	l.rand.Shuffle(len(l.sameDomain), func(i, j int) { l.sameDomain[i], l.sameDomain[j] = l.sameDomain[j], l.sameDomain[i] })
