--- a/share/mirror/choose.go
+++ b/share/mirror/choose.go
@@ -47,9 +47,9 @@
 )
 
 // sources lists the sources in order of preference. A reader reads the store. The
-// other hosts prefer the readers of their region; all but the first
-// directFallbacks hosts then try the next reader in line. Next comes the store, and last
-// any other host, which may reach the store when this one does not.
+// other hosts prefer the readers of their region; all but the first directFallbacks
+// hosts then try the host that would read next if the reader were gone. Next comes the
+// store, and last any other host, which may reach the store when this one does not.
 func (c *chooser) sources() []string {
 	region := c.ranked(func(p Peer) bool { return p.Region == c.self.Region })
 	var list []string
@@ -115,8 +115,8 @@
 	return best
 }
 
-// failed skips a source until its backoff ends.
-func (c *chooser) failed(now clock.Milli, source string) {
+// recordFailure doubles a source's backoff, up to its limit, and skips the source until it ends.
+func (c *chooser) recordFailure(now clock.Milli, source string) {
 	if c.skipUntil == nil {
 		c.skipUntil = map[string]clock.Milli{}
 		c.backoff = map[string]clock.Milli{}
@@ -129,8 +129,8 @@
 	c.skipUntil[source] = now + c.backoff[source]
 }
 
-// succeeded clears a source's failures.
-func (c *chooser) succeeded(source string) {
+// recordSuccess clears a source's backoff.
+func (c *chooser) recordSuccess(source string) {
 	delete(c.skipUntil, source)
 	delete(c.backoff, source)
 }
--- a/share/mirror/follow.go
+++ b/share/mirror/follow.go
@@ -18,7 +18,8 @@
 // errStale reports a page from a host that has not recently reached the store.
 var errStale = errors.New("page from the host is too old")
 
-// Source is a source of pages. An after of 0 requests a full page.
+// Source is a source of pages. Read waits up to the given time for changes after a
+// revision; it returns a full page at once if the revision is 0.
 type Source interface {
 	Read(after int64, wait clock.Milli) (Page, error)
 	// Disconnect closes the source's connection; the next read opens a new one.
@@ -29,29 +30,29 @@
 type Sink interface {
 	// Apply receives each page that was read.
 	Apply(now clock.Milli, p Page)
-	// StoreLost reports that no source has fresh data, and StoreRecovered that one
-	// has again.
+	// StoreLost reports that no source has fresh data, possibly more than once, and
+	// StoreRecovered that one has again.
 	StoreLost(now clock.Milli)
 	StoreRecovered(now clock.Milli)
-	// Pending reports whether the sink needs ticks during a read; Tick is one.
+	// Pending reports whether the sink needs calls of Tick during a read.
 	Pending() bool
 	Tick(now clock.Milli)
 }
 
 // Timing of a follower.
 const (
-	// readInterval is the pause between two reads. Leaves that start together
+	// readInterval is the interval between two reads. Leaves that start together
 	// write one after the other, and each read of the store is billed.
 	readInterval clock.Milli = 150
-	// retryPause is the pause after a failed read.
-	retryPause clock.Milli = 100
+	// retryInterval is the interval after a failed read.
+	retryInterval clock.Milli = 100
 	// tickInterval is the interval between ticks of a pending sink.
 	tickInterval clock.Milli = 100
 	// lostAfter is the time without fresh data after which the sink is notified.
 	lostAfter clock.Milli = 1500
 	// immediateWait requests the store's current state without waiting for a change.
 	immediateWait clock.Milli = 1
-	// ageSlack is how much a page's age may exceed the longest wait of a reader.
+	// ageSlack is how much more than PollTimeout a page's age may be.
 	ageSlack clock.Milli = 500
 )
 
@@ -71,12 +72,16 @@
 	Log                               zerolog.Logger
 	Sink                              Sink
 
-	mirror     Mirror
-	mu         sync.Mutex
-	chooser    chooser
-	source     string
-	reader     Source
-	after      int64
+	mirror  Mirror
+	mu      sync.Mutex // guards chooser and peersKnown
+	chooser chooser
+	// source is the name of the source in use, and current the source itself.
+	source  string
+	current Source
+	// after is the revision up to which the data was read.
+	after int64
+	// freshAt is when the store was in the state that was last read, and lost is set
+	// while the sink counts the store as lost.
 	freshAt    clock.Milli
 	lost       bool
 	peersKnown chan struct{}
@@ -87,7 +92,7 @@
 // Mirror returns this host's copy, for other hosts to read.
 func (f *Follower) Mirror() *Mirror { return &f.mirror }
 
-// Start starts reading.
+// Start starts reading in the background.
 func (f *Follower) Start() {
 	f.stop = make(chan struct{})
 	f.mu.Lock()
@@ -95,7 +100,7 @@
 	f.mu.Unlock()
 	f.chooser.self = f.Self
 	f.freshAt = f.Clock.Now()
-	f.source = "none"
+	f.source = "none" // in the log of the first choice
 	f.done.Go(f.run)
 }
 
@@ -122,7 +127,8 @@
 	}
 }
 
-// waitForPeers waits until other hosts are known or DiscoveryTimeout has passed.
+// waitForPeers waits until other hosts are known and DiscoverySettle has passed, or
+// until DiscoveryTimeout has.
 func (f *Follower) waitForPeers() {
 	select {
 	case <-f.stop:
@@ -137,33 +143,35 @@
 	}
 }
 
-// Close stops reading and waits for the reader to end.
+// Close stops reading, waits for the read in progress and closes the connections.
 func (f *Follower) Close() error {
 	close(f.stop)
 	f.done.Wait()
 	f.Store.Disconnect()
-	if f.reader != nil {
-		f.reader.Disconnect()
+	if f.current != nil {
+		f.current.Disconnect()
 	}
 	return nil
 }
 
+// run makes reads until Close.
 func (f *Follower) run() {
 	f.waitForPeers()
 	for {
-		pause := readInterval
+		interval := readInterval
 		if err := f.step(); err != nil {
-			pause = retryPause
+			interval = retryInterval
 		}
 		select {
 		case <-f.stop:
 			return
-		case <-time.After(pause.Duration()):
+		case <-time.After(interval.Duration()):
 		}
 	}
 }
 
-// step makes one read from the preferred source.
+// step makes one read from the preferred source and applies its result. It returns an
+// error if the source failed or has only stale data.
 func (f *Follower) step() error {
 	f.selectSource()
 	page, err := f.read()
@@ -174,24 +182,24 @@
 	}
 	if errors.Is(err, ErrCompacted) {
 		f.Log.Info().Str("source", f.sourceLabel()).Int64("revision", f.after).Msg("history-gone")
-		f.after = 0
+		f.after = 0 // the next read requests a full page
 		return nil
 	}
 	if err != nil {
-		f.failed(now, err)
+		f.handleFailure(now, err)
 		return err
 	}
-	f.succeeded(now, page)
+	f.handlePage(now, page)
 	return nil
 }
 
-// read makes one read. The sink gets ticks meanwhile, since its pending entries are
-// due by the clock. When they waited for the end of the read, a source that had just
-// stopped replying delayed the removal of an entry by a second.
+// read makes one read. If the sink has pending entries, it gets ticks meanwhile, since
+// the entries are due by the clock. When they waited for the end of the read, a source
+// that had just stopped replying delayed the removal of an entry by a second.
 func (f *Follower) read() (Page, error) {
 	wait := f.readWait()
 	if !f.Sink.Pending() {
-		return f.reader.Read(f.after, wait)
+		return f.current.Read(f.after, wait)
 	}
 	type result struct {
 		page Page
@@ -199,7 +207,7 @@
 	}
 	done := make(chan result, 1)
 	go func() {
-		page, err := f.reader.Read(f.after, wait)
+		page, err := f.current.Read(f.after, wait)
 		done <- result{page, err}
 	}()
 	ticks := time.NewTicker(tickInterval.Duration())
@@ -214,8 +222,8 @@
 	}
 }
 
-// readWait returns how long the next read waits for a change. The first read of the
-// store after its data became old does not wait, since other hosts wait for the answer.
+// readWait returns how long the next read waits for a change. A read of the store does
+// not wait while the data is old, since other hosts wait for the answer.
 func (f *Follower) readWait() clock.Milli {
 	if f.source == storeSource && f.Clock.Now()-f.freshAt > f.PollTimeout {
 		return immediateWait
@@ -223,10 +231,11 @@
 	return f.PollTimeout
 }
 
-// applyStale applies new data from a host that has not recently reached the store. A
-// host that starts while the store is down would otherwise have no routes, and
-// reject its callers, until the store is back. The data still counts as old: the
-// host continues to look for fresher data, and reports the age to its own readers.
+// applyStale applies new data from a host that has not recently reached the store, and
+// ignores data that is not new. A host that starts while the store is down would
+// otherwise have no routes, and reject its callers, until the store is back. The data
+// still counts as old: the host continues to look for fresher data, and reports the age
+// to its own readers.
 func (f *Follower) applyStale(now clock.Milli, page Page) {
 	if page.Revision <= f.after {
 		return
@@ -238,7 +247,8 @@
 	f.Sink.Apply(now, page)
 }
 
-// selectSource switches to the preferred source and logs a change.
+// selectSource switches to the preferred source, closes the connection to the former one
+// and logs the change.
 func (f *Follower) selectSource() {
 	f.mu.Lock()
 	best := f.chooser.next(f.Clock.Now())
@@ -246,14 +256,14 @@
 	if best == f.source {
 		return
 	}
-	if f.reader != nil {
-		f.reader.Disconnect()
+	if f.current != nil {
+		f.current.Disconnect()
 	}
 	f.Log.Info().Str("source", sourceName(best)).Str("former", sourceName(f.source)).Msg("source-chosen")
 	f.source = best
-	f.reader = f.Store
+	f.current = f.Store
 	if best != storeSource {
-		f.reader = &peerSource{line: fetch.Client{Engine: f.Engine, Address: best}}
+		f.current = &peerSource{client: fetch.Client{Engine: f.Engine, Address: best}}
 	}
 }
 
@@ -266,9 +276,11 @@
 	return source
 }
 
-func (f *Follower) failed(now clock.Milli, err error) {
+// handleFailure starts the backoff of the source, and reports the loss of the store to
+// the sink once no data has been fresh for lostAfter.
+func (f *Follower) handleFailure(now clock.Milli, err error) {
 	f.mu.Lock()
-	f.chooser.failed(now, f.source)
+	f.chooser.recordFailure(now, f.source)
 	f.mu.Unlock()
 	f.Log.Warn().Err(err).Str("source", f.sourceLabel()).Int64("revision", f.after).
 		Int64("age-ms", int64(now-f.freshAt)).Msg("source-failed")
@@ -278,13 +290,17 @@
 	}
 }
 
-func (f *Follower) succeeded(now clock.Milli, page Page) {
+// handlePage ends the backoff of the source, applies its page, and reports a recovery of
+// the store to the sink.
+func (f *Follower) handlePage(now clock.Milli, page Page) {
 	f.mu.Lock()
-	f.chooser.succeeded(f.source)
+	f.chooser.recordSuccess(f.source)
 	f.mu.Unlock()
+	// A read may wait PollTimeout for a change, so data that is this much older than
+	// lostAfter was not lost.
 	if f.lost || now-f.freshAt > lostAfter+f.PollTimeout {
 		f.Log.Info().Str("source", f.sourceLabel()).Int64("away-ms", int64(now-f.freshAt)).Msg("store-regained")
-		f.Sink.StoreLost(now)
+		f.Sink.StoreLost(now) // the loss may not have been reported: no read may have failed
 		f.Sink.StoreRecovered(now)
 		f.lost = false
 	}
@@ -293,7 +309,7 @@
 		f.Log.Info().Str("source", f.sourceLabel()).Int64("revision", page.Revision).Int("items", len(page.Items)).Msg("listed")
 	}
 	if page.Whole && page.Revision < f.after {
-		return // older than the known state
+		return // older than the data of this host
 	}
 	f.after = max(f.after, page.Revision)
 	f.mirror.Apply(now, page)
--- a/share/mirror/mirror.go
+++ b/share/mirror/mirror.go
@@ -42,19 +42,21 @@
 	history      []change
 	historyStart int64 // changes after this revision are in history
 	revision     int64
-	asOf         clock.Milli
-	changed      chan struct{}
+	asOf         clock.Milli   // when the store was last reached
+	changed      chan struct{} // closed at the next change; nil if nobody waits
 
 	cacheMu sync.Mutex
 	cached  cachedPage
 }
 
+// change is a change of one item and the revision of its page.
 type change struct {
 	revision int64
 	item     Item
 }
 
-// Apply applies a page that was read at the given time.
+// Apply applies a page that was read at the given time. A full page replaces all items
+// and the history; a page without items only advances the revision.
 func (m *Mirror) Apply(now clock.Milli, p Page) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -71,14 +73,15 @@
 		m.set(i)
 		m.history = append(m.history, change{p.Revision, i})
 	}
-	if over := len(m.history) - maxHistory; over > 0 {
-		m.historyStart = m.history[over-1].revision
-		m.history = append([]change(nil), m.history[over:]...)
+	if excess := len(m.history) - maxHistory; excess > 0 {
+		m.historyStart = m.history[excess-1].revision
+		m.history = append([]change(nil), m.history[excess:]...)
 	}
 	m.revision = max(m.revision, p.Revision)
 	m.notify()
 }
 
+// replace replaces all items by those of a full page.
 func (m *Mirror) replace(p Page) {
 	m.items = make(map[string][]byte, len(p.Items))
 	for _, i := range p.Items {
@@ -100,6 +103,7 @@
 	m.items[i.Key] = i.Value
 }
 
+// notify closes the channel on which readers wait for a change.
 func (m *Mirror) notify() {
 	if m.changed != nil {
 		close(m.changed)
@@ -107,8 +111,9 @@
 	}
 }
 
-// Since returns the changes after a revision, and a channel that is closed at the
-// next change. It reports false before the first page.
+// Since returns the changes after a revision, or a full page if the history no longer
+// has them all, and a channel that is closed at the next change. It reports false before
+// the first page.
 func (m *Mirror) Since(now clock.Milli, after int64) (Page, <-chan struct{}, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -126,9 +131,9 @@
 		}
 		return p, m.changed, true
 	}
-	for _, l := range m.history {
-		if l.revision > after {
-			p.Items = append(p.Items, l.item)
+	for _, c := range m.history {
+		if c.revision > after {
+			p.Items = append(p.Items, c.item)
 		}
 	}
 	return p, m.changed, true
--- a/share/mirror/mirror_test.go
+++ b/share/mirror/mirror_test.go
@@ -19,8 +19,9 @@
 	"dandelionstile/share/httpd"
 )
 
-// A reader must get all changes after its revision in order. A reader further behind
-// than the history must get a full page.
+// A reader that is behind could miss a change, and one further behind than the history
+// would miss all older ones. It must get the changes after its revision in order, or a
+// full page.
 func TestSince(t *testing.T) {
 	var m Mirror
 	_, _, ok := m.Since(0, 0)
@@ -47,8 +48,9 @@
 	assert.Assert(t, p.Whole, "the history is truncated")
 }
 
-// The hosts of a region must agree, without messages, on which of them reads the store.
-// A failed source must be skipped for a while, and the store for a shorter time.
+// If the hosts of a region chose differently, none or several would read the store. They
+// must agree without messages. A failed source must be skipped for a while, and the store
+// for a shorter time.
 func TestSources(t *testing.T) {
 	hosts := []Peer{{Address: "a:1", Region: "r"}, {Address: "b:1", Region: "r"}, {Address: "c:1", Region: "r"}, {Address: "d:1", Region: "q"}}
 	reading := 0
@@ -68,30 +70,30 @@
 	}
 	assert.Equal(t, reading, readersPerRegion)
 	reader := follower.next(1000)
-	follower.failed(1000, reader)
+	follower.recordFailure(1000, reader)
 	assert.Equal(t, follower.next(1001), storeSource)
-	follower.failed(1001, storeSource)
+	follower.recordFailure(1001, storeSource)
 	other := follower.next(1002)
 	assert.Assert(t, other != storeSource && other != reader)
 	assert.Equal(t, follower.next(1000+minBackoff), reader)
-	follower.succeeded(reader)
+	follower.recordSuccess(reader)
 	assert.Equal(t, follower.next(1002), reader)
 }
 
 // scriptedStore is a store whose replies are set by a test.
 type scriptedStore struct {
-	mu       sync.Mutex
-	revision int64
-	down     bool
-	reads    int
-	listed   int
+	mu            sync.Mutex
+	revision      int64
+	down          bool
+	reads         int
+	fullReadCount int
 }
 
-// lists returns the number of full reads.
-func (s *scriptedStore) lists() int {
+// fullReads returns the number of full reads.
+func (s *scriptedStore) fullReads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.listed
+	return s.fullReadCount
 }
 
 func (s *scriptedStore) Disconnect() {}
@@ -101,7 +103,7 @@
 	s.mu.Lock()
 	s.reads++
 	if after == 0 {
-		s.listed++
+		s.fullReadCount++
 	}
 	s.mu.Unlock()
 	for {
@@ -128,12 +130,12 @@
 
 // recordingSink is a sink that records the newest revision and the notifications.
 type recordingSink struct {
-	mu       sync.Mutex
-	revision int64
-	lost     int
-	regained int
-	pending  atomic.Bool
-	ticks    atomic.Int64
+	mu        sync.Mutex
+	revision  int64
+	lost      int
+	recovered int
+	pending   atomic.Bool
+	ticks     atomic.Int64
 }
 
 func (k *recordingSink) Apply(_ clock.Milli, p Page) {
@@ -151,7 +153,7 @@
 func (k *recordingSink) StoreRecovered(clock.Milli) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.regained++
+	k.recovered++
 }
 
 func (k *recordingSink) Pending() bool { return k.pending.Load() }
@@ -169,7 +171,7 @@
 	}
 }
 
-// wasLost waits until the sink was notified that no fresh data is available.
+// wasLost reports whether the sink was notified that no fresh data is available.
 func (k *recordingSink) wasLost(poll.LogT) poll.Result {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -198,15 +200,15 @@
 
 const testWait clock.Milli = 300
 
-// region starts hosts of one region over a store.
-func region(t *testing.T, store *scriptedStore, n int) []*host {
+// startRegion starts hosts of one region that know each other at once.
+func startRegion(t *testing.T, store *scriptedStore, n int) []*host {
 	t.Helper()
 	return startTogether(t, store, n, nil)
 }
 
-// startTogether starts hosts of one region. With tune, it configures each one before
-// its start and announces the others after it.
-func startTogether(t *testing.T, store *scriptedStore, n int, tune func(*Follower)) []*host {
+// startTogether starts hosts of one region. With tune, it configures each one before its
+// start and announces the others after it, in two steps.
+func startTogether(t *testing.T, store *scriptedStore, n int, configure func(*Follower)) []*host {
 	t.Helper()
 	engine := &fetch.Engine{}
 	assert.NilError(t, engine.Start())
@@ -226,11 +228,11 @@
 		h.follower.Self, h.follower.Store, h.follower.PollTimeout = peers[i], store, testWait
 		h.follower.Engine, h.follower.Clock, h.follower.Log, h.follower.Sink = engine, clock.Wall{}, zerolog.Nop(), &h.sink
 		others := append(append([]Peer{}, peers[:i]...), peers[i+1:]...)
-		if tune == nil {
+		if configure == nil {
 			h.follower.SetPeers(others)
 			h.follower.Start()
 		} else {
-			tune(&h.follower)
+			configure(&h.follower)
 			h.follower.Start()
 			time.AfterFunc(50*time.Millisecond, func() { h.follower.SetPeers(others[:len(others)/2]) })
 			time.AfterFunc(150*time.Millisecond, func() { h.follower.SetPeers(others) })
@@ -240,17 +242,18 @@
 	return hosts
 }
 
-func (h *host) reads() bool {
+// readsStore reports whether the host reads the store.
+func (h *host) readsStore() bool {
 	h.follower.mu.Lock()
 	defer h.follower.mu.Unlock()
 	return h.follower.chooser.next(h.follower.Clock.Now()) == storeSource
 }
 
-// One host of a region reads the store for all. It is killed just before a change,
-// which the others must still get within about one wait.
+// One host of a region reads the store for all and is killed just before a change. The
+// others wait for its replies, and must still get the change within about one wait.
 func TestChangesArriveWhenTheReaderIsKilled(t *testing.T) {
 	store := &scriptedStore{revision: 1}
-	hosts := region(t, store, 4)
+	hosts := startRegion(t, store, 4)
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.has(1))
 	}
@@ -259,7 +262,7 @@
 		poll.WaitOn(t, h.sink.has(2))
 	}
 	for i, h := range hosts {
-		if h.reads() {
+		if h.readsStore() {
 			h.close(t)
 			hosts = append(hosts[:i], hosts[i+1:]...)
 			break
@@ -272,11 +275,11 @@
 	}
 }
 
-// The store is down for a while. Each host must be notified of the loss, keep its
-// data, and be notified of the recovery.
-func TestOutageOfTheStoreIsTold(t *testing.T) {
+// The store is down for a while. Each host must keep its data and be notified of the loss
+// and the recovery; otherwise it would remove the leaves whose entries the store lost.
+func TestStoreOutageIsReported(t *testing.T) {
 	store := &scriptedStore{revision: 1}
-	hosts := region(t, store, 2)
+	hosts := startRegion(t, store, 2)
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.has(1))
 	}
@@ -288,21 +291,21 @@
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.has(2))
 		h.sink.mu.Lock()
-		assert.Assert(t, h.sink.regained > 0)
+		assert.Assert(t, h.sink.recovered > 0)
 		h.sink.mu.Unlock()
 	}
 }
 
-// A host starts while the store is down and another host has the store's last data,
-// some seconds old. The new host must serve by that data instead of reporting that it
-// has no routes, and must get fresh data once the store is back.
-func TestFreshHostTakesOldNews(t *testing.T) {
+// A host starts while the store is down and another host has the store's last data, some
+// seconds old. If it accepted fresh data only, it would have no routes. It must apply the
+// old data, and get fresh data once the store is back.
+func TestNewHostAppliesStaleData(t *testing.T) {
 	store := &scriptedStore{revision: 7}
-	old := region(t, store, 1)[0]
+	old := startRegion(t, store, 1)[0]
 	poll.WaitOn(t, old.sink.has(7))
 	store.set(7, true)
 	poll.WaitOn(t, old.sink.wasLost)
-	fresh := region(t, store, 1)[0]
+	fresh := startRegion(t, store, 1)[0]
 	fresh.follower.SetPeers([]Peer{old.follower.Self})
 	poll.WaitOn(t, fresh.sink.has(7), poll.WithTimeout(3*time.Second))
 	store.set(8, false)
@@ -310,26 +313,27 @@
 }
 
 // A configuration of a thousand routes goes to a dozen hosts over one host's link at
-// once. Compression must reduce it to less than a tenth.
-func TestLargePagesArePacked(t *testing.T) {
+// once. Uncompressed, it occupies the link and delays requests; compression must reduce it
+// to less than a tenth.
+func TestLargePagesAreCompressed(t *testing.T) {
 	value := bytes.Repeat([]byte(`{"name":"r-0001","host":"h.example","prefix":"/p/","route_type":"safe"}`), 4000)
 	m := Mirror{}
 	m.Apply(0, Page{Whole: true, Revision: 3, Items: []Item{{Key: "k", Value: value}}})
 	page, _, _ := m.Since(0, 0)
-	body, err := m.encoded(0, page)
+	body, err := m.encodeCached(0, page)
 	assert.NilError(t, err)
 	assert.Assert(t, len(body) < len(value)/10, "%d of %d bytes", len(body), len(value))
 	got, err := decode(body)
 	assert.NilError(t, err)
 	assert.Assert(t, got.Whole && got.Revision == 3 && bytes.Equal(got.Items[0].Value, value))
-	again, err := m.encoded(0, page)
+	again, err := m.encodeCached(0, page)
 	assert.NilError(t, err)
 	assert.Assert(t, &again[0] == &body[0], "the page is encoded once")
 	_, err = decode([]byte("no page"))
 	assert.ErrorContains(t, err, "page")
 }
 
-// hangingSource is a source that has stopped replying: its reads end with the test.
+// hangingSource is a source that has stopped replying: its reads end when end is closed.
 type hangingSource struct{ end chan struct{} }
 
 func (h hangingSource) Disconnect() {}
@@ -342,8 +346,8 @@
 // A host has recovered and keeps a leaf whose entry was removed for about 2 s. Just
 // before that time is over, its source stops replying. The leaf must still be removed
 // on time: when it was removed only at the end of the read, a second later, requests
-// went to a leaf that had left.
-func TestSinkGetsItsTurnsWhileASourceIsSilent(t *testing.T) {
+// went to a leaf that no longer ran.
+func TestSinkGetsTicksWhileAReadHangs(t *testing.T) {
 	source := hangingSource{make(chan struct{})}
 	var sink recordingSink
 	sink.pending.Store(true)
@@ -359,24 +363,27 @@
 	assert.NilError(t, f.Close())
 }
 
-// Guards against hosts that start together and all read the store.
-func TestHostsThatStartTogetherReadOnce(t *testing.T) {
+// Eight hosts of a region start together and do not know each other yet. A host that
+// knows no others reads the store itself, so without the wait for discovery all eight
+// would. One must read for all.
+func TestOneHostReadsForAllThatStartTogether(t *testing.T) {
 	store := &scriptedStore{revision: 1}
 	hosts := startTogether(t, store, 8, func(f *Follower) { f.DiscoveryTimeout, f.DiscoverySettle = 2*clock.Second, 300 })
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.has(1), poll.WithTimeout(5*time.Second))
 	}
-	assert.Equal(t, store.lists(), 1)
+	assert.Equal(t, store.fullReads(), 1)
 }
 
-// Guards against a host that knows no others and never reads.
+// A host has no others to wait for. After DiscoveryTimeout it must read the store
+// nevertheless.
 func TestLoneHostReads(t *testing.T) {
 	store := &scriptedStore{revision: 1}
 	h := startTogether(t, store, 1, func(f *Follower) { f.DiscoveryTimeout, f.DiscoverySettle = 100, 50 })[0]
 	poll.WaitOn(t, h.sink.has(1), poll.WithTimeout(5*time.Second))
 }
 
-// rejectingStore is one host's access to the store, which may reject reads.
+// rejectingStore is one host's access to the store, which may reject reads, and counts them.
 type rejectingStore struct {
 	*scriptedStore
 	rejects atomic.Bool
@@ -391,9 +398,9 @@
 	return r.scriptedStore.Read(after, wait)
 }
 
-// Guards against a large region whose hosts all read the store when it rejects the
-// one that reads for them.
-func TestFewReadTheStoreInTheReadersPlace(t *testing.T) {
+// The store rejects the host that reads for a large region. If all other hosts then read
+// the store, each rejection would multiply its load: only the first directFallbacks may.
+func TestFewHostsReadTheStoreInsteadOfARejectedOne(t *testing.T) {
 	store := &scriptedStore{revision: 1}
 	var stores []*rejectingStore
 	hosts := startTogether(t, store, 12, func(f *Follower) {
@@ -406,9 +413,9 @@
 	}
 	for i, h := range hosts {
 		stores[i].read.Store(0)
-		stores[i].rejects.Store(h.reads())
+		stores[i].rejects.Store(h.readsStore())
 	}
-	time.Sleep(2 * time.Second) // longer than a follower waits for its source several times over
+	time.Sleep(2 * time.Second) // several times the wait of a follower for its source
 	store.set(2, false)
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.has(2), poll.WithTimeout(3*time.Second))
@@ -419,6 +426,6 @@
 			reading++
 		}
 	}
-	const most = 4
-	assert.Assert(t, reading <= most, "%d hosts have read the store", reading)
+	const limit = 4
+	assert.Assert(t, reading <= limit, "%d hosts have read the store", reading)
 }
--- a/share/mirror/peer.go
+++ b/share/mirror/peer.go
@@ -32,22 +32,22 @@
 // is noticed after this and peerTimeout.
 const maxPeerWait clock.Milli = 600
 
-// peerSource reads from another host.
-type peerSource struct{ line fetch.Client }
+// peerSource reads the mirror of another host.
+type peerSource struct{ client fetch.Client }
 
 // Disconnect closes the connection.
-func (s *peerSource) Disconnect() { s.line.Disconnect() }
+func (s *peerSource) Disconnect() { s.client.Disconnect() }
 
-// Read requests the changes after a revision.
+// Read requests the changes after a revision. It waits for at most maxPeerWait.
 func (s *peerSource) Read(after int64, wait clock.Milli) (Page, error) {
 	wait = min(wait, maxPeerWait)
-	r, err := fetch.Request(http.MethodGet, s.line.Address, "/", nil)
+	r, err := fetch.Request(http.MethodGet, s.client.Address, "/", nil)
 	if err != nil {
 		return Page{}, err
 	}
 	r.Header[headerAfter] = []string{strconv.FormatInt(after, 10)}
 	r.Header[headerWait] = []string{strconv.FormatInt(int64(wait), 10)}
-	reply, err := s.line.Do(r, (wait + peerTimeout).Duration())
+	reply, err := s.client.Do(r, (wait + peerTimeout).Duration())
 	if err != nil {
 		return Page{}, err
 	}
@@ -67,17 +67,18 @@
 // each, and there are only a few besides the entries of leaves.
 const maxPageBytes = 16 << 20
 
-func decode(packed []byte) (Page, error) {
-	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxPageBytes))
+// decode decompresses and decodes a page.
+func decode(compressed []byte) (Page, error) {
+	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxPageBytes))
 	if err != nil {
 		return Page{}, errors.Wrap(err, "decompress page")
 	}
-	var w wire.FactsPage
-	if err := proto.Unmarshal(body, &w); err != nil {
+	var message wire.FactsPage
+	if err := proto.Unmarshal(body, &message); err != nil {
 		return Page{}, errors.Wrap(err, "decode page")
 	}
-	p := Page{Revision: w.GetRevision(), Whole: w.GetWhole(), Items: make([]Item, len(w.GetItems()))}
-	for i, item := range w.GetItems() {
+	p := Page{Revision: message.GetRevision(), Whole: message.GetWhole(), Items: make([]Item, len(message.GetItems()))}
+	for i, item := range message.GetItems() {
 		p.Items[i] = Item{Key: item.GetKey(), Value: item.GetValue(), Deleted: item.GetDeleted()}
 	}
 	return p, nil
@@ -88,22 +89,22 @@
 // one host occupy its link for more than a second at 20 Mbit/s and delay callers'
 // requests.
 func encode(p Page) ([]byte, error) {
-	w := &wire.FactsPage{Revision: p.Revision, Whole: p.Whole, Items: make([]*wire.FactsItem, len(p.Items))}
+	message := &wire.FactsPage{Revision: p.Revision, Whole: p.Whole, Items: make([]*wire.FactsItem, len(p.Items))}
 	for i, item := range p.Items {
-		w.Items[i] = &wire.FactsItem{Key: item.Key, Value: item.Value, Deleted: item.Deleted}
+		message.Items[i] = &wire.FactsItem{Key: item.Key, Value: item.Value, Deleted: item.Deleted}
 	}
-	body, err := proto.Marshal(w)
+	body, err := proto.Marshal(message)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode page")
 	}
-	var packed bytes.Buffer
-	z, err := flate.NewWriter(&packed, flate.BestSpeed)
+	var compressed bytes.Buffer
+	compressor, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
 		return nil, errors.Wrap(err, "compress page")
 	}
-	if _, err := z.Write(body); err != nil {
+	if _, err := compressor.Write(body); err != nil {
 		return nil, errors.Wrap(err, "compress page")
 	}
-	err = z.Close()
-	return packed.Bytes(), errors.Wrap(err, "compress page")
+	err = compressor.Close()
+	return compressed.Bytes(), errors.Wrap(err, "compress page")
 }
--- a/share/mirror/serve.go
+++ b/share/mirror/serve.go
@@ -11,8 +11,8 @@
 // IsRead reports whether a request is a read of the mirror.
 func IsRead(r *http.Request) bool { return r.Header.Get(headerAfter) != "" }
 
-// Serve replies to another host's read: immediately if there are changes,
-// otherwise at the next change or when the requested wait is over.
+// Serve replies to another host's read: immediately if there are changes, otherwise at
+// the next change, when the requested wait is over or when stop is closed.
 func (m *Mirror) Serve(c clock.Clock, stop <-chan struct{}, w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.Header.Get(headerAfter), 10, 64)
 	if err != nil {
@@ -39,7 +39,7 @@
 		http.Error(w, "mirror has no data yet", http.StatusServiceUnavailable)
 		return
 	}
-	body, err := m.encoded(after, page)
+	body, err := m.encodeCached(after, page)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -47,12 +47,12 @@
 	w.Header()[headerAge] = []string{strconv.FormatInt(int64(max(0, page.Age)), 10)}
 	w.Header().Set("Content-Type", "application/x-protobuf")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	_, _ = w.Write(body) // fails only if the peer is gone
+	_, _ = w.Write(body) // the peer may have closed the connection
 }
 
-// encoded returns a page as it is sent. It caches the last one, since other hosts
+// encodeCached returns an encoded page. It caches the last one with items, since other hosts
 // request the same page at the same time.
-func (m *Mirror) encoded(after int64, p Page) ([]byte, error) {
+func (m *Mirror) encodeCached(after int64, p Page) ([]byte, error) {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	if m.cached.body != nil && m.cached.after == after && m.cached.revision == p.Revision && m.cached.whole == p.Whole {
