--- a/share/roster/roster.go
+++ b/share/roster/roster.go
@@ -45,77 +45,81 @@
 	graceUntil  clock.Milli // end of the grace period after an outage
 }
 
-// Put records an entry and reports whether it changed anything. It ignores late
-// entries of an earlier incarnation than the known one.
-func (b *Directory) Put(l Leaf) bool {
-	if b.leaves == nil {
-		b.leaves = map[string]Leaf{}
-		b.removals = map[string]clock.Milli{}
+// Put records an entry and reports whether it is new or changed. It cancels a removal of
+// the entry, and ignores late entries of an earlier incarnation than the known one.
+func (d *Directory) Put(l Leaf) bool {
+	if d.leaves == nil {
+		d.leaves = map[string]Leaf{}
+		d.removals = map[string]clock.Milli{}
 	}
-	old, known := b.leaves[l.ID]
+	old, known := d.leaves[l.ID]
 	if known && l.Started != 0 && l.Started < old.Started {
 		return false
 	}
-	delete(b.removals, l.ID)
-	b.leaves[l.ID] = l
+	delete(d.removals, l.ID)
+	d.leaves[l.ID] = l
 	return !known || old != l
 }
 
-// Remove records that an entry disappeared and reports whether the leaf is removed
-// now.
-func (b *Directory) Remove(now clock.Milli, id string) bool {
-	if _, ok := b.leaves[id]; !ok {
+// Remove records that an entry disappeared and reports whether the leaf is removed now.
+// While the directory is unreachable and in the grace period after that, the entry is
+// kept until Expire.
+func (d *Directory) Remove(now clock.Milli, id string) bool {
+	if _, ok := d.leaves[id]; !ok {
 		return false
 	}
-	if b.unreachable || now < b.graceUntil {
-		if _, ok := b.removals[id]; !ok {
-			b.removals[id] = max(b.graceUntil, now+RemovalGrace)
+	if d.unreachable || now < d.graceUntil {
+		if _, ok := d.removals[id]; !ok {
+			d.removals[id] = max(d.graceUntil, now+RemovalGrace)
 		}
 		return false
 	}
-	delete(b.leaves, id)
+	delete(d.leaves, id)
 	return true
 }
 
 // Retain removes the entries that a full listing lacks and reports whether any leaf
 // is removed now.
-func (b *Directory) Retain(now clock.Milli, listed func(id string) bool) bool {
+func (d *Directory) Retain(now clock.Milli, listed func(id string) bool) bool {
 	removed := false
-	for id := range b.leaves {
+	for id := range d.leaves {
 		if !listed(id) {
-			removed = b.Remove(now, id) || removed
+			removed = d.Remove(now, id) || removed
 		}
 	}
 	return removed
 }
 
-// StoreLost records that the directory is unreachable.
-func (b *Directory) StoreLost() { b.unreachable = true }
+// StoreLost records that the directory is unreachable; no entry is removed until it is
+// reachable again.
+func (d *Directory) StoreLost() { d.unreachable = true }
 
-// StoreRecovered records that the directory is reachable again.
-func (b *Directory) StoreRecovered(now clock.Milli) {
-	if !b.unreachable {
+// StoreRecovered records that the directory is reachable again and starts the grace
+// period, at whose end the entries are removed that have disappeared. It does nothing
+// unless the directory was unreachable.
+func (d *Directory) StoreRecovered(now clock.Milli) {
+	if !d.unreachable {
 		return
 	}
-	b.unreachable = false
-	b.graceUntil = now + RemovalGrace
-	for id := range b.removals {
-		b.removals[id] = b.graceUntil
+	d.unreachable = false
+	d.graceUntil = now + RemovalGrace
+	for id := range d.removals {
+		d.removals[id] = d.graceUntil
 	}
 }
 
-// Expire removes entries whose grace period is over and returns their IDs in
-// order.
-func (b *Directory) Expire(now clock.Milli) []string {
-	if b.unreachable {
+// Expire removes entries whose grace period is over and returns their IDs in order. While
+// the directory is unreachable, it removes none.
+func (d *Directory) Expire(now clock.Milli) []string {
+	if d.unreachable {
 		return nil
 	}
 	var removed []string
-	for id, at := range b.removals {
-		if now >= at {
+	for id, removeAt := range d.removals {
+		if now >= removeAt {
 			removed = append(removed, id)
-			delete(b.removals, id)
-			delete(b.leaves, id)
+			delete(d.removals, id)
+			delete(d.leaves, id)
 		}
 	}
 	sort.Strings(removed)
@@ -123,9 +127,9 @@
 }
 
 // Leaves lists the known leaves in order of ID.
-func (b *Directory) Leaves() []Leaf {
-	list := make([]Leaf, 0, len(b.leaves))
-	for _, l := range b.leaves {
+func (d *Directory) Leaves() []Leaf {
+	list := make([]Leaf, 0, len(d.leaves))
+	for _, l := range d.leaves {
 		list = append(list, l)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
@@ -133,4 +137,4 @@
 }
 
 // Pending reports whether any entry awaits removal.
-func (b *Directory) Pending() bool { return len(b.removals) > 0 }
+func (d *Directory) Pending() bool { return len(d.removals) > 0 }
