--- a/share/httpc/conn.go
+++ b/share/httpc/conn.go
@@ -22,8 +22,8 @@
 var (
 	// ErrWrongRequestID reports a reply that carries another request's ID.
 	ErrWrongRequestID = errors.New("reply belongs to another request")
-	// ErrUnsigned reports a success without the leaf's stamp.
-	ErrUnsigned = errors.New("reply has no signature")
+	// ErrNoStamp reports a successful reply without the leaf's stamp.
+	ErrNoStamp = errors.New("reply has no signature")
 	// ErrIdleClosed reports a connection that was closed, or carried bytes, while
 	// no call was active on it.
 	ErrIdleClosed = errors.New("connection ended while idle")
@@ -35,8 +35,8 @@
 	// maxReplyBytes is the largest accepted reply. Leaves reply with tens of KB
 	// at most.
 	maxReplyBytes = 4 << 20
-	// maxForeignReplies is how many replies to other requests are skipped before
-	// a call fails.
+	// maxForeignReplies is how many replies to other requests a call reads
+	// before it fails.
 	maxForeignReplies = 3
 	// readBufferBytes fits an ordinary reply with its headers.
 	readBufferBytes = 4 << 10
@@ -51,23 +51,23 @@
 // job is one call on a connection.
 type job struct {
 	request *http.Request
-	// unsigned is set when the reply needs no stamp: health checks and merged
+	// stampOptional is set when the reply needs no stamp: health checks and merged
 	// answers of other hosts.
-	unsigned bool
-	done     chan result
+	stampOptional bool
+	done          chan result
 }
 
 type result struct {
 	reply *call.Reply
 	// keep is set when the connection can carry another call.
 	keep bool
-	// idle is the leaf's idle timeout for the connection; 0 if not given.
-	idle clock.Milli
-	err  error
+	// idleTimeout is the leaf's idle timeout for the connection; 0 if not given.
+	idleTimeout clock.Milli
+	err         error
 }
 
-// conn is one connection. Its reader runs for the lifetime of the connection, so
-// that a close or unexpected bytes on an idle connection are seen before its next use.
+// conn is one connection. Its read loop runs as long as the connection is open, so that a
+// close or unexpected bytes on an idle connection are seen before its next use.
 type conn struct {
 	net     net.Conn
 	dialect *Dialect
@@ -75,18 +75,21 @@
 	mu     sync.Mutex
 	job    *job
 	closed bool
-	ended  chan struct{}
-	// usableUntil is when the leaf may close the idle connection; 0 if unknown.
+	ended  chan struct{} // closed when the read loop has ended
+	// usableUntil is when the idle connection is no longer used, since the leaf may
+	// then close it; 0 if its idle timeout is unknown.
 	usableUntil clock.Milli
 }
 
-func newConn(c net.Conn, d *Dialect) *conn {
-	k := &conn{net: c, dialect: d, ended: make(chan struct{})}
-	go k.readLoop()
-	return k
+// newConn starts the read loop of an open connection.
+func newConn(netConn net.Conn, d *Dialect) *conn {
+	created := &conn{net: netConn, dialect: d, ended: make(chan struct{})}
+	go created.readLoop()
+	return created
 }
 
-// begin assigns a call to the connection. It reports false if the connection is closed or busy.
+// begin assigns a call to the connection. It reports false if the connection is closed
+// or has a call.
 func (c *conn) begin(j *job) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,24 +109,26 @@
 // another leaf can be tried at no cost. Such requests have targets of about 1 s.
 const newConnWatch = 6 * time.Millisecond
 
-// awaitReset watches a new connection that took so long to open and reports
-// whether the peer closed it.
-func (c *conn) awaitReset(opening time.Duration) bool {
+// awaitReset watches a new connection for newConnWatch longer than its opening took. It
+// reports whether the peer closed it in this time.
+func (c *conn) awaitReset(dialDuration time.Duration) bool {
 	select {
 	case <-c.ended:
 		return true
-	case <-time.After(opening + newConnWatch):
+	case <-time.After(dialDuration + newConnWatch):
 		return false
 	}
 }
 
+// current returns the active call, or nil.
 func (c *conn) current() *job {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.job
 }
 
-// finish delivers a result to the active call.
+// finish delivers a result to the active call, if any. Unless the result keeps the
+// connection, no further call begins on it.
 func (c *conn) finish(r result) {
 	c.mu.Lock()
 	j := c.job
@@ -145,7 +150,7 @@
 	_ = c.net.Close() // fails only if already closed
 }
 
-// alive reports whether the connection can take a call.
+// alive reports whether the connection is open and the leaf is not about to close it.
 func (c *conn) alive(now clock.Milli) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,8 +182,8 @@
 	}
 }
 
-// readReply reads the reply to a call. It skips late replies to earlier requests;
-// the connection is otherwise intact.
+// readReply reads the reply to a call. It skips late replies to earlier requests, since
+// the connection is otherwise intact, but fails after maxForeignReplies of them.
 func (c *conn) readReply(br *bufio.Reader, j *job) result {
 	for range maxForeignReplies {
 		r := c.readOne(br, j)
@@ -189,11 +194,13 @@
 	return result{err: ErrWrongRequestID}
 }
 
+// readOne reads the next reply, apart from interim ones (1xx), and checks that it is
+// complete, belongs to the call and has a stamp if the call needs one.
 func (c *conn) readOne(br *bufio.Reader, j *job) result {
-	q := j.request
-	res, err := http.ReadResponse(br, q)
+	request := j.request
+	res, err := http.ReadResponse(br, request)
 	for err == nil && res.StatusCode >= 100 && res.StatusCode < 200 {
-		res, err = http.ReadResponse(br, q)
+		res, err = http.ReadResponse(br, request)
 	}
 	if err != nil {
 		return result{err: errors.Wrap(err, "read reply")}
@@ -207,14 +214,14 @@
 		return result{err: ErrTooLarge}
 	}
 	id := res.Header.Get(c.dialect.RequestID)
-	if id != "" && id != q.Header.Get(c.dialect.RequestID) {
+	if id != "" && id != request.Header.Get(c.dialect.RequestID) {
 		return result{err: ErrWrongRequestID}
 	}
 	reply := &call.Reply{Status: res.StatusCode, Header: res.Header, Body: body, Stamp: res.Header.Get(c.dialect.Stamp)}
-	if reply.Successful() && reply.Stamp == "" && !j.unsigned {
-		return result{err: ErrUnsigned}
+	if reply.Successful() && reply.Stamp == "" && !j.stampOptional {
+		return result{err: ErrNoStamp}
 	}
-	return result{reply: reply, keep: !res.Close, idle: parseIdleTimeout(res.Header)}
+	return result{reply: reply, keep: !res.Close, idleTimeout: parseIdleTimeout(res.Header)}
 }
 
 // parseIdleTimeout returns the idle timeout of a Keep-Alive header, or 0.
@@ -235,15 +242,15 @@
 
 // write sends a request. It writes the target byte for byte, since net/http's own
 // writer would normalise it.
-func (c *conn) write(q *http.Request, target string, body []byte) error {
+func (c *conn) write(request *http.Request, target string, body []byte) error {
 	var b bytes.Buffer
-	b.WriteString(q.Method)
+	b.WriteString(request.Method)
 	b.WriteByte(' ')
 	b.WriteString(target)
 	b.WriteString(" HTTP/1.1\r\nHost: ")
-	b.WriteString(q.Host)
+	b.WriteString(request.Host)
 	b.WriteString("\r\n")
-	if err := q.Header.Write(&b); err != nil {
+	if err := request.Header.Write(&b); err != nil {
 		return errors.Wrap(err, "write headers")
 	}
 	b.WriteString("\r\n")
--- a/share/httpc/dialect.go
+++ b/share/httpc/dialect.go
@@ -7,9 +7,9 @@
 // control of the connection.
 package httpc
 
-// Dialect holds the names of the headers between the tier and its leaves.
+// Dialect holds the names of the headers between the hosts and the leaves.
 type Dialect struct {
-	// RequestID identifies an attempt in both directions.
+	// RequestID identifies a request, on the request and on its reply.
 	RequestID string
 	// Deadline carries the remaining time in ms.
 	Deadline string
@@ -18,7 +18,7 @@
 	ExpectLeaf string
 	// LeafID identifies the leaf on its health replies.
 	LeafID string
-	// Stamp is the leaf's signature on its reply.
+	// Stamp is the leaf's stamp on its reply.
 	Stamp string
 	// NotRun marks a reply of a leaf that did not run the request.
 	NotRun string
--- a/share/httpc/fuzz_test.go
+++ b/share/httpc/fuzz_test.go
@@ -9,7 +9,7 @@
 	"dandelionstile/share/call"
 )
 
-// Guards against replies of any bytes that never end a call, and against successes
+// A leaf may reply with any bytes. They must end the call, and must not pass as a success
 // without a stamp or with another request's ID.
 func FuzzReply(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nLeaf-Stamp: s\r\nContent-Length: 2\r\n\r\nab"))
--- a/share/httpc/httpc_test.go
+++ b/share/httpc/httpc_test.go
@@ -52,7 +52,8 @@
 	return l
 }
 
-// conns returns how many connections the leaf has accepted.
+// conns returns how many connections the leaf has accepted, without those that a test has
+// received from accepted.
 func (l *fakeLeaf) conns() int { return len(l.accepted) }
 
 // caller makes calls through a pool, one at a time.
@@ -96,12 +97,14 @@
 	}
 }
 
+// ask sends a request and returns the result of the call.
 func (c *caller) ask(l *fakeLeaf, id string) router.Done {
 	c.t.Helper()
 	c.send(l, id, nil)
 	return c.result()
 }
 
+// readRequest reads a request with its body, and returns nil if the connection has ended.
 func readRequest(t *testing.T, r *bufio.Reader) *http.Request {
 	t.Helper()
 	q, err := http.ReadRequest(r)
@@ -113,17 +116,19 @@
 	return q
 }
 
+// writeText writes a text with line ends as in HTTP.
 func writeText(c net.Conn, text string) {
 	_, _ = io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n"))
 }
 
+// response returns a stamped reply to a request, with a body of up to 9 bytes.
 func response(id, body string) string {
 	return "HTTP/1.1 200 OK\nRequest-Id: " + id + "\nLeaf-Stamp: s-" + id + "\nContent-Length: " +
 		string(rune('0'+len(body))) + "\n\n" + body
 }
 
-// Guards against requests that are altered beyond the tier's own headers, and
-// against a new connection for each request.
+// net/http's writer would normalise the target (// and %2f). The leaf must get the caller's
+// request with only the headers of the dialect added, and both requests over one connection.
 func TestRequestPassesUnchanged(t *testing.T) {
 	seen := make(chan *http.Request, 2)
 	l := serve(t, func(c net.Conn, r *bufio.Reader) {
@@ -150,7 +155,7 @@
 
 // A leaf truncates its reply: with a length, in chunks, or by a reset where the
 // reply ends with the connection. A partial reply must not count as a whole one.
-func TestReplyThatBreaksOffIsNone(t *testing.T) {
+func TestTruncatedReplyIsBroken(t *testing.T) {
 	for name, text := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\nLeaf-Stamp: s\nContent-Length: 10\n\nhalf",
 		"chunks":  "HTTP/1.1 200 OK\nLeaf-Stamp: s\nTransfer-Encoding: chunked\n\n4\nhalf\n",
@@ -186,7 +191,7 @@
 
 // A leaf sends a second reply to the first request, immediately or while the next
 // request is in flight. The next caller must get its own reply, not the stray one.
-func TestStrayReplyReachesNobody(t *testing.T) {
+func TestStrayReplyIsSkipped(t *testing.T) {
 	l := serve(t, func(c net.Conn, r *bufio.Reader) {
 		first := readRequest(t, r)
 		writeText(c, response(first.Header.Get("Request-Id"), "one"))
@@ -207,7 +212,7 @@
 
 // Bytes arrive on an idle connection, outside any call. The connection must not be
 // used again.
-func TestBytesOnAnIdleConnectionEndIt(t *testing.T) {
+func TestBytesOnAnIdleConnectionCloseIt(t *testing.T) {
 	l := serve(t, func(c net.Conn, r *bufio.Reader) {
 		q := readRequest(t, r)
 		if q == nil {
@@ -246,14 +251,15 @@
 	close(release)
 }
 
-// Guards against rejections by a leaf that are taken for failures, and the reverse.
-func TestRefusalsAreTold(t *testing.T) {
+// A rejection that is taken for an answer is not retried, and an answer that is taken for a
+// rejection runs twice.
+func TestRejectionsAreClassified(t *testing.T) {
 	for text, kind := range map[string]call.Kind{
 		"HTTP/1.1 503 Busy\nNot-Run: 1\nContent-Length: 0\n\n":       call.Shed,
 		"HTTP/1.1 421 Wrong\nContent-Length: 0\n\n":                  call.Foreign,
 		"HTTP/1.1 500 Oops\nContent-Length: 0\n\n":                   call.Answered,
-		"HTTP/1.1 200 OK\nRelay-Worked-Ms: 1\nContent-Length: 0\n\n": call.Broken, // a leaf is not a host
-		"HTTP/1.1 200 OK\nContent-Length: 0\n\n":                     call.Broken, // no signature
+		"HTTP/1.1 200 OK\nRelay-Worked-Ms: 1\nContent-Length: 0\n\n": call.Broken, // a host's header does not replace the stamp
+		"HTTP/1.1 200 OK\nContent-Length: 0\n\n":                     call.Broken, // no stamp
 		"HTTP/1.1 503 Full\nLeaf-Stamp: s\nContent-Length: 0\n\n":    call.Answered,
 	} {
 		l := serve(t, func(c net.Conn, r *bufio.Reader) {
@@ -266,7 +272,7 @@
 	}
 }
 
-// Nothing listens at the address: the request counts as not sent.
+// Nothing listens at the address. The request was not sent and may be tried elsewhere.
 func TestRefusedConnectionIsNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -274,7 +280,8 @@
 	assert.Equal(t, newCaller(t).ask(&fakeLeaf{ln: ln}, "x").Kind, call.NotSent)
 }
 
-// A call is cancelled: the leaf's connection must be closed at once.
+// A call is cancelled while the leaf works. The leaf's connection must be closed at once,
+// so that the leaf can stop.
 func TestCancelClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
 	l := serve(t, func(_ net.Conn, r *bufio.Reader) {
@@ -298,7 +305,7 @@
 
 // A leaf names its idle timeout. The connection must not be used close to that
 // time, when the request would cross the leaf's close.
-func TestIdleTimeoutOfTheLeafIsKept(t *testing.T) {
+func TestIdleTimeoutOfTheLeafIsRespected(t *testing.T) {
 	assert.Equal(t, parseIdleTimeout(http.Header{"Keep-Alive": {"max=5, timeout=7"}}), 7*clock.Second)
 	assert.Equal(t, parseIdleTimeout(http.Header{"Keep-Alive": {"timeout=soon"}}), clock.Milli(0))
 	var now clock.Virtual
@@ -307,6 +314,7 @@
 	defer func() { _ = remote.Close() }()
 	c := newConn(local, &p.Dialect)
 	p.putIdle("l", c, 3*clock.Second)
+	// The timeout of 3 s less idleMargin: 2,000 ms.
 	now.Run(1900)
 	assert.Assert(t, c.alive(now.Now()))
 	now.Run(2100)
@@ -315,10 +323,9 @@
 }
 
 // A leaf at its connection limit resets each connection as it accepts it, as after a
-// power loss of all hosts, whose old connections it still holds. A request that
-// must run only once was sent on such a connection and reported as possibly run. It
-// must wait until the connection has stayed open for a moment, so that another
-// leaf can take it.
+// power loss of all hosts, whose old connections it still holds. A request that must run
+// only once was sent on such a connection and reported as possibly run. It must wait until
+// the connection has stayed open for a moment, so that another leaf can take it.
 func TestFullLeafGetsNoRequest(t *testing.T) {
 	reset := func(c net.Conn, _ *bufio.Reader) {
 		assert.Check(t, c.(*net.TCPConn).SetLinger(0))
@@ -334,25 +341,25 @@
 	assert.Assert(t, d.Kind.NotRun())
 }
 
-// The host cancels a call while its connection is being opened. Nothing was sent, and
-// it says nothing about the leaf: reported as a failed dial, such calls made
+// The host cancels a call while its connection is being opened. Nothing was sent, and it
+// says nothing about the leaf: when it was reported as a failed dial, such calls made
 // thousands of healthy leaves suspect in a day.
 func TestCallGivenUpBeforeItsConnectionIsWithdrawn(t *testing.T) {
 	c := newCaller(t)
-	full, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	assert.NilError(t, err)
-	defer func() { assert.NilError(t, full.Close()) }()
+	defer func() { assert.NilError(t, listener.Close()) }()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = c.pool.dial(ctx, full.Addr().String())
+	_, err = c.pool.dial(ctx, listener.Addr().String())
 	d := dialFailure(ctx, err)
 	assert.Equal(t, d.Kind, call.Withdrawn, d.Cause)
 	assert.Assert(t, d.Kind.NotRun())
 }
 
-// After a broken call, a connection check finds out whether the leaf went down.
-// Only an address that nothing listens at must be reported.
-func TestConnCheckTellsOnlyOfAbsentLeafs(t *testing.T) {
+// After a broken call, a connection check finds out whether the leaf went down. It must
+// report only an address at which nothing listens.
+func TestConnCheckReportsOnlyRefusedConnections(t *testing.T) {
 	refused := make(chan router.ConnRefused, 2)
 	p := &Pool{Dialect: DefaultDialect, Clock: clock.Wall{}, OnConnRefused: func(a router.ConnRefused) { refused <- a }}
 	open := serve(t, func(net.Conn, *bufio.Reader) {})
--- a/share/httpc/pool.go
+++ b/share/httpc/pool.go
@@ -23,8 +23,8 @@
 // its accept queue is full and the kernel sends the next SYN only after 1 s.
 const dialTimeout = 400 * time.Millisecond
 
-// Pool holds the connections to all leaves. Send and Cancel do not block; each
-// call ends with one call of OnDone.
+// Pool holds the connections to all leaves. Send, Forward and Cancel do not block. Each
+// call ends with one call of OnDone, unless the pool is closed before.
 type Pool struct {
 	Dialect Dialect
 	// Source is the local IP of connections; empty lets the operating system
@@ -49,10 +49,11 @@
 // activeCall is a call in flight.
 type activeCall struct{ cancel context.CancelFunc }
 
-// Send starts a call.
-func (p *Pool) Send(s router.Send) { p.start(s, p.newRequest(s)) }
+// Send starts a call to a leaf.
+func (p *Pool) Send(send router.Send) { p.start(send, p.newRequest(send)) }
 
-func (p *Pool) start(s router.Send, q *http.Request) {
+// start starts a call unless the pool is closed.
+func (p *Pool) start(send router.Send, request *http.Request) {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,23 +64,24 @@
 	if p.calls == nil {
 		p.calls = map[uint64]*activeCall{}
 	}
-	p.calls[s.Call] = &activeCall{cancel: cancel}
-	p.wait.Go(func() { p.run(ctx, s, q) })
+	p.calls[send.Call] = &activeCall{cancel: cancel}
+	p.wait.Go(func() { p.run(ctx, send, request) })
 }
 
 // Forward sends a request to another host. Like Send, it ends with one call of OnDone.
-func (p *Pool) Forward(r router.Forward) {
-	s := router.Send{Call: r.Call, Request: r.Request, Leaf: r.Address, Address: r.Address, Timeout: r.Timeout}
-	q := p.newRequest(s)
-	delete(q.Header, p.Dialect.ExpectLeaf)
-	q.Header[HeaderForwardTarget] = []string{strconv.FormatInt(int64(r.Target), 10)}
-	q.Header[HeaderForwardShards] = []string{strings.Join(r.Shards, ",")}
-	q.Header[HeaderForwardVersion] = []string{strconv.FormatUint(r.Version, 10)}
-	if r.Late {
-		q.Header[HeaderForwardLate] = []string{"1"}
-	}
-	p.start(s, q)
-	p.Preconnect(r.Address)
+// It also opens a spare connection for the next forwarded request.
+func (p *Pool) Forward(forward router.Forward) {
+	send := router.Send{Call: forward.Call, Request: forward.Request, Leaf: forward.Address, Address: forward.Address, Timeout: forward.Timeout}
+	request := p.newRequest(send)
+	delete(request.Header, p.Dialect.ExpectLeaf)
+	request.Header[HeaderForwardTarget] = []string{strconv.FormatInt(int64(forward.Target), 10)}
+	request.Header[HeaderForwardShards] = []string{strings.Join(forward.Shards, ",")}
+	request.Header[HeaderForwardVersion] = []string{strconv.FormatUint(forward.Version, 10)}
+	if forward.Late {
+		request.Header[HeaderForwardLate] = []string{"1"}
+	}
+	p.start(send, request)
+	p.Preconnect(forward.Address)
 }
 
 // maxSpareConns bounds the idle connections opened ahead to another host.
@@ -98,12 +100,12 @@
 	}
 	p.opening[address]++
 	p.wait.Go(func() {
-		n, err := p.dial(context.Background(), address)
+		netConn, err := p.dial(context.Background(), address)
 		p.mu.Lock()
 		p.opening[address]--
 		p.mu.Unlock()
 		if err == nil {
-			p.putIdle(address, newConn(n, &p.Dialect), 0)
+			p.putIdle(address, newConn(netConn, &p.Dialect), 0)
 		}
 		// An unreachable host is detected by the next request.
 	})
@@ -115,7 +117,7 @@
 
 // Probe checks a leaf's health over a new connection, which proves that the leaf
 // accepts connections.
-func (p *Pool) Probe(a router.Probe) {
+func (p *Pool) Probe(probe router.Probe) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -124,48 +126,48 @@
 	p.wait.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		defer cancel()
-		p.OnProbed(router.ProbeResult{Leaf: a.Leaf, Healthy: p.healthy(ctx, a)})
+		p.OnProbed(router.ProbeResult{Leaf: probe.Leaf, Healthy: p.healthy(ctx, probe)})
 	})
 }
 
 // CheckConn opens and closes a connection to a leaf to find out whether its address
 // still listens. Only a refused connection is reported: a timeout may be due to the
 // network.
-func (p *Pool) CheckConn(k router.CheckConn) {
+func (p *Pool) CheckConn(check router.CheckConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return
 	}
 	p.wait.Go(func() {
-		n, err := p.dial(context.Background(), k.Address)
+		netConn, err := p.dial(context.Background(), check.Address)
 		if err == nil {
-			_ = n.Close() // nothing was sent
+			_ = netConn.Close() // nothing was sent
 			return
 		}
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			p.OnConnRefused(router.ConnRefused{Leaf: k.Leaf})
+			p.OnConnRefused(router.ConnRefused{Leaf: check.Leaf})
 		}
 	})
 }
 
 // healthy reports whether the expected leaf, not another one at its address,
 // replies that it is healthy. Any other reply counts as unhealthy.
-func (p *Pool) healthy(ctx context.Context, a router.Probe) bool {
-	n, err := p.dial(ctx, a.Address)
+func (p *Pool) healthy(ctx context.Context, probe router.Probe) bool {
+	netConn, err := p.dial(ctx, probe.Address)
 	if err != nil {
 		return false
 	}
-	c := newConn(n, &p.Dialect)
+	c := newConn(netConn, &p.Dialect)
 	defer c.close()
 	h := http.Header{"Connection": {"close"}}
-	j := &job{request: &http.Request{Method: http.MethodGet, Host: a.Address, Header: h}, unsigned: true, done: make(chan result, 1)}
-	if !c.begin(j) || c.write(j.request, a.Path, nil) != nil {
+	j := &job{request: &http.Request{Method: http.MethodGet, Host: probe.Address, Header: h}, stampOptional: true, done: make(chan result, 1)}
+	if !c.begin(j) || c.write(j.request, probe.Path, nil) != nil {
 		return false
 	}
 	select {
 	case r := <-j.done:
-		return r.err == nil && r.reply.Successful() && r.reply.Header.Get(p.Dialect.LeafID) == a.Leaf
+		return r.err == nil && r.reply.Successful() && r.reply.Header.Get(p.Dialect.LeafID) == probe.Leaf
 	case <-ctx.Done():
 		return false
 	}
@@ -175,10 +177,10 @@
 // the work.
 func (p *Pool) Cancel(id uint64) {
 	p.mu.Lock()
-	f := p.calls[id]
+	active := p.calls[id]
 	p.mu.Unlock()
-	if f != nil {
-		f.cancel()
+	if active != nil {
+		active.cancel()
 	}
 }
 
@@ -193,12 +195,13 @@
 	}
 }
 
-// Close cancels all calls, closes all connections and waits for them to end.
+// Close cancels all calls, closes all connections and waits for them to end. Calls that
+// it cancels are not reported.
 func (p *Pool) Close() error {
 	p.mu.Lock()
 	p.closed = true
-	for _, f := range p.calls {
-		f.cancel()
+	for _, active := range p.calls {
+		active.cancel()
 	}
 	lists := p.idle
 	p.idle = nil
@@ -213,16 +216,17 @@
 	return nil
 }
 
-func (p *Pool) run(ctx context.Context, s router.Send, q *http.Request) {
-	done := p.call(ctx, s, q)
-	done.Call = s.Call
+// run makes a call and reports its result.
+func (p *Pool) run(ctx context.Context, send router.Send, request *http.Request) {
+	done := p.call(ctx, send, request)
+	done.Call = send.Call
 	p.mu.Lock()
-	f := p.calls[s.Call]
-	delete(p.calls, s.Call)
+	active := p.calls[send.Call]
+	delete(p.calls, send.Call)
 	closed := p.closed
 	p.mu.Unlock()
-	if f != nil {
-		f.cancel()
+	if active != nil {
+		active.cancel()
 	}
 	if !closed {
 		p.OnDone(done)
@@ -230,24 +234,24 @@
 }
 
 // call makes one call over an idle or a new connection.
-func (p *Pool) call(ctx context.Context, s router.Send, q *http.Request) router.Done {
-	j := &job{request: q, unsigned: isForwarded(q), done: make(chan result, 1)}
-	c := p.takeIdle(s.Leaf, j)
+func (p *Pool) call(ctx context.Context, send router.Send, request *http.Request) router.Done {
+	j := &job{request: request, stampOptional: isForwarded(request), done: make(chan result, 1)}
+	c := p.takeIdle(send.Leaf, j)
 	if c == nil {
-		began := p.Clock.Now()
-		n, err := p.dial(ctx, s.Address)
+		dialedAt := p.Clock.Now()
+		netConn, err := p.dial(ctx, send.Address)
 		if err != nil {
 			return dialFailure(ctx, err)
 		}
-		c = newConn(n, &p.Dialect)
-		if s.Watch && c.awaitReset((p.Clock.Now() - began).Duration()) {
+		c = newConn(netConn, &p.Dialect)
+		if send.Watch && c.awaitReset((p.Clock.Now() - dialedAt).Duration()) {
 			return router.Done{Kind: call.Full, Cause: "the leaf ended a new connection"}
 		}
 		if !c.begin(j) {
 			return router.Done{Kind: call.NotSent, Cause: ErrIdleClosed.Error()}
 		}
 	}
-	return p.exchange(ctx, c, j, s)
+	return p.exchange(ctx, c, j, send)
 }
 
 // dialFailure classifies a failed dial.
@@ -262,21 +266,22 @@
 }
 
 // isForwarded reports whether a request goes to another host.
-func isForwarded(q *http.Request) bool { return len(q.Header[HeaderForwardTarget]) > 0 }
+func isForwarded(request *http.Request) bool { return len(request.Header[HeaderForwardTarget]) > 0 }
 
-// exchange sends the request and waits for the result of the call.
-func (p *Pool) exchange(ctx context.Context, c *conn, j *job, s router.Send) router.Done {
+// exchange sends the request and waits for the result of the call, or until it is
+// cancelled.
+func (p *Pool) exchange(ctx context.Context, c *conn, j *job, send router.Send) router.Done {
 	// The reply may arrive before the whole body is written. The leaf then keeps
 	// reading, and the connection is not reused unless the body was written.
 	written := make(chan error, 1)
-	if len(s.Request.Body) > inlineBodyBytes {
-		go func() { written <- c.write(j.request, s.Request.Target, s.Request.Body) }()
+	if len(send.Request.Body) > inlineBodyBytes {
+		go func() { written <- c.write(j.request, send.Request.Target, send.Request.Body) }()
 	} else {
-		written <- c.write(j.request, s.Request.Target, s.Request.Body)
+		written <- c.write(j.request, send.Request.Target, send.Request.Body)
 	}
 	select {
 	case r := <-j.done:
-		return p.finish(c, s.Leaf, j, r, written)
+		return p.completeCall(c, send.Leaf, j, r, written)
 	case <-ctx.Done():
 		c.close()
 		return router.Done{Kind: call.Cancelled, Cause: "given up"}
@@ -287,7 +292,9 @@
 // its headers it fits any socket's send buffer.
 const inlineBodyBytes = 4 << 10
 
-func (p *Pool) finish(c *conn, leaf string, j *job, r result, written chan error) router.Done {
+// completeCall handles the result of a call: it keeps the connection for further calls if
+// possible, or closes it, and classifies the reply.
+func (p *Pool) completeCall(c *conn, leaf string, j *job, r result, written chan error) router.Done {
 	if r.err != nil {
 		c.close()
 		return router.Done{Kind: call.Broken, Cause: shortError(r.err)}
@@ -300,7 +307,7 @@
 		keep = false // the body is not fully written
 	}
 	if keep {
-		p.putIdle(leaf, c, r.idle)
+		p.putIdle(leaf, c, r.idleTimeout)
 	} else {
 		c.close()
 	}
@@ -314,45 +321,46 @@
 	return done
 }
 
-// classify distinguishes a leaf's rejection from an answer.
-func (p *Pool) classify(r *call.Reply) router.Done {
+// classify distinguishes a rejection by a leaf, which has not run the request, from an
+// answer.
+func (p *Pool) classify(reply *call.Reply) router.Done {
 	switch {
-	case r.Status == http.StatusMisdirectedRequest:
+	case reply.Status == http.StatusMisdirectedRequest:
 		return router.Done{Kind: call.Foreign, Cause: "another leaf has the address"}
-	case r.Header.Get(p.Dialect.NotRun) != "":
-		return router.Done{Kind: call.Shed, Cause: "turned down: " + strconv.Itoa(r.Status) + " " + r.Header.Get(p.Dialect.NotRun)}
+	case reply.Header.Get(p.Dialect.NotRun) != "":
+		return router.Done{Kind: call.Shed, Cause: "turned down: " + strconv.Itoa(reply.Status) + " " + reply.Header.Get(p.Dialect.NotRun)}
 	}
-	return router.Done{Kind: call.Answered, Reply: r}
+	return router.Done{Kind: call.Answered, Reply: reply}
 }
 
 // readMergedHeaders reads the headers of another host's merged answer.
-func (p *Pool) readMergedHeaders(d *router.Done) {
-	ms, err := strconv.ParseInt(d.Reply.Header.Get(HeaderForwardProcessingTime), 10, 64)
+func (p *Pool) readMergedHeaders(done *router.Done) {
+	ms, err := strconv.ParseInt(done.Reply.Header.Get(HeaderForwardProcessingTime), 10, 64)
 	if err == nil {
-		d.ProcessingTime = clock.Milli(ms)
+		done.ProcessingTime = clock.Milli(ms)
 	}
 	// An unreadable time counts as absent: the round trip is then not measured.
-	r := d.Reply
-	r.Stamp = r.Header.Get(p.Dialect.PartStamps)
-	if list := r.Header.Get(HeaderForwardMissing); list != "" {
-		r.Missing = strings.Split(list, ",")
+	reply := done.Reply
+	reply.Stamp = reply.Header.Get(p.Dialect.PartStamps)
+	if list := reply.Header.Get(HeaderForwardMissing); list != "" {
+		reply.Missing = strings.Split(list, ",")
 	}
 }
 
-// newRequest builds the request to a leaf: the caller's headers without those of
-// its connection, and the tier's own.
-func (p *Pool) newRequest(s router.Send) *http.Request {
-	h := make(http.Header, len(s.Request.Header)+2)
-	for name, values := range s.Request.Header {
+// newRequest builds the request to a leaf from the caller's headers without those of its
+// connection, and the headers of the dialect.
+func (p *Pool) newRequest(send router.Send) *http.Request {
+	h := make(http.Header, len(send.Request.Header)+2)
+	for name, values := range send.Request.Header {
 		h[name] = values
 	}
-	h[p.Dialect.RequestID] = []string{s.Request.ID}
-	h[p.Dialect.Deadline] = []string{strconv.FormatInt(int64(s.Timeout), 10)}
-	h[p.Dialect.ExpectLeaf] = []string{s.Leaf}
-	if len(s.Request.Body) > 0 || expectsBody(s.Request.Method) {
-		h["Content-Length"] = []string{strconv.Itoa(len(s.Request.Body))}
+	h[p.Dialect.RequestID] = []string{send.Request.ID}
+	h[p.Dialect.Deadline] = []string{strconv.FormatInt(int64(send.Timeout), 10)}
+	h[p.Dialect.ExpectLeaf] = []string{send.Leaf}
+	if len(send.Request.Body) > 0 || expectsBody(send.Request.Method) {
+		h["Content-Length"] = []string{strconv.Itoa(len(send.Request.Body))}
 	}
-	return &http.Request{Method: s.Request.Method, Host: s.Request.Host, Header: h}
+	return &http.Request{Method: send.Request.Method, Host: send.Request.Host, Header: h}
 }
 
 // expectsBody reports whether a method has a body by definition, so that its length
@@ -361,13 +369,14 @@
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
+// dial opens a connection to a leaf or another host.
 func (p *Pool) dial(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout, Control: setSocketOptions, KeepAlive: -1, LocalAddr: fetch.SourceAddr(p.Source)}
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// takeIdle assigns a call to the most recently used idle connection; the others
-// may reach their idle timeout and be closed.
+// takeIdle assigns a call to the most recently used idle connection, and returns nil if
+// there is none. Less recently used ones may reach their idle timeout and be closed.
 func (p *Pool) takeIdle(leaf string, j *job) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -385,7 +394,8 @@
 	return nil
 }
 
-func (p *Pool) putIdle(leaf string, c *conn, idle clock.Milli) {
+// putIdle keeps a connection for the next call, or closes it if the pool is closed.
+func (p *Pool) putIdle(leaf string, c *conn, idleTimeout clock.Milli) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -394,8 +404,9 @@
 	}
 	c.mu.Lock()
 	c.usableUntil = 0
-	if idle > 0 {
-		c.usableUntil = p.Clock.Now() + max(idle-idleMargin, idle/2)
+	if idleTimeout > 0 {
+		// Half of a timeout that is shorter than twice the margin.
+		c.usableUntil = p.Clock.Now() + max(idleTimeout-idleMargin, idleTimeout/2)
 	}
 	c.mu.Unlock()
 	if p.idle == nil {
