--- a/share/route/check.go
+++ b/share/route/check.go
@@ -27,7 +27,7 @@
 	FieldIdempotent Field = "idempotent"
 )
 
-// Fault is an error in a route.
+// Fault is what is wrong with a route.
 type Fault struct {
 	// Route is the index of the route in the table.
 	Route   int
@@ -61,80 +61,88 @@
 	for i := range routes {
 		r := &routes[i]
 		c.index = i
-		c.route(r)
+		c.checkRoute(r)
 		k := key{r.Host, r.Prefix}
 		if other, ok := seen[k]; ok {
-			c.fault(FieldPrefix, "host and prefix are those of route %q", other)
+			c.addFault(FieldPrefix, "host and prefix are those of route %q", other)
 		}
 		seen[k] = r.Name
 	}
 	return c.found
 }
 
+// checker collects the faults of routes.
 type checker struct {
+	// index is the index of the route that is being checked.
 	index int
 	found []Fault
 }
 
-func (c *checker) fault(field Field, format string, args ...any) {
+// addFault adds a fault of the current route.
+func (c *checker) addFault(field Field, format string, args ...any) {
 	c.found = append(c.found, Fault{Route: c.index, Field: field, Problem: fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) route(r *Route) {
+// checkRoute checks a route by itself.
+func (c *checker) checkRoute(r *Route) {
 	if r.Host == "" {
-		c.fault(FieldHost, "host is missing")
+		c.addFault(FieldHost, "host is missing")
 	}
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-		c.fault(FieldPrefix, "prefix %q must begin and end with a slash", r.Prefix)
+		c.addFault(FieldPrefix, "prefix %q must begin and end with a slash", r.Prefix)
 	}
 	if r.Attempts < 1 {
-		c.fault(FieldAttempts, "attempts %d must be at least 1", r.Attempts)
+		c.addFault(FieldAttempts, "attempts %d must be at least 1", r.Attempts)
 	}
 	if r.Timeout <= 0 {
-		c.fault(FieldTimeout, "timeout %d ms must be above 0", r.Timeout)
+		c.addFault(FieldTimeout, "timeout %d ms must be above 0", r.Timeout)
 	}
 	switch {
 	case r.Sharded() && len(r.Services) > 0:
-		c.fault(FieldRoute, "both services and shards are set")
+		c.addFault(FieldRoute, "both services and shards are set")
 	case r.Sharded():
-		c.merged(r)
+		c.checkSharded(r)
 	default:
-		c.weights(r)
+		c.checkWeights(r)
 	}
 }
 
-func (c *checker) merged(r *Route) {
+// checkSharded checks what applies only to a query over shards.
+func (c *checker) checkSharded(r *Route) {
 	if !r.Idempotent {
-		c.fault(FieldIdempotent, "a query over shards must be idempotent")
+		c.addFault(FieldIdempotent, "a query over shards must be idempotent")
 	}
 	if r.MinShare < 0 || r.MinShare > 1 {
-		c.fault(FieldMinShare, "least share %g must lie between 0 and 1", r.MinShare)
+		c.addFault(FieldMinShare, "least share %g must be between 0 and 1", r.MinShare)
 	}
 	if r.TopK < 0 {
-		c.fault(FieldTop, "top %d must not be negative", r.TopK)
+		c.addFault(FieldTop, "top %d must not be negative", r.TopK)
 	}
 	seen := make(map[string]bool, len(r.Shards))
 	for _, s := range r.Shards {
 		if seen[s] {
-			c.fault(FieldShards, "shard %q stands twice", s)
+			c.addFault(FieldShards, "shard %q stands twice", s)
 		}
 		seen[s] = true
 	}
 }
 
-func (c *checker) weights(r *Route) {
+// checkWeights checks that no weight of the services is negative and that their sum is
+// above 0.
+func (c *checker) checkWeights(r *Route) {
 	sum := 0.0
 	for _, w := range r.Services {
 		if w.Weight < 0 {
-			c.fault(FieldServices, "weight %g of service %q is negative", w.Weight, w.Service)
+			c.addFault(FieldServices, "weight %g of service %q is negative", w.Weight, w.Service)
 		}
 		sum += w.Weight
 	}
 	if sum <= 0 {
-		c.fault(FieldServices, "no service gets requests")
+		c.addFault(FieldServices, "no service gets requests")
 	}
 }
 
+// faults returns what is wrong with a service.
 func (s Service) faults() []string {
 	var found []string
 	if s.Connections < 0 {
--- a/share/route/route.go
+++ b/share/route/route.go
@@ -52,8 +52,8 @@
 	if len(r.Regions) == 0 {
 		return true
 	}
-	for _, one := range r.Regions {
-		if one == region {
+	for _, allowed := range r.Regions {
+		if allowed == region {
 			return true
 		}
 	}
@@ -62,11 +62,11 @@
 
 // MinShards returns the minimum number of shards in a valid answer.
 func (r *Route) MinShards() int {
-	need := r.MinShare * float64(len(r.Shards))
-	count := int(need)
+	exact := r.MinShare * float64(len(r.Shards))
+	count := int(exact)
 	// A share such as 0.9 of 20 is not exact in binary: 18.000000000000004 must not
 	// be rounded up to 19.
-	if need-float64(count) > 1e-9 {
+	if exact-float64(count) > 1e-9 {
 		count++
 	}
 	return max(1, count)
@@ -77,7 +77,8 @@
 	Name string
 	// HealthPath is the path of the leaves' health check.
 	HealthPath string
-	// Connections is the number of connections that a leaf accepts from all hosts.
+	// Connections is the number of connections that a leaf accepts from all hosts; 0
+	// if the operators set no limit.
 	Connections int
 	// WarmUp is how long a leaf is cold after its start.
 	WarmUp clock.Milli
@@ -103,7 +104,7 @@
 }
 
 // Match returns the route of a request: the route of the host with the longest matching
-// path prefix.
+// path prefix. It reports false if there is none.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	var best *Route
 	for i := range t.Routes {
--- a/share/route/route_test.go
+++ b/share/route/route_test.go
@@ -11,6 +11,8 @@
 	return Route{Name: "a", Host: "h", Prefix: "/a/", Idempotent: true, Attempts: 1, Timeout: 1, Shards: []string{"x", "y"}}
 }
 
+// Prefixes overlap. The longest must match although a shorter one stands before it, and a
+// path without the prefix's last slash must not match.
 func TestLongestPrefixMatches(t *testing.T) {
 	t.Parallel()
 	table := Table{Routes: []Route{{Name: "short", Host: "h", Prefix: "/a/"}, {Name: "long", Host: "h", Prefix: "/a/b/"}}}
@@ -37,6 +39,8 @@
 	}
 }
 
+// Operators correct a table by the message. It must name each fault and its route or
+// service, not just the first.
 func TestEveryFaultOfATableIsFound(t *testing.T) {
 	t.Parallel()
 	good, bad := validRoute(), validRoute()
