--- a/share/topk/topk_test.go
+++ b/share/topk/topk_test.go
@@ -29,8 +29,8 @@
 	})
 }
 
-// Merging merged lists gives the same result as merging all lists at once, so that a
-// host can answer for a part of the shards.
+// A host may merge a part of the shards for another one, which merges the results. Both
+// steps must give the same as merging all lists at once.
 func TestMergeOfMerges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lists := rapid.SliceOfN(rapid.SliceOfN(rapid.Byte(), 0, 80), 4, 4).Draw(t, "lists")
