--- a/share/proxy/callers.go
+++ b/share/proxy/callers.go
@@ -22,50 +22,54 @@
 	closed  bool
 }
 
+// add registers a caller that waits for the answer to a query, and returns the channel
+// that will hold it. After closeAll, the answer is a refusal.
 func (c *callers) add(query uint64) chan router.Answer {
-	answer := make(chan router.Answer, 1)
+	answers := make(chan router.Answer, 1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.waiting == nil {
 		c.waiting = map[uint64]chan router.Answer{}
 	}
 	if c.closed {
-		answer <- router.Answer{Query: query, Refusal: router.NoConfig}
-		return answer
+		answers <- router.Answer{Query: query, Refusal: router.NoConfig} // the request has not run
+		return answers
 	}
-	c.waiting[query] = answer
-	return answer
+	c.waiting[query] = answers
+	return answers
 }
 
+// remove removes a caller that no longer waits.
 func (c *callers) remove(query uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.waiting, query)
 }
 
-func (c *callers) answer(a router.Answer) {
+// deliver delivers an answer to its caller, if the caller still waits.
+func (c *callers) deliver(a router.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if answer := c.waiting[a.Query]; answer != nil {
+	if answers := c.waiting[a.Query]; answers != nil {
 		delete(c.waiting, a.Query)
-		answer <- a
+		answers <- a
 	}
 }
 
-// closeAll sends a final answer to all waiting callers and rejects new ones.
+// closeAll sends a final answer to all waiting callers and lets add refuse new ones.
 func (c *callers) closeAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	for query, answer := range c.waiting {
+	for query, answers := range c.waiting {
 		delete(c.waiting, query)
-		answer <- router.Answer{Query: query, Refusal: router.Failed}
+		answers <- router.Answer{Query: query, Refusal: router.Failed}
 	}
 }
 
-// serve handles a caller's request.
+// serve handles a caller's request until it is answered or the caller disconnects.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	s.submit(w, r, router.Arrival{Wait: s.remaining(r), Remote: r.RemoteAddr})
+	s.submit(w, r, router.Arrival{Wait: s.remainingTime(r), Remote: r.RemoteAddr})
 }
 
 // serveForwarded handles a request that another host forwards, or a read of this host's
@@ -92,13 +96,15 @@
 	r.Header.Del(httpc.HeaderForwardTarget)
 	r.Header.Del(httpc.HeaderForwardVersion)
 	s.submit(w, r, router.Arrival{
-		Wait: s.remaining(r), Remote: r.RemoteAddr, Forwarded: true, Shards: shards, Target: clock.Milli(target), Version: version,
+		Wait: s.remainingTime(r), Remote: r.RemoteAddr, Forwarded: true, Shards: shards, Target: clock.Milli(target), Version: version,
 		Late: late,
 	})
 }
 
-// submit sends a request to the control loop and writes its answer.
-func (s *Server) submit(w http.ResponseWriter, r *http.Request, a router.Arrival) {
+// submit sends a request to the control loop, waits for its answer and writes it. If the
+// caller disconnects first, it reports that to the control loop. It answers requests that
+// are unreadable, too large or without an ID itself.
+func (s *Server) submit(w http.ResponseWriter, r *http.Request, arrival router.Arrival) {
 	start := s.Clock.Now()
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
@@ -109,7 +115,7 @@
 		s.writeText(w, http.StatusBadRequest, "cannot read the request body")
 		return
 	}
-	if limit := s.server.BodyLimit(); !a.Forwarded && len(body) > limit {
+	if limit := s.server.BodyLimit(); !arrival.Forwarded && len(body) > limit {
 		s.writeText(w, http.StatusRequestEntityTooLarge, "the request body exceeds "+strconv.Itoa(limit)+" bytes")
 		return
 	}
@@ -118,22 +124,22 @@
 		s.writeText(w, http.StatusBadRequest, "the request has no "+s.Settings.Dialect.RequestID)
 		return
 	}
-	a.Query = s.queries.Add(1)
-	a.Request = request
+	arrival.Query = s.queries.Add(1)
+	arrival.Request = request
 	if r.Context().Err() != nil {
 		return // the caller disconnected before the request was submitted
 	}
-	waiting := s.callers.add(a.Query)
-	defer s.callers.remove(a.Query)
-	s.post(a)
+	answers := s.callers.add(arrival.Query)
+	defer s.callers.remove(arrival.Query)
+	s.post(arrival)
 	var answer router.Answer
 	select {
-	case answer = <-waiting:
+	case answer = <-answers:
 	case <-r.Context().Done():
-		s.post(router.CallerGone{Query: a.Query})
+		s.post(router.CallerGone{Query: arrival.Query})
 		return
 	}
-	if a.Forwarded {
+	if arrival.Forwarded {
 		s.setForwardHeaders(w, answer, s.Clock.Now()-start)
 	}
 	s.writeAnswer(w, r, answer)
@@ -141,22 +147,24 @@
 
 // setForwardHeaders sets the headers for the forwarding host: the processing time, the
 // missing shards and, for a refusal, that the request has not run.
-func (s *Server) setForwardHeaders(w http.ResponseWriter, a router.Answer, duration clock.Milli) {
+func (s *Server) setForwardHeaders(w http.ResponseWriter, answer router.Answer, duration clock.Milli) {
 	w.Header()[httpc.HeaderForwardProcessingTime] = []string{strconv.FormatInt(int64(duration), 10)}
-	if a.Merged != nil && len(a.Merged.Missing) > 0 {
-		w.Header()[httpc.HeaderForwardMissing] = []string{strings.Join(a.Merged.Missing, ",")}
+	if answer.Merged != nil && len(answer.Merged.Missing) > 0 {
+		w.Header()[httpc.HeaderForwardMissing] = []string{strings.Join(answer.Merged.Missing, ",")}
 	}
-	switch a.Refusal {
+	switch answer.Refusal {
 	case router.NoConfig, router.NoRoute, router.NoLeaf, router.NoCapacity, router.Harmful, router.Stale:
-		w.Header()[s.Settings.Dialect.NotRun] = []string{a.Refusal.String()}
-	default:
+		w.Header()[s.Settings.Dialect.NotRun] = []string{answer.Refusal.String()}
+	default: // the request may have run
 	}
 }
 
-func (s *Server) remaining(r *http.Request) clock.Milli {
+// remainingTime returns the time that the caller still waits according to its deadline
+// header, or 0 if the header is missing or malformed.
+func (s *Server) remainingTime(r *http.Request) clock.Milli {
 	ms, err := strconv.ParseInt(r.Header.Get(s.Settings.Dialect.Deadline), 10, 64)
 	if err != nil || ms < 0 {
-		return 0 // the header is missing or malformed
+		return 0
 	}
 	return clock.Milli(ms)
 }
@@ -190,6 +198,8 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
+// stripConnection removes the headers that apply to a single connection, also those that
+// the Connection header lists.
 func stripConnection(h http.Header) {
 	for _, list := range h["Connection"] {
 		for _, name := range strings.Split(list, ",") {
@@ -201,18 +211,20 @@
 	}
 }
 
-// writeAnswer writes an answer.
-func (s *Server) writeAnswer(w http.ResponseWriter, r *http.Request, a router.Answer) {
+// writeAnswer writes a leaf's reply, a merged answer or a refusal.
+func (s *Server) writeAnswer(w http.ResponseWriter, r *http.Request, answer router.Answer) {
 	switch {
-	case a.Reply != nil:
-		s.writeReply(w, a.Reply)
-	case a.Merged != nil:
-		s.writeMerged(w, r, a.Merged)
+	case answer.Reply != nil:
+		s.writeReply(w, answer.Reply)
+	case answer.Merged != nil:
+		s.writeMerged(w, r, answer.Merged)
 	default:
-		s.writeRefusal(w, a)
+		s.writeRefusal(w, answer)
 	}
 }
 
+// writeHeader writes the headers. While the host is leaving, they announce that the
+// connection closes.
 func (s *Server) writeHeader(w http.ResponseWriter, status, length int) {
 	w.Header().Set("Content-Length", strconv.Itoa(length))
 	if s.leaving.Load() {
@@ -221,7 +233,7 @@
 	w.WriteHeader(status)
 }
 
-// writeReply writes a leaf's reply unchanged.
+// writeReply writes a leaf's reply without the headers of the leaf's connection.
 func (s *Server) writeReply(w http.ResponseWriter, reply *call.Reply) {
 	if http.StatusText(reply.Status) == "" {
 		// nbhttp cannot write a status without a text and would send 200 instead.
@@ -237,19 +249,20 @@
 	_, _ = w.Write(reply.Body) // the caller may have disconnected
 }
 
-func (s *Server) writeMerged(w http.ResponseWriter, r *http.Request, m *router.Merged) {
-	d := &s.Settings.Dialect
-	stamps := make([]string, len(m.Parts))
-	lists := make([][]byte, len(m.Parts))
-	for i, p := range m.Parts {
+// writeMerged merges the leaves' replies and writes the result.
+func (s *Server) writeMerged(w http.ResponseWriter, r *http.Request, merged *router.Merged) {
+	dialect := &s.Settings.Dialect
+	stamps := make([]string, len(merged.Parts))
+	lists := make([][]byte, len(merged.Parts))
+	for i, p := range merged.Parts {
 		stamps[i] = p.Stamp
 		lists[i] = p.Body
 	}
-	body := topk.Merge(m.TopK, lists)
+	body := topk.Merge(merged.TopK, lists)
 	h := w.Header()
-	h[d.RequestID] = []string{r.Header.Get(d.RequestID)}
-	h[d.PartStamps] = []string{strings.Join(stamps, ", ")}
-	h[d.MissingShards] = []string{strconv.Itoa(len(m.Missing))}
+	h[dialect.RequestID] = []string{r.Header.Get(dialect.RequestID)}
+	h[dialect.PartStamps] = []string{strings.Join(stamps, ", ")}
+	h[dialect.MissingShards] = []string{strconv.Itoa(len(merged.Missing))}
 	h["Content-Type"] = []string{"application/octet-stream"}
 	s.writeHeader(w, http.StatusOK, len(body))
 	_, _ = w.Write(body) // the caller may have disconnected
@@ -257,15 +270,15 @@
 
 // writeRefusal writes the reason for a refusal. 503 means that the request has not
 // run; the other codes leave that open.
-func (s *Server) writeRefusal(w http.ResponseWriter, a router.Answer) {
-	if a.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(float64(a.RetryAfter)/float64(clock.Second), 'f', 3, 64))
+func (s *Server) writeRefusal(w http.ResponseWriter, answer router.Answer) {
+	if answer.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(float64(answer.RetryAfter)/float64(clock.Second), 'f', 3, 64))
 	}
-	switch a.Refusal {
+	switch answer.Refusal {
 	case router.NoRoute:
 		s.writeText(w, http.StatusNotFound, "no route")
 	case router.NoConfig, router.NoLeaf, router.NoCapacity, router.Harmful, router.Stale:
-		s.writeText(w, http.StatusServiceUnavailable, "not run: "+a.Refusal.String())
+		s.writeText(w, http.StatusServiceUnavailable, "not run: "+answer.Refusal.String())
 	case router.Late:
 		s.writeText(w, http.StatusGatewayTimeout, "no answer in time")
 	default:
@@ -273,6 +286,7 @@
 	}
 }
 
+// writeText writes an answer of this host itself.
 func (s *Server) writeText(w http.ResponseWriter, status int, body string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	s.writeHeader(w, status, len(body)+1)
--- a/share/proxy/peers.go
+++ b/share/proxy/peers.go
@@ -16,6 +16,7 @@
 
 // peers exchanges datagrams with other hosts and reports which of them are alive.
 type peers struct {
+	// onChange is called with the other hosts that are alive when the list changes.
 	onChange func([]router.Peer)
 
 	server *Server
@@ -25,24 +26,27 @@
 
 	mu   sync.Mutex
 	list member.List
-	// reported is the version of the last reported list.
+	// reported is the version of the list that was last reported, at reportedAt.
 	reported   uint64
 	reportedAt clock.Milli
 	// publishedAt is the time when crash reports were last published.
 	publishedAt clock.Milli
-	// nextRound is the time of the next round; wake reschedules it.
+	// nextRound is the time of the next round; wake starts it at once.
 	nextRound clock.Milli
 	wake      chan struct{}
-	// crashReports are sent with the packets of the next rounds.
+	// crashReports are sent with the packets of the next rounds, several times each.
 	crashReports []queuedCrash
-	// leafReports holds the load reports for the hosts of the same failure domain.
+	// leafReports holds the load reports that flushTimer will send to the hosts of the
+	// same failure domain.
 	leafReports map[string]report.Leaf
-	flush       *time.Timer
+	// flushTimer is set while load reports are queued.
+	flushTimer *time.Timer
 }
 
 // maxDatagram is the size of the largest accepted datagram, in bytes.
 const maxDatagram = 8 << 10
 
+// start opens the socket and starts to receive and send packets.
 func (p *peers) start(server *Server) error {
 	address, err := netip.ParseAddrPort(server.Settings.GossipAddress)
 	if err != nil {
@@ -62,14 +66,15 @@
 	return nil
 }
 
-// seeds replaces the seed addresses.
-func (p *peers) seeds(list []string) {
+// setSeeds replaces the seed addresses.
+func (p *peers) setSeeds(list []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.list.Seeds = list
 }
 
-// leave announces to the other hosts that this host accepts no more forwarded requests.
+// leave announces to the other hosts that this host accepts no more forwarded requests. It
+// does nothing on a host that works alone.
 func (p *peers) leave() {
 	if p.conn == nil {
 		return
@@ -80,14 +85,15 @@
 	p.send(packets)
 }
 
+// close closes the socket and waits for the goroutines to end.
 func (p *peers) close() error {
 	if p.conn == nil {
 		return nil
 	}
 	close(p.stop)
 	p.mu.Lock()
-	if p.flush != nil {
-		p.flush.Stop()
+	if p.flushTimer != nil {
+		p.flushTimer.Stop()
 	}
 	p.mu.Unlock()
 	err := p.conn.Close()
@@ -95,6 +101,7 @@
 	return err
 }
 
+// receive handles packets until close.
 func (p *peers) receive() {
 	buf := make([]byte, maxDatagram)
 	for {
@@ -118,13 +125,14 @@
 	}
 }
 
-// handle applies a received packet and sends the replies.
+// handle applies a received packet, sends the replies and passes reports on leaves and
+// crashes to the control loop.
 func (p *peers) handle(packet member.Packet) {
 	p.mu.Lock()
-	answers := p.list.Receive(p.server.Clock.Now(), packet)
+	replies := p.list.Receive(p.server.Clock.Now(), packet)
 	sooner := p.next() < p.nextRound
 	p.mu.Unlock()
-	p.send(answers)
+	p.send(replies)
 	if len(packet.Crashes) > 0 {
 		p.server.post(router.CrashReports{List: packet.Crashes})
 	}
@@ -136,7 +144,7 @@
 	}
 }
 
-// wakeUp reschedules the next round.
+// wakeUp starts the next round at once.
 func (p *peers) wakeUp() {
 	select {
 	case p.wake <- struct{}{}:
@@ -144,6 +152,7 @@
 	}
 }
 
+// run does rounds at the times they are due until close.
 func (p *peers) run() {
 	for {
 		p.round()
@@ -163,7 +172,7 @@
 // crashReportInterval is the interval between two rounds that publish crash reports.
 const crashReportInterval clock.Milli = 200
 
-// round sends the packets that are due.
+// round sends the packets that are due, with crash reports.
 func (p *peers) round() {
 	p.mu.Lock()
 	now := p.server.Clock.Now()
@@ -174,9 +183,10 @@
 	}
 	p.mu.Unlock()
 	for i := range packets {
-		// Packets of other kinds go to the same few hosts each time.
+		// Packets of other kinds go to the same few hosts each time, where the
+		// reports would use up their sends.
 		if packets[i].Kind == member.Publish {
-			packets[i].Crashes = p.nextCrashReports()
+			packets[i].Crashes = p.takeCrashReports()
 		}
 	}
 	p.send(packets)
@@ -190,7 +200,7 @@
 	return max(1, p.nextRound-p.server.Clock.Now()).Duration()
 }
 
-// next returns the time of the next round.
+// next returns the time of the next round: when packets or a report of the list are due.
 func (p *peers) next() clock.Milli {
 	next := p.list.Next()
 	if len(p.crashReports) > 0 {
@@ -202,6 +212,7 @@
 	return next
 }
 
+// send sends packets. It logs those that cannot be encoded or have an invalid address.
 func (p *peers) send(packets []member.Packet) {
 	for _, packet := range packets {
 		body, err := member.Encode(packet)
@@ -226,7 +237,7 @@
 	maxHostsLogged = 8
 )
 
-// report reports the list if it has changed.
+// report reports the list if it has changed, at most once per reportInterval.
 func (p *peers) report() {
 	p.mu.Lock()
 	now := p.server.Clock.Now()
@@ -250,7 +261,8 @@
 	p.onChange(list)
 }
 
-// logChanges logs the hosts that have joined or left since the last report.
+// logChanges logs the hosts that were added or removed since the last report, up to
+// maxHostsLogged by name.
 func (p *peers) logChanges(changes []member.Change, more, known int) {
 	names := map[member.State][]string{}
 	named := changes[:min(len(changes), maxHostsLogged)]
--- a/share/proxy/peers_test.go
+++ b/share/proxy/peers_test.go
@@ -20,20 +20,20 @@
 	"dandelionstile/share/router"
 )
 
-// lines records a host's log.
-type lines struct {
+// logBuffer collects the log of a host.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
 // count counts the occurrences of a text.
-func (l *lines) count(text string) int {
+func (l *logBuffer) count(text string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.buf.String(), text)
@@ -48,14 +48,14 @@
 	return conn.LocalAddr().String()
 }
 
-// Calls to a leaf become slow at one host. The other host of its failure domain, which
-// has not called the leaf, gets a report at once; a host of another domain, which has a
-// different network path to the leaf, gets none.
+// A host finds a leaf slow. The other host of the same failure domain must get a report at
+// once: it would otherwise find out by a late query of its own. A host in another failure
+// domain, which reaches the leaf over another network path, must get none.
 func TestLeafReportsReachTheDomain(t *testing.T) {
 	gossip := []string{udpAddress(t, "127.81.0.1"), udpAddress(t, "127.81.0.2"), udpAddress(t, "127.81.0.3")}
 	domains := []string{"d", "d", "e"}
 	leaf := roster.Leaf{ID: "i-1", Service: "s", Address: "127.0.0.1:9", Domain: "d", Slots: 1}
-	logs := make([]lines, len(gossip))
+	logs := make([]logBuffer, len(gossip))
 	servers := make([]*Server, len(gossip))
 	for i := range servers {
 		servers[i] = &Server{
@@ -69,7 +69,7 @@
 		defer func() { assert.NilError(t, servers[i].Close()) }()
 		servers[i].SetFacts(router.Facts{Table: &route.Table{Version: 1}, Leaves: []roster.Leaf{leaf}})
 	}
-	reached := func(i int, text string) poll.Check {
+	hasLogged := func(i int, text string) poll.Check {
 		return func(poll.LogT) poll.Result {
 			if logs[i].count(text) > 0 {
 				return poll.Success()
@@ -78,9 +78,10 @@
 		}
 	}
 	for i := range servers {
-		poll.WaitOn(t, reached(i, `"got":2`), poll.WithTimeout(10*time.Second))
+		// Each host knows the two others.
+		poll.WaitOn(t, hasLogged(i, `"got":2`), poll.WithTimeout(10*time.Second))
 	}
 	servers[0].peers.queueLeafReports([]report.Leaf{{ID: "i-1", ExtraLatency: 170}})
-	poll.WaitOn(t, reached(1, "leaf-heard"), poll.WithTimeout(5*time.Second))
+	poll.WaitOn(t, hasLogged(1, "leaf-heard"), poll.WithTimeout(5*time.Second))
 	assert.Equal(t, logs[2].count("leaf-heard"), 0)
 }
--- a/share/proxy/reports.go
+++ b/share/proxy/reports.go
@@ -10,10 +10,10 @@
 	"dandelionstile/share/report"
 )
 
-// queuedCrash is a crash report and how many more times to send it.
+// queuedCrash is a crash report, the time of the crash and how many more times to send it.
 type queuedCrash struct {
 	crash.Report
-	at        clock.Milli
+	crashedAt clock.Milli
 	sendsLeft int
 }
 
@@ -27,7 +27,8 @@
 	maxQueuedCrashes = 256
 )
 
-// queueCrashReports queues crash reports for other hosts.
+// queueCrashReports queues crash reports for other hosts and starts a round. It drops those
+// beyond maxQueuedCrashes, and all on a host that works alone.
 func (p *peers) queueCrashReports(list []crash.Report) {
 	if p.conn == nil {
 		return
@@ -35,18 +36,18 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.server.Clock.Now()
-	for _, s := range list {
+	for _, r := range list {
 		if len(p.crashReports) < maxQueuedCrashes {
-			p.crashReports = append(p.crashReports, queuedCrash{s, now - s.Age, crashReportSends})
+			p.crashReports = append(p.crashReports, queuedCrash{r, now - r.Age, crashReportSends})
 		}
 	}
 	p.wakeUp()
 }
 
 const (
-	// leafReportDelay is how long load reports are collected before they are sent:
-	// several of a host's calls show the same within this time, and a leaf stalls for many
-	// times as long.
+	// leafReportDelay is how long load reports are collected before they are sent.
+	// Within this time several calls of a host show the same, and a leaf stalls for
+	// many times as long.
 	leafReportDelay = 15 * time.Millisecond
 	// maxReportHosts is the maximum number of hosts that get a report at once.
 	maxReportHosts = 24
@@ -54,7 +55,9 @@
 	maxLeavesPerPacket = 40
 )
 
-// queueLeafReports queues load reports for the hosts of the same failure domain.
+// queueLeafReports queues load reports for the hosts of the same failure domain, one for
+// each leaf, and has them sent after leafReportDelay. It drops reports while
+// maxLeavesPerPacket are queued, and all on a host that works alone.
 func (p *peers) queueLeafReports(list []report.Leaf) {
 	if p.conn == nil {
 		return
@@ -64,21 +67,21 @@
 	if p.leafReports == nil {
 		p.leafReports = map[string]report.Leaf{}
 	}
-	for _, n := range list {
+	for _, r := range list {
 		if len(p.leafReports) < maxLeavesPerPacket {
-			p.leafReports[n.ID] = n
+			p.leafReports[r.ID] = r
 		}
 	}
-	if p.flush == nil {
-		p.flush = time.AfterFunc(leafReportDelay, p.sendLeafReports)
+	if p.flushTimer == nil {
+		p.flushTimer = time.AfterFunc(leafReportDelay, p.sendLeafReports)
 	}
 }
 
-// sendLeafReports sends the queued load reports.
+// sendLeafReports sends the queued load reports to hosts of the same failure domain.
 func (p *peers) sendLeafReports() {
 	p.mu.Lock()
 	list := slices.Collect(maps.Values(p.leafReports))
-	p.leafReports, p.flush = nil, nil
+	p.leafReports, p.flushTimer = nil, nil
 	packets := p.list.DomainPackets(p.server.Clock.Now(), maxReportHosts)
 	p.mu.Unlock()
 	for i := range packets {
@@ -87,20 +90,21 @@
 	p.send(packets)
 }
 
-// nextCrashReports returns the crash reports for one packet.
-func (p *peers) nextCrashReports() []crash.Report {
+// takeCrashReports returns the crash reports for one packet. It removes those that have
+// been in crashReportSends packets.
+func (p *peers) takeCrashReports() []crash.Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.server.Clock.Now()
 	var list []crash.Report
 	rest := p.crashReports[:0]
-	for _, s := range p.crashReports {
+	for _, r := range p.crashReports {
 		if len(list) < maxCrashesPerPacket {
-			list = append(list, crash.Report{Fingerprint: s.Fingerprint, Leaf: s.Leaf, Age: now - s.at})
-			s.sendsLeft--
+			list = append(list, crash.Report{Fingerprint: r.Fingerprint, Leaf: r.Leaf, Age: now - r.crashedAt})
+			r.sendsLeft--
 		}
-		if s.sendsLeft > 0 {
-			rest = append(rest, s)
+		if r.sendsLeft > 0 {
+			rest = append(rest, r)
 		}
 	}
 	p.crashReports = rest
--- a/share/proxy/server.go
+++ b/share/proxy/server.go
@@ -44,7 +44,7 @@
 	Log      zerolog.Logger
 	Meter    *meter.Meter
 	Clock    clock.Clock
-	// Mirror serves this host's facts to other hosts; nil disables it.
+	// Mirror serves this host's copy of the store to other hosts; nil disables it.
 	Mirror *mirror.Mirror
 	// Middleware wraps the handlers for requests of callers and other hosts; it may
 	// be nil.
@@ -52,38 +52,38 @@
 	// OnPeers is called with the other hosts that are alive; it may be nil.
 	OnPeers func([]router.Peer)
 
-	engine   router.Engine
-	pool     httpc.Pool
-	server   httpd.Server
-	forwards httpd.Server
-	peers    peers
-	events   chan router.Event
-	stop     chan struct{}
-	stopped  chan struct{}
-	once     sync.Once
-	queries  atomic.Uint64
-	ready    atomic.Bool
-	leaving  atomic.Bool
-	inFlight atomic.Int64
-	callers  callers
+	engine    router.Engine
+	pool      httpc.Pool
+	server    httpd.Server // for callers
+	forwards  httpd.Server // for other hosts
+	peers     peers
+	events    chan router.Event
+	stop      chan struct{} // closed by Close
+	stopped   chan struct{} // closed when the control loop has ended
+	closeOnce sync.Once     // closes stop
+	queries   atomic.Uint64 // the number of the last query
+	ready     atomic.Bool   // what the engine reports
+	leaving   atomic.Bool
+	inFlight  atomic.Int64 // requests of callers and other hosts
+	callers   callers
 }
 
-// queueLength is the number of events that may wait for the control loop. Senders block
+// maxQueuedEvents is the number of events that may wait for the control loop. Senders block
 // when it is full, which slows callers down and not the loop.
-const queueLength = 4096
+const maxQueuedEvents = 4096
 
 // Start opens the listeners and starts the control loop.
 func (s *Server) Start() error {
 	s.engine.Self = s.Settings.Self
 	s.engine.Regions = s.Settings.Regions
 	s.engine.Policy = s.Settings.Policy
-	s.events = make(chan router.Event, queueLength)
+	s.events = make(chan router.Event, maxQueuedEvents)
 	s.stop = make(chan struct{})
 	s.stopped = make(chan struct{})
 	s.pool = httpc.Pool{Dialect: s.Settings.Dialect, Source: s.Settings.SourceIP, Clock: s.Clock, OnDone: s.callDone, OnProbed: s.probeDone, OnConnRefused: s.connRefused}
 	s.server = httpd.Server{
 		Address: s.Settings.CallerAddress, Handler: s.wrap(s.serve),
-		OnRejected: s.rejectedUnread,
+		OnRejected: s.requestRejected,
 	}
 	go s.loop()
 	if err := s.server.Start(); err != nil {
@@ -100,6 +100,7 @@
 	return s.peers.start(s)
 }
 
+// wrap adds the middleware, if any, to a handler.
 func (s *Server) wrap(h http.HandlerFunc) http.Handler {
 	if s.Middleware == nil {
 		return h
@@ -114,17 +115,18 @@
 func (s *Server) Ready() bool { return s.ready.Load() && !s.leaving.Load() }
 
 // SetFacts applies a new configuration and inventory.
-func (s *Server) SetFacts(f router.Facts) {
-	if f.Table != nil {
-		l := f.Table.Limits
+func (s *Server) SetFacts(facts router.Facts) {
+	if facts.Table != nil {
+		limits := facts.Table.Limits
 		s.server.SetLimits(httpd.Limits{
-			MaxHeaderBytes: l.MaxHeaderBytes, MaxBodyBytes: l.MaxBodyBytes,
-			StallTimeout: l.HeaderTimeout.Duration(), IdleTimeout: l.IdleTimeout.Duration(),
+			MaxHeaderBytes: limits.MaxHeaderBytes, MaxBodyBytes: limits.MaxBodyBytes,
+			StallTimeout: limits.HeaderTimeout.Duration(), IdleTimeout: limits.IdleTimeout.Duration(),
 		})
 	}
-	s.post(f)
+	s.post(facts)
 }
 
+// peersChanged passes the list of other hosts to the control loop and to OnPeers.
 func (s *Server) peersChanged(list []router.Peer) {
 	s.post(router.Peers{List: list})
 	if s.OnPeers != nil {
@@ -133,7 +135,7 @@
 }
 
 // SetSeeds replaces the addresses of the hosts to contact first.
-func (s *Server) SetSeeds(list []string) { s.peers.seeds(list) }
+func (s *Server) SetSeeds(list []string) { s.peers.setSeeds(list) }
 
 func (s *Server) callDone(d router.Done) { s.post(d) }
 
@@ -141,6 +143,8 @@
 
 func (s *Server) connRefused(a router.ConnRefused) { s.post(a) }
 
+// post queues an event for the control loop. It blocks while the queue is full, and drops
+// the event once Close has been called.
 func (s *Server) post(e router.Event) {
 	select {
 	case s.events <- e:
@@ -179,6 +183,7 @@
 	}
 }
 
+// setTimer sets the timer to the engine's next tick, or far ahead if there is none.
 func (s *Server) setTimer(timer *time.Timer) {
 	next := s.engine.NextTick()
 	if next == 0 {
@@ -188,6 +193,7 @@
 	timer.Reset(max(0, (next - s.Clock.Now()).Duration()))
 }
 
+// handle passes an event to the engine and carries out the actions that it returns.
 func (s *Server) handle(e router.Event) {
 	for _, a := range s.engine.Handle(s.Clock.Now(), e) {
 		switch a := a.(type) {
@@ -204,7 +210,7 @@
 		case router.CheckConn:
 			s.pool.CheckConn(a)
 		case router.Answer:
-			s.callers.answer(a)
+			s.callers.deliver(a)
 		case router.SendCrashReports:
 			s.peers.queueCrashReports(a.List)
 		case router.SendLeafReports:
@@ -212,7 +218,7 @@
 		case router.CallEnded:
 			s.countCall(a)
 		case router.Note:
-			s.note(a)
+			s.logNote(a)
 		}
 	}
 	s.ready.Store(s.engine.Ready())
@@ -223,8 +229,8 @@
 	// that it leaves: the load balancer polls once a second and removes the host after
 	// the second refusal.
 	balancerDelay = 2500 * time.Millisecond
-	// maxLeaveTime is when requests in flight get a final answer: the platform kills
-	// the process a second later.
+	// maxLeaveTime is how long Leave waits for requests in flight. Close then gives
+	// them a final answer: the platform kills the process a second later.
 	maxLeaveTime      = 5 * time.Second
 	leavePollInterval = 50 * time.Millisecond
 )
@@ -249,7 +255,7 @@
 
 // Close stops everything and waits. Requests in flight get a final answer.
 func (s *Server) Close() error {
-	s.once.Do(func() { close(s.stop) })
+	s.closeOnce.Do(func() { close(s.stop) })
 	<-s.stopped
 	s.callers.closeAll()
 	err := s.peers.close()
--- a/share/proxy/server_test.go
+++ b/share/proxy/server_test.go
@@ -44,10 +44,11 @@
 	return r
 }
 
+// close closes the server; further calls do nothing.
 func (r *rig) close() { r.once.Do(func() { assert.NilError(r.t, r.server.Close()) }) }
 
-// leaf starts a leaf of a service.
-func (r *rig) leaf(service string, h http.HandlerFunc) {
+// startLeaf starts a leaf of a service.
+func (r *rig) startLeaf(service string, h http.HandlerFunc) {
 	server := httptest.NewServer(h)
 	r.t.Cleanup(func() {
 		server.CloseClientConnections()
@@ -58,12 +59,13 @@
 	})
 }
 
-// open applies the leaves and two routes, one over shards s0 and s1.
-func (r *rig) open() { r.openWithin(route.Limits{}) }
+// configure applies the leaves and two routes, one over shards s0 and s1, and waits until the
+// server is ready.
+func (r *rig) configure() { r.configureWithin(route.Limits{}) }
 
-// openWithin does the same with the operators' limits.
-func (r *rig) openWithin(l route.Limits) {
-	r.server.SetFacts(router.Facts{Leaves: r.leaves, Table: &route.Table{Version: 1, Limits: l, Routes: []route.Route{
+// configureWithin is configure with the operators' limits.
+func (r *rig) configureWithin(limits route.Limits) {
+	r.server.SetFacts(router.Facts{Leaves: r.leaves, Table: &route.Table{Version: 1, Limits: limits, Routes: []route.Route{
 		{Name: "one", Host: "h", Prefix: "/one/", Idempotent: true, Attempts: 2, Timeout: 8000, Target: 500, Services: []route.WeightedService{{Service: "s0", Weight: 1}}},
 		{Name: "all", Host: "h", Prefix: "/all/", Idempotent: true, Attempts: 2, Timeout: 2000, Target: 500, Shards: []string{"s0", "s1"}, TopK: 3, MinShare: 0.5},
 	}}})
@@ -75,7 +77,7 @@
 	})
 }
 
-// callerConn is a caller's TCP connection.
+// callerConn is a caller's TCP connection, with a deadline for the whole test.
 type callerConn struct {
 	t    *testing.T
 	conn net.Conn
@@ -115,21 +117,24 @@
 	return response{res.StatusCode, res.Header, string(body), res.Close}
 }
 
+// get returns a request with an ID and a deadline of 1,500 ms.
 func get(path, id string) string {
 	return "GET " + path + " HTTP/1.1\nHost: h\nRequest-Id: " + id + "\nDeadline-Ms: 1500\n\n"
 }
 
-func sign(w http.ResponseWriter, r *http.Request, body string) {
+// writeStampedReply writes a reply with the headers of a leaf: the request's ID and a stamp.
+func writeStampedReply(w http.ResponseWriter, r *http.Request, body string) {
 	w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
 	w.Header().Set("Leaf-Stamp", "by-"+r.Header.Get("Expect-Leaf"))
 	_, _ = io.WriteString(w, body)
 }
 
-// The caller's path, headers and body reach the leaf unchanged, and the leaf's reply
-// reaches the caller, over a persistent connection.
+// A proxy that rebuilds requests may clean the path (// and %2F), drop headers or the end
+// of a chunked body, or replace a leaf's own error by one of its own. The leaf must get the
+// request as the caller sent it, and the caller the leaf's reply, also a 404.
 func TestRequestAndAnswerPassUnchanged(t *testing.T) {
 	r := newRig(t)
-	r.leaf("s0", func(w http.ResponseWriter, q *http.Request) {
+	r.startLeaf("s0", func(w http.ResponseWriter, q *http.Request) {
 		body, _ := io.ReadAll(q.Body)
 		w.Header().Set("Colour", "red")
 		if q.Header.Get("Fail") != "" {
@@ -137,9 +142,9 @@
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
-		sign(w, q, q.Method+" "+q.RequestURI+" "+q.Header.Get("Own")+" "+string(body))
+		writeStampedReply(w, q, q.Method+" "+q.RequestURI+" "+q.Header.Get("Own")+" "+string(body))
 	})
-	r.open()
+	r.configure()
 	c := r.dial()
 	c.send("POST /one//a%2Fb?x=1 HTTP/1.1\nHost: h\nRequest-Id: q1\nOwn: mine\nTransfer-Encoding: chunked\n\n3\nabc\n2\nde\n0\n\n")
 	res := c.receive()
@@ -152,19 +157,20 @@
 	assert.Equal(t, res.Header.Get("Leaf-Stamp"), "by-s0-0")
 }
 
-// The answer to a query holds the greatest records of its shards and their stamps; if a
-// leaf closes its connection, the answer reports one shard as missing.
+// The answer to a query must hold the greatest records of its shards and their stamps. If a
+// leaf closes its connection, the answer must say that a shard is missing, and not pass for
+// a whole one.
 func TestMergedAnswer(t *testing.T) {
 	r := newRig(t)
 	record := func(b byte) string { return strings.Repeat(string(b), 16) }
-	r.leaf("s0", func(w http.ResponseWriter, q *http.Request) { sign(w, q, record('a')+record('d')) })
-	r.leaf("s1", func(w http.ResponseWriter, q *http.Request) {
+	r.startLeaf("s0", func(w http.ResponseWriter, q *http.Request) { writeStampedReply(w, q, record('a')+record('d')) })
+	r.startLeaf("s1", func(w http.ResponseWriter, q *http.Request) {
 		if strings.HasSuffix(q.URL.Path, "broken") {
 			panic(http.ErrAbortHandler)
 		}
-		sign(w, q, record('c')+record('b')+"rest")
+		writeStampedReply(w, q, record('c')+record('b')+"rest")
 	})
-	r.open()
+	r.configure()
 	c := r.dial()
 	c.send(get("/all/x", "q1"))
 	res := c.receive()
@@ -178,8 +184,8 @@
 	assert.Equal(t, res.Header.Get("Missing-Parts"), "1")
 }
 
-// Without a configuration the caller is told at once that nothing has run and when to
-// retry; an unknown route and a request without an ID are rejected.
+// A host has no configuration yet. The caller must learn at once that nothing has run and
+// when to retry. An unknown route and a request without an ID must be rejected.
 func TestRefusals(t *testing.T) {
 	r := newRig(t)
 	c := r.dial()
@@ -188,7 +194,7 @@
 	assert.Equal(t, res.StatusCode, http.StatusServiceUnavailable)
 	assert.Assert(t, res.Header.Get("Retry-After") != "")
 	assert.Assert(t, strings.Contains(res.Body, "not run"))
-	r.open()
+	r.configure()
 	c.send(get("/other/x", "q2"))
 	res = c.receive()
 	assert.Equal(t, res.StatusCode, http.StatusNotFound)
@@ -197,17 +203,17 @@
 	assert.Equal(t, res.StatusCode, http.StatusBadRequest)
 }
 
-// A caller that pipelines two requests gets both answers in order, although the first
-// takes longer.
+// A caller pipelines two requests, and the leaf replies to the second first. The caller
+// matches answers to requests by their order, so the second answer must wait for the first.
 func TestPipelinedCallerGetsAnswersInOrder(t *testing.T) {
 	r := newRig(t)
-	r.leaf("s0", func(w http.ResponseWriter, q *http.Request) {
+	r.startLeaf("s0", func(w http.ResponseWriter, q *http.Request) {
 		if q.Header.Get("Request-Id") == "q1" {
 			time.Sleep(60 * time.Millisecond)
 		}
-		sign(w, q, q.Header.Get("Request-Id"))
+		writeStampedReply(w, q, q.Header.Get("Request-Id"))
 	})
-	r.open()
+	r.configure()
 	c := r.dial()
 	c.send(get("/one/x", "q1") + get("/one/x", "q2"))
 	first := c.receive()
@@ -215,10 +221,10 @@
 	assert.Equal(t, first.Body+second.Body, "q1q2")
 }
 
-// endless starts a leaf that works on a single request until its connection closes.
-func (r *rig) endless(service string) (began, stopped chan struct{}) {
+// startHangingLeaf starts a leaf that works on a single request until its connection closes.
+func (r *rig) startHangingLeaf(service string) (began, stopped chan struct{}) {
 	began, stopped = make(chan struct{}), make(chan struct{})
-	r.leaf(service, func(_ http.ResponseWriter, q *http.Request) {
+	r.startLeaf(service, func(_ http.ResponseWriter, q *http.Request) {
 		close(began)
 		<-q.Context().Done()
 		close(stopped)
@@ -226,7 +232,8 @@
 	return began, stopped
 }
 
-func stoppedSoon(t *testing.T, stopped chan struct{}) {
+// assertStops fails the test if the leaf works on for half a second.
+func assertStops(t *testing.T, stopped chan struct{}) {
 	t.Helper()
 	select {
 	case <-stopped:
@@ -235,28 +242,28 @@
 	}
 }
 
-// A caller with a timeout of eight seconds disconnects while a leaf works. The connection
-// to the leaf is closed within half a second, long before the request would time out, so
+// A caller with a timeout of eight seconds disconnects while a leaf works. The connection to
+// the leaf must be closed within half a second, long before the request would time out, so
 // that the leaf can stop.
 func TestCallerDisconnectReachesLeaf(t *testing.T) {
 	r := newRig(t)
-	began, stopped := r.endless("s0")
-	r.open()
+	began, stopped := r.startHangingLeaf("s0")
+	r.configure()
 	c := r.dial()
 	c.send(strings.Replace(get("/one/x", "q1"), "1500", "8000", 1))
 	<-began
 	assert.NilError(t, c.conn.Close())
-	stoppedSoon(t, stopped)
+	assertStops(t, stopped)
 }
 
 // A caller disconnects while its query waits for a slow shard that another host serves.
-// That host stops as well: its caller is the first host, which closes the connection
-// between them.
+// That host's caller is the first host, which closes the connection between them. The leaf
+// must stop there as well.
 func TestForwardedWorkEndsWithTheCaller(t *testing.T) {
 	r := newRig(t)
-	began, stopped := r.endless("s0")
-	r.leaf("s1", func(w http.ResponseWriter, q *http.Request) { sign(w, q, "0123456789abcdef") })
-	r.open()
+	began, stopped := r.startHangingLeaf("s0")
+	r.startLeaf("s1", func(w http.ResponseWriter, q *http.Request) { writeStampedReply(w, q, "0123456789abcdef") })
+	r.configure()
 	r.server.forwards = httpd.Server{Address: "127.0.0.1:0", Handler: http.HandlerFunc(r.server.serveForwarded)}
 	assert.NilError(t, r.server.forwards.Start())
 	c := r.dialTo(r.server.forwards.Addr())
@@ -264,20 +271,20 @@
 		httpc.HeaderForwardTarget + ": 7000\n" + httpc.HeaderForwardVersion + ": 1\n" + httpc.HeaderForwardShards + ": s0\n\n")
 	<-began
 	assert.NilError(t, c.conn.Close())
-	stoppedSoon(t, stopped)
+	assertStops(t, stopped)
 }
 
 // A host leaves while a request is in flight and another connection is idle. The request
-// gets its answer, which announces that the connection closes; the idle connection is
-// closed; Ready turns false.
+// must get its answer, which announces that the connection closes. The idle connection must
+// be closed, and Ready must turn false.
 func TestLeaveFinishesRequests(t *testing.T) {
 	r := newRig(t)
 	release := make(chan struct{})
-	r.leaf("s0", func(w http.ResponseWriter, q *http.Request) {
+	r.startLeaf("s0", func(w http.ResponseWriter, q *http.Request) {
 		<-release
-		sign(w, q, "whole")
+		writeStampedReply(w, q, "whole")
 	})
-	r.open()
+	r.configure()
 	idle, busy := r.dial(), r.dial()
 	busy.send(strings.Replace(get("/one/x", "q1"), "1500", "8000", 1))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -301,12 +308,12 @@
 	<-left
 }
 
-// A process ends while a request is in flight. Its caller gets a final answer that leaves
-// open whether the request ran, and not a closed connection.
-func TestCloseAnswersWhatIsUnderWay(t *testing.T) {
+// A process ends while a request is in flight. Its caller must get a final answer that
+// leaves open whether the request ran, and not a closed connection.
+func TestCloseAnswersRequestsInFlight(t *testing.T) {
 	r := newRig(t)
-	r.leaf("s0", func(_ http.ResponseWriter, q *http.Request) { <-q.Context().Done() })
-	r.open()
+	r.startLeaf("s0", func(_ http.ResponseWriter, q *http.Request) { <-q.Context().Done() })
+	r.configure()
 	c := r.dial()
 	c.send(get("/one/x", "q1"))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -321,25 +328,26 @@
 	assert.Equal(t, res.StatusCode, http.StatusBadGateway)
 }
 
-// A body over the operators' limit and an incomplete request are rejected with an answer,
-// and no leaf gets them; a body at the limit is served.
+// A body over the operators' limit and an incomplete request must be rejected with an
+// answer, and no leaf may get them. A body at the limit must be served.
 func TestOperatorsLimitsHold(t *testing.T) {
 	r := newRig(t)
-	var asked atomic.Int64
-	r.leaf("s0", func(w http.ResponseWriter, q *http.Request) {
-		asked.Add(1)
+	var received atomic.Int64
+	r.startLeaf("s0", func(w http.ResponseWriter, q *http.Request) {
+		received.Add(1)
 		body, err := io.ReadAll(q.Body)
 		assert.Check(t, err)
 		w.Header().Set(httpc.DefaultDialect.Stamp, "x")
 		_, _ = fmt.Fprint(w, len(body)) // the test reads the answer
 	})
-	r.openWithin(route.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 1000, HeaderTimeout: 300, IdleTimeout: 5000})
+	r.configureWithin(route.Limits{MaxHeaderBytes: 4 << 10, MaxBodyBytes: 1000, HeaderTimeout: 300, IdleTimeout: 5000})
 	for _, c := range []struct {
 		text   string
 		status int
 	}{
 		{"POST /one/x HTTP/1.1\nHost: h\nRequest-Id: a\nContent-Length: 1000\n\n" + strings.Repeat("x", 1000), http.StatusOK},
 		{"POST /one/x HTTP/1.1\nHost: h\nRequest-Id: b\nContent-Length: 1001\n\n" + strings.Repeat("x", 1001), http.StatusRequestEntityTooLarge},
+		// 0x5dc is 1,500.
 		{"POST /one/x HTTP/1.1\nHost: h\nRequest-Id: c\nTransfer-Encoding: chunked\n\n5dc\n" + strings.Repeat("x", 1500) + "\n0\n\n", http.StatusRequestEntityTooLarge},
 		{"GET /one/x HTTP/1.1\nHost: h\nRequest-Id: d\nLong: " + strings.Repeat("x", 5000) + "\n\n", http.StatusRequestHeaderFieldsTooLarge},
 		{"GET /one/x HTTP/1.1\nHost: h\nRequ", http.StatusRequestTimeout},
@@ -348,5 +356,5 @@
 		caller.send(c.text)
 		assert.Equal(t, caller.receive().StatusCode, c.status, "%.60s", c.text)
 	}
-	assert.Equal(t, asked.Load(), int64(1))
+	assert.Equal(t, received.Load(), int64(1))
 }
