--- a/share/member/fleet_test.go
+++ b/share/member/fleet_test.go
@@ -22,8 +22,7 @@
 	cut       func(from, to string) bool
 	// packets and bytes count what was sent since the last reset.
 	packets, bytes int
-	// sampleEvery is the number of packets for each one that is encoded to measure its
-	// size.
+	// One packet in sampleEvery is encoded to measure its size.
 	sampleEvery int
 }
 
--- a/share/member/gossip.go
+++ b/share/member/gossip.go
@@ -20,8 +20,8 @@
 	gossipAnyDomain  = 1
 	// updatesPerPacket is the limit of updates in a packet, about 1 KB.
 	updatesPerPacket = 32
-	// extraSends is how many times more than the bit length of the number of hosts
-	// each host sends an update. After that many sends it has reached nearly all.
+	// extraSends is added to the bit length of the number of hosts to give how often
+	// each host sends an update, after which the update has reached nearly all hosts.
 	extraSends = 2
 	// maxQueued bounds the queued updates. When more hosts change at once, digests
 	// repair what was not queued.
--- a/share/member/member.go
+++ b/share/member/member.go
@@ -281,8 +281,9 @@
 	}
 }
 
-// replace replaces the state of a host, moves it between the hosts that are up and the
-// removed ones, and records what matters to the log.
+// replace replaces the state of a host and moves it between the hosts that are up and the
+// removed ones. It records a change for the log if the host was added, removed, restarted or
+// moved to another forward address.
 func (l *List) replace(now clock.Milli, e *entry, u Update) {
 	former := *e
 	if former.up() {
--- a/share/mirror/choose.go
+++ b/share/mirror/choose.go
@@ -115,7 +115,8 @@
 	return best
 }
 
-// recordFailure doubles a source's backoff, up to its limit, and skips the source until it ends.
+// recordFailure doubles a source's backoff, up to its limit, and skips the source until
+// the backoff ends.
 func (c *chooser) recordFailure(now clock.Milli, source string) {
 	if c.skipUntil == nil {
 		c.skipUntil = map[string]clock.Milli{}
--- a/share/mirror/mirror_test.go
+++ b/share/mirror/mirror_test.go
@@ -171,7 +171,8 @@
 	}
 }
 
-// wasLost reports whether the sink was notified that no fresh data is available.
+// wasLost is a poll check that succeeds once the sink was notified that no fresh data is
+// available.
 func (k *recordingSink) wasLost(poll.LogT) poll.Result {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -206,8 +207,8 @@
 	return startTogether(t, store, n, nil)
 }
 
-// startTogether starts hosts of one region. With tune, it configures each one before its
-// start and announces the others after it, in two steps.
+// startTogether starts hosts of one region. With configure, it configures each one
+// before its start and announces the others after it, in two steps.
 func startTogether(t *testing.T, store *scriptedStore, n int, configure func(*Follower)) []*host {
 	t.Helper()
 	engine := &fetch.Engine{}
@@ -383,7 +384,7 @@
 	poll.WaitOn(t, h.sink.has(1), poll.WithTimeout(5*time.Second))
 }
 
-// rejectingStore is one host's access to the store, which may reject reads, and counts them.
+// rejectingStore is one host's access to the store. It counts reads and may reject them.
 type rejectingStore struct {
 	*scriptedStore
 	rejects atomic.Bool
--- a/share/mirror/serve.go
+++ b/share/mirror/serve.go
@@ -50,8 +50,8 @@
 	_, _ = w.Write(body) // the peer may have closed the connection
 }
 
-// encodeCached returns an encoded page. It caches the last one with items, since other hosts
-// request the same page at the same time.
+// encodeCached returns an encoded page. It caches the last one with items, since other
+// hosts request the same page at the same time.
 func (m *Mirror) encodeCached(after int64, p Page) ([]byte, error) {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
