--- a/aggregator/core/admin.go
+++ b/aggregator/core/admin.go
@@ -6,7 +6,7 @@
 	"dandelionstile/share/httpd"
 )
 
-// Admin returns the handler for health checks, metrics and the status that `stile`
+// Admin returns the handler for health checks, metrics and the endpoints that `stile`
 // reads.
 func (c *Core) Admin() http.Handler {
 	mux := http.NewServeMux()
--- a/aggregator/core/codec.go
+++ b/aggregator/core/codec.go
@@ -7,14 +7,14 @@
 	"dandelionstile/share/wire"
 )
 
-func updateReplyTo(id uint64, o query.Outcome) *wire.Envelope {
+func encodeUpdateReply(id uint64, o query.Outcome) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_UpdateReply{UpdateReply: &wire.UpdateReply{
 		Id: id, Kind: uint32(o.Kind), Reason: string(o.Reason), RetryAfterMs: uint32(o.RetryAfter),
 		Body: o.Body, Strikes: uint32(o.Strikes),
 	}}}
 }
 
-func agesTo(list []sched.ServerAges) []*wire.ServerAges {
+func encodeAges(list []sched.ServerAges) []*wire.ServerAges {
 	out := make([]*wire.ServerAges, len(list))
 	for i, s := range list {
 		out[i] = &wire.ServerAges{Server: s.Server, Granted: s.Granted}
@@ -25,7 +25,7 @@
 	return out
 }
 
-func agesFrom(list []*wire.ServerAges) []sched.ServerAges {
+func decodeAges(list []*wire.ServerAges) []sched.ServerAges {
 	out := make([]sched.ServerAges, len(list))
 	for i, s := range list {
 		out[i] = sched.ServerAges{Server: s.GetServer(), Granted: s.GetGranted()}
@@ -38,24 +38,24 @@
 	return out
 }
 
-func claimTo(a sched.Claim) *wire.Envelope {
-	return &wire.Envelope{Body: &wire.Envelope_Claim{Claim: &wire.Claim{Id: a.ID, Servers: agesTo(a.Servers)}}}
+func encodeClaim(a sched.Claim) *wire.Envelope {
+	return &wire.Envelope{Body: &wire.Envelope_Claim{Claim: &wire.Claim{Id: a.ID, Servers: encodeAges(a.Servers)}}}
 }
 
-func releaseTo(a sched.Release) *wire.Envelope {
-	return &wire.Envelope{Body: &wire.Envelope_Claim{Claim: &wire.Claim{Servers: agesTo(a.Servers), Release: true}}}
+func encodeRelease(a sched.Release) *wire.Envelope {
+	return &wire.Envelope{Body: &wire.Envelope_Claim{Claim: &wire.Claim{Servers: encodeAges(a.Servers), Release: true}}}
 }
 
-func claimFrom(w *wire.Claim) (uint64, []sched.ServerAges) {
-	return w.GetId(), agesFrom(w.GetServers())
+func decodeClaim(w *wire.Claim) (uint64, []sched.ServerAges) {
+	return w.GetId(), decodeAges(w.GetServers())
 }
 
-func grantTo(a sched.Grant) *wire.Envelope {
+func encodeGrant(a sched.Grant) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_Grant{Grant: &wire.Grant{
-		Claim: a.ID, Servers: agesTo(a.Servers), SpanMs: uint32(a.Duration),
+		Claim: a.ID, Servers: encodeAges(a.Servers), SpanMs: uint32(a.Duration),
 	}}}
 }
 
-func grantFrom(w *wire.Grant) (uint64, []sched.ServerAges, clock.Milli) {
-	return w.GetClaim(), agesFrom(w.GetServers()), clock.Milli(w.GetSpanMs())
+func decodeGrant(w *wire.Grant) (uint64, []sched.ServerAges, clock.Milli) {
+	return w.GetClaim(), decodeAges(w.GetServers()), clock.Milli(w.GetSpanMs())
 }
--- a/aggregator/core/core.go
+++ b/aggregator/core/core.go
@@ -28,6 +28,7 @@
 
 // Timing of the loop and of the shutdown.
 const (
+	// tickInterval is the interval between the scheduler's ticks.
 	tickInterval = 5 * time.Millisecond
 	// leaveNotice is the time for peers to learn that this process leaves. It
 	// still accepts calls during that time.
@@ -43,39 +44,39 @@
 	Meter    *meter.Meter
 	Tracer   *spans.Tracer
 
-	loop    node.Loop[any]
-	node    node.Node
-	sched   sched.Engine
-	pool    leaves.Pool
-	http    fetch.Engine
-	links   map[uint64]*mesh.Link
-	peers   map[string]*mesh.Link // aggregators by host
-	addrs   map[string]string     // by leaf
-	pending map[sched.Key]*pendingCall
+	loop        node.Loop[any]
+	node        node.Node
+	sched       sched.Engine
+	pool        leaves.Pool
+	http        fetch.Engine
+	links       map[uint64]*mesh.Link
+	aggregators map[string]*mesh.Link // by host
+	addrs       map[string]string     // by leaf
+	calls       map[sched.Key]*openCall
 }
 
-// pendingCall is a call whose outcome an entry waits for.
-type pendingCall struct {
+// openCall is a call whose outcome is not sent to its entry yet.
+type openCall struct {
 	update  bool
 	service string
 	span    spans.Span
 }
 
-// Messages of the control loop, besides those of the node and the pool.
+// Messages to the control loop, in addition to those of the node and the pool.
 type (
-	startNode     struct{ done chan error }
-	tick          struct{}
-	leave         struct{ done chan struct{} }
-	stopAdmission struct{}
-	status        struct{ reply chan admin.Status }
+	startNode       struct{ done chan error }
+	tick            struct{}
+	announceLeaving struct{ done chan struct{} }
+	stopAdmission   struct{}
+	statusRequest   struct{ reply chan admin.Status }
 )
 
-// Start starts the control loop and the links to peers.
+// Start starts the control loop, the node and its links.
 func (c *Core) Start() error {
 	c.links = map[uint64]*mesh.Link{}
-	c.peers = map[string]*mesh.Link{}
+	c.aggregators = map[string]*mesh.Link{}
 	c.addrs = map[string]string{}
-	c.pending = map[sched.Key]*pendingCall{}
+	c.calls = map[sched.Key]*openCall{}
 	c.loop.Clock = clock.Wall{}
 	c.http.Source = c.Settings.Listen.IP()
 	if err := c.http.Start(); err != nil {
@@ -91,7 +92,7 @@
 		Delegate: delegate{c}, HTTP: &c.http, Post: func(m node.Message) bool { return c.loop.Post(m) },
 	}
 	c.loop.Start(c.handle)
-	// Runs in the loop, because links may come up while the node is starting.
+	// Runs in the loop because links may come up while the node is still starting.
 	start := startNode{done: make(chan error, 1)}
 	c.loop.Post(start)
 	if err := <-start.done; err != nil {
@@ -119,12 +120,12 @@
 		m.done <- c.node.Start()
 	case tick:
 		c.tick(now)
-	case leave:
+	case announceLeaving:
 		c.node.AnnounceLeaving(now)
 		close(m.done)
 	case stopAdmission:
 		c.execute(now, c.sched.Leave(now))
-	case status:
+	case statusRequest:
 		m.reply <- c.status(now)
 	}
 }
@@ -139,7 +140,8 @@
 	c.execute(now, out)
 }
 
-// execute executes the scheduler's actions.
+// execute carries out the scheduler's actions. It sends the outcomes of queries in one
+// message per link.
 func (c *Core) execute(now clock.Milli, actions []sched.Action) {
 	replies := map[uint64]*wire.Outcomes{}
 	for _, a := range actions {
@@ -157,11 +159,11 @@
 		case sched.Publish:
 			c.publish(a.Feedback)
 		case sched.Claim:
-			c.sendTo(a.Host, claimTo(a))
+			c.sendTo(a.Host, encodeClaim(a))
 		case sched.Grant:
-			c.sendTo(a.Host, grantTo(a))
+			c.sendTo(a.Host, encodeGrant(a))
 		case sched.Release:
-			c.sendTo(a.Host, releaseTo(a))
+			c.sendTo(a.Host, encodeRelease(a))
 		case sched.ShareStrike:
 			c.Log.Warn().Uint64("fingerprint", a.Strike.Fingerprint).Int("count", a.Strike.Count).
 				Msg("request crashed a backend server")
@@ -178,13 +180,13 @@
 	}
 }
 
-// reply collects the outcomes of queries by link, and sends those of updates one by
-// one.
+// reply records the outcome of a call in metrics and its span. It adds the outcome of a
+// query to replies, by link, and sends that of an update to the entry.
 func (c *Core) reply(a sched.Reply, replies map[uint64]*wire.Outcomes) {
-	call := c.pending[a.Key]
-	delete(c.pending, a.Key)
+	call := c.calls[a.Key]
+	delete(c.calls, a.Key)
 	if call == nil {
-		call = &pendingCall{}
+		call = &openCall{}
 	}
 	c.Meter.Count("leaf_calls", 1,
 		meter.Label{Name: "service", Value: call.service},
@@ -194,7 +196,7 @@
 	call.span.End()
 	if call.update {
 		if l := c.links[a.Key.Link]; l != nil {
-			c.send(l, updateReplyTo(a.Key.ID, a.Outcome))
+			c.send(l, encodeUpdateReply(a.Key.ID, a.Outcome))
 		}
 		return
 	}
@@ -206,6 +208,7 @@
 	out.Outcomes = append(out.Outcomes, wire.OutcomeTo(a.Outcome))
 }
 
+// publish sends the state of a leaf to all entries.
 func (c *Core) publish(fb query.Feedback) {
 	m := &wire.Envelope{Body: &wire.Envelope_Outcomes{Outcomes: &wire.Outcomes{
 		Feedback: []*wire.Feedback{wire.FeedbackTo(fb)},
@@ -225,8 +228,10 @@
 	}
 }
 
+// sendTo sends a message to the aggregator on a host. Without a link to it the message
+// is dropped.
 func (c *Core) sendTo(host string, m *wire.Envelope) {
-	if l := c.peers[host]; l != nil {
+	if l := c.aggregators[host]; l != nil {
 		c.node.Send(l, m)
 	}
 }
@@ -246,12 +251,12 @@
 // Status returns the state. It reports false if the loop has ended or doesn't reply
 // within a second.
 func (c *Core) Status() (admin.Status, bool) {
-	ask := status{reply: make(chan admin.Status, 1)}
-	if !c.loop.Post(ask) {
+	request := statusRequest{reply: make(chan admin.Status, 1)}
+	if !c.loop.Post(request) {
 		return admin.Status{}, false
 	}
 	select {
-	case s := <-ask.reply:
+	case s := <-request.reply:
 		return s, true
 	case <-time.After(time.Second):
 		return admin.Status{}, false
@@ -262,7 +267,7 @@
 // serving until the peers have received the notice, then rejects new calls and waits
 // for the running ones.
 func (c *Core) Leave() {
-	m := leave{done: make(chan struct{})}
+	m := announceLeaving{done: make(chan struct{})}
 	if c.loop.Post(m) {
 		<-m.done
 	}
@@ -278,6 +283,7 @@
 	}
 }
 
+// idle reports whether no leaf has running or queued calls.
 func idle(s admin.Status) bool {
 	for _, l := range s.Leaves {
 		if l.Busy > 0 || l.Queued > 0 {
@@ -287,7 +293,7 @@
 	return true
 }
 
-// Close releases what Start started, and waits for it to end.
+// Close stops everything that Start started, and waits.
 func (c *Core) Close() error {
 	err := errors.CombineErrors(c.pool.Close(), c.http.Close())
 	err = errors.CombineErrors(err, c.node.Close())
@@ -308,12 +314,13 @@
 	c.execute(now, c.sched.Configure(now, cfg, hosts))
 }
 
+// LinkUp registers a link, and sends the state of all leaves to a new entry.
 func (d delegate) LinkUp(now clock.Milli, l *mesh.Link) {
 	c := d.c
 	c.links[l.ID] = l
 	switch l.Peer.GetProgram() {
 	case node.Aggregator:
-		c.peers[l.Peer.GetHost()] = l
+		c.aggregators[l.Peer.GetHost()] = l
 		c.sched.PeerUp()
 	case node.Entry:
 		out := &wire.Outcomes{}
@@ -324,23 +331,27 @@
 	}
 }
 
+// LinkDown removes a link and cancels the calls that arrived on it. If another link to
+// the same aggregator is open, it is used from then on.
 func (d delegate) LinkDown(now clock.Milli, l *mesh.Link, _ error) {
 	c := d.c
 	delete(c.links, l.ID)
-	if c.peers[l.Peer.GetHost()] == l {
-		delete(c.peers, l.Peer.GetHost())
+	if c.aggregators[l.Peer.GetHost()] == l {
+		delete(c.aggregators, l.Peer.GetHost())
 		c.sched.HostDown(now, l.Peer.GetHost())
 		for _, other := range c.links {
 			if other.Peer.GetProgram() == node.Aggregator && other.Peer.GetHost() == l.Peer.GetHost() {
-				c.peers[l.Peer.GetHost()] = other
+				c.aggregators[l.Peer.GetHost()] = other
 			}
 		}
 	}
 	c.execute(now, c.sched.LinkClosed(now, l.ID))
 }
 
+// RTT does nothing: the scheduler does not use round-trip times.
 func (d delegate) RTT(clock.Milli, *mesh.Link, time.Duration) {}
 
+// PeerLeaving does nothing: only entries choose between aggregators.
 func (d delegate) PeerLeaving(clock.Milli, *mesh.Link, bool) {}
 
 func (d delegate) MergeStrike(now clock.Milli, s deny.Strike) bool {
@@ -349,12 +360,13 @@
 	return added
 }
 
+// VersionsConfirmed resumes admission, which is suspended after a pause of the process.
 func (d delegate) VersionsConfirmed(clock.Milli) { d.c.sched.ResumeAdmission() }
 
 // Limits of LinkAddrs.
 const (
-	// fullMeshMax is the number of hosts up to which every host links to all others.
-	fullMeshMax = 16
+	// fullMeshMaxHosts is the largest fleet in which every host links to all others.
+	fullMeshMaxHosts = 16
 	// localLinks is the number of linked aggregators in this host's failure domain
 	// in a larger fleet, remoteLinks the number in other failure domains.
 	localLinks  = 3
@@ -366,7 +378,7 @@
 func (d delegate) LinkAddrs(cfg *topo.Config, hosts []topo.Host) []string {
 	self := d.c.Settings.Host
 	return assign.Neighbours(assign.Network{
-		Self: self.Name, Domain: self.Domain, FullMeshMax: fullMeshMax, LocalLinks: localLinks, RemoteLinks: remoteLinks,
+		Self: self.Name, Domain: self.Domain, FullMeshMax: fullMeshMaxHosts, LocalLinks: localLinks, RemoteLinks: remoteLinks,
 	}, cfg, hosts)
 }
 
@@ -374,36 +386,37 @@
 	c := d.c
 	switch b := m.Body.(type) {
 	case *wire.Envelope_Batch:
-		c.batch(now, l, b.Batch)
+		c.handleBatch(now, l, b.Batch)
 	case *wire.Envelope_Update:
-		c.update(now, l, b.Update)
+		c.handleUpdate(now, l, b.Update)
 	case *wire.Envelope_Cancel:
 		for _, id := range b.Cancel.GetCalls() {
 			c.execute(now, c.sched.Cancel(now, sched.Key{Link: l.ID, ID: id}))
 		}
 	case *wire.Envelope_Claim:
 		if b.Claim.GetRelease() {
-			c.sched.ReleaseReceived(now, l.Peer.GetHost(), agesFrom(b.Claim.GetServers()))
+			c.sched.ReleaseReceived(now, l.Peer.GetHost(), decodeAges(b.Claim.GetServers()))
 			return
 		}
-		id, servers := claimFrom(b.Claim)
+		id, servers := decodeClaim(b.Claim)
 		c.execute(now, c.sched.ClaimReceived(now, l.Peer.GetHost(), id, servers))
 	case *wire.Envelope_Grant:
-		id, servers, span := grantFrom(b.Grant)
-		c.execute(now, c.sched.GrantReceived(now, l.Peer.GetHost(), id, servers, span))
+		id, servers, duration := decodeGrant(b.Grant)
+		c.execute(now, c.sched.GrantReceived(now, l.Peer.GetHost(), id, servers, duration))
 	default:
 		c.Meter.Count("bad_frames", 1)
 		c.Log.Warn().Str("peer", l.Peer.GetHost()).Msg("unexpected message from peer")
 	}
 }
 
-func (c *Core) batch(now clock.Milli, l *mesh.Link, b *wire.Batch) {
+// handleBatch submits the calls of a query to the scheduler.
+func (c *Core) handleBatch(now clock.Milli, l *mesh.Link, b *wire.Batch) {
 	for _, w := range b.GetCalls() {
 		key := sched.Key{Link: l.ID, ID: w.GetId()}
 		span := c.Tracer.Start(b.GetTrace(), "aggregate", attribute.String("leaf", w.GetLeaf()))
-		c.pending[key] = &pendingCall{service: b.GetService(), span: span}
+		c.calls[key] = &openCall{service: b.GetService(), span: span}
 		job := &leaves.Job{
-			Attempt: c.attempt(key), Service: b.GetService(),
+			Attempt: c.attemptID(key), Service: b.GetService(),
 			Snapshot: topo.SnapshotID{Layout: b.GetLayout(), Version: b.GetSnapshot()},
 			Shard:    int(w.GetShard()), Text: b.GetText(), Limit: int(b.GetLimit()), TraceParent: span.Parent(),
 		}
@@ -414,11 +427,12 @@
 	}
 }
 
-func (c *Core) update(now clock.Milli, l *mesh.Link, u *wire.Update) {
+// handleUpdate submits an update to the scheduler, always as a canary.
+func (c *Core) handleUpdate(now clock.Milli, l *mesh.Link, u *wire.Update) {
 	key := sched.Key{Link: l.ID, ID: u.GetId()}
-	c.pending[key] = &pendingCall{update: true, service: u.GetService()}
+	c.calls[key] = &openCall{update: true, service: u.GetService()}
 	job := &leaves.Job{
-		Attempt: c.attempt(key), Service: u.GetService(), TraceParent: u.GetTrace(),
+		Attempt: c.attemptID(key), Service: u.GetService(), TraceParent: u.GetTrace(),
 		Update: &leaves.UpdateJob{ID: u.GetTicket(), Operation: u.GetOperation(), Key: u.GetKey(), Body: u.GetBody()},
 	}
 	c.execute(now, c.sched.Submit(now, sched.Call{
@@ -427,7 +441,7 @@
 	}))
 }
 
-// attempt returns an id for a call that is unique over all hosts.
-func (c *Core) attempt(k sched.Key) string {
+// attemptID returns an ID for a call that is unique over all hosts.
+func (c *Core) attemptID(k sched.Key) string {
 	return fmt.Sprintf("%s.%x.%x.%x", c.Settings.Host.Name, c.node.Incarnation, k.Link, k.ID)
 }
--- a/aggregator/leaves/codec.go
+++ b/aggregator/leaves/codec.go
@@ -84,9 +84,9 @@
 	Body     string    `json:"body"`
 }
 
-// request returns the HTTP request for a job. The budget is the time left until the
+// newRequest returns the HTTP request for a job. The budget is the time left until the
 // deadline.
-func (j *Job) request(address, leaf string, budget clock.Milli) (*http.Request, error) {
+func (j *Job) newRequest(address, leaf string, budget clock.Milli) (*http.Request, error) {
 	path := "/v1/leafs/" + leaf
 	var body []byte
 	var err error
@@ -109,11 +109,12 @@
 	return fetch.Request(http.MethodPost, address, path, body)
 }
 
-// outcome converts the leaf's reply to an outcome.
-func (j *Job) outcome(r fetch.Reply) (query.Outcome, error) {
+// decodeOutcome converts the leaf's reply to an outcome. It returns ErrReplyMismatch if the
+// reply belongs to another request.
+func (j *Job) decodeOutcome(r fetch.Reply) (query.Outcome, error) {
 	switch r.Status {
 	case http.StatusOK:
-		return j.result(r.Body)
+		return j.decodeReply(r.Body)
 	case http.StatusConflict:
 		return query.Outcome{Kind: query.NotRun, Reason: query.ReasonSnapshot}, nil
 	case http.StatusTooManyRequests:
@@ -127,10 +128,10 @@
 	return query.Outcome{Kind: query.Unknown, Reason: query.ReasonLeafError}, nil
 }
 
-// result checks that a reply belongs to the job's attempt, snapshot and shard before
+// decodeReply checks that a reply belongs to the job's attempt, snapshot and shard before
 // using any of it. Otherwise a mixed-up connection could put the rows of another
 // caller or snapshot, or of fewer shards, into an answer.
-func (j *Job) result(body []byte) (query.Outcome, error) {
+func (j *Job) decodeReply(body []byte) (query.Outcome, error) {
 	var w wireReply
 	if err := json.Unmarshal(body, &w); err != nil {
 		return query.Outcome{}, errors.Mark(errors.Wrap(err, "decode reply"), ErrReplyMismatch)
@@ -154,8 +155,9 @@
 	return o, nil
 }
 
-// leafStatus parses the headers that describe the leaf.
-func leafStatus(h http.Header) sched.LeafStatus {
+// parseLeafStatus parses the headers that describe the leaf. Fields without a header stay
+// zero.
+func parseLeafStatus(h http.Header) sched.LeafStatus {
 	s := sched.LeafStatus{Draining: h.Get(headerState) == stateDraining}
 	s.Incarnation, _ = strconv.ParseUint(h.Get(headerIncarnation), 10, 64) // 0 means unknown
 	if text := h.Get(headerSnapshots); text != "" {
--- a/aggregator/leaves/codec_test.go
+++ b/aggregator/leaves/codec_test.go
@@ -12,14 +12,14 @@
 	"dandelionstile/share/topo"
 )
 
-func job() *Job {
+func testJob() *Job {
 	return &Job{Attempt: "a1", Service: "s", Snapshot: topo.SnapshotID{Layout: 1, Version: 2}, Shard: 3}
 }
 
 const goodReply = `{"attempt":"a1","snapshot":"1-2","shards":[3],"rows":[{"key":"k","score":1,"text":"t"}]}`
 
 func TestGoodReply(t *testing.T) {
-	o, err := job().outcome(fetch.Reply{Status: http.StatusOK, Body: []byte(goodReply)})
+	o, err := testJob().decodeOutcome(fetch.Reply{Status: http.StatusOK, Body: []byte(goodReply)})
 	assert.NilError(t, err)
 	assert.Equal(t, o.Kind, query.OK)
 	assert.Equal(t, len(o.Rows), 1)
@@ -27,7 +27,7 @@
 
 // A leaf or a mixed-up connection sends status 200 with the rows of another caller,
 // another snapshot or fewer shards. Guards against using them in an answer.
-func TestRepliesThatAreNotOurs(t *testing.T) {
+func TestRepliesToOtherRequestsAreRejected(t *testing.T) {
 	for _, body := range []string{
 		"", "{", goodReply[:len(goodReply)/2],
 		`{"attempt":"a2","snapshot":"1-2","shards":[3],"rows":[]}`,
@@ -35,7 +35,7 @@
 		`{"attempt":"a1","snapshot":"1-2","shards":[],"rows":[]}`,
 		`{"attempt":"a1","snapshot":"1-2","shards":[3,4],"rows":[]}`,
 	} {
-		_, err := job().outcome(fetch.Reply{Status: http.StatusOK, Body: []byte(body)})
+		_, err := testJob().decodeOutcome(fetch.Reply{Status: http.StatusOK, Body: []byte(body)})
 		assert.Assert(t, errors.Is(err, ErrReplyMismatch), "body %q", body)
 	}
 }
@@ -56,12 +56,14 @@
 	} {
 		h := http.Header{}
 		h.Set(headerState, c.state)
-		o, err := job().outcome(fetch.Reply{Status: c.status, Header: h})
+		o, err := testJob().decodeOutcome(fetch.Reply{Status: c.status, Header: h})
 		assert.NilError(t, err)
 		assert.Equal(t, o.Kind, c.want, "status %d", c.status)
 	}
 }
 
+// A reply with any body and headers must not crash the decoder, and gives either an error
+// or an OK outcome.
 func FuzzReply(f *testing.F) {
 	f.Add([]byte(goodReply), "1", "1-2")
 	f.Add([]byte("{}"), "x", ",,")
@@ -69,8 +71,8 @@
 		h := http.Header{}
 		h.Set(headerIncarnation, incarnation)
 		h.Set(headerSnapshots, snapshots)
-		leafStatus(h)
-		o, err := job().outcome(fetch.Reply{Status: http.StatusOK, Header: h, Body: body})
+		parseLeafStatus(h)
+		o, err := testJob().decodeOutcome(fetch.Reply{Status: http.StatusOK, Header: h, Body: body})
 		if err == nil && o.Kind != query.OK {
 			t.Fatal("no error, but the outcome is not OK")
 		}
--- a/aggregator/leaves/pool.go
+++ b/aggregator/leaves/pool.go
@@ -47,7 +47,9 @@
 	wait   sync.WaitGroup
 }
 
-func (p *Pool) conn(id sched.ConnID, address, leaf string) *fetch.Conn {
+// ensureConn returns the connection with an ID. If there is none, it adds one to a leaf's
+// address, which is opened by the first request.
+func (p *Pool) ensureConn(id sched.ConnID, address, leaf string) *fetch.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c, ok := p.conns[id]
@@ -63,18 +65,18 @@
 	return c
 }
 
-// Send sends a call to a leaf.
+// Send sends a call to a leaf. The result arrives as CallDone.
 func (p *Pool) Send(address string, s sched.Send) {
 	job, ok := s.Call.Request.(*Job)
 	if !ok {
 		return
 	}
-	c := p.conn(s.Conn, address, s.Leaf)
+	c := p.ensureConn(s.Conn, address, s.Leaf)
 	budget := s.Call.Deadline - p.Clock.Now()
 	span := p.Tracer.Start(job.TraceParent, "leaf-call",
 		attribute.String("leaf", s.Leaf), attribute.Bool("canary", s.Call.Canary))
 	result := sched.Result{Leaf: s.Leaf, Conn: s.Conn, Key: s.Call.Key}
-	r, err := job.request(address, s.Leaf, budget)
+	r, err := job.newRequest(address, s.Leaf, budget)
 	if err != nil {
 		result.Outcome = query.Outcome{Kind: query.NotRun, Reason: query.ReasonLeafError}
 		p.finish(span, result)
@@ -104,12 +106,13 @@
 	if err != nil {
 		return r
 	}
-	r.Status = leafStatus(reply.Header)
+	r.Status = parseLeafStatus(reply.Header)
 	r.Outcome.Kind = query.Unknown
 	return r
 }
 
-// do runs a call on its own goroutine, because opening a connection blocks.
+// do sends a request on its own goroutine, because opening a connection blocks. After
+// Close it does nothing.
 func (p *Pool) do(c *fetch.Conn, r *http.Request, done func(fetch.Reply, error)) {
 	p.mu.Lock()
 	closed := p.closed
@@ -121,8 +124,8 @@
 		return // the result is no longer needed
 	}
 	go c.Do(r, func(reply fetch.Reply, err error) {
-		// The HTTP library holds the connection's lock here, and the control loop
-		// may be about to take it.
+		// The HTTP library holds the connection's lock here. done posts to the control
+		// loop, which may be waiting for that lock.
 		go func() {
 			defer p.wait.Done()
 			done(reply, err)
@@ -130,13 +133,15 @@
 	})
 }
 
+// finish ends a call's span and reports its result to the control loop.
 func (p *Pool) finish(span spans.Span, r sched.Result) {
 	span.Set(attribute.String("outcome", r.Outcome.Kind.String()), attribute.String("reason", string(r.Outcome.Reason)))
 	span.End()
 	p.Report(CallDone{r})
 }
 
-// complete fills in a result from a reply or an error.
+// complete fills in a call's result from the leaf's reply, or from the error if there
+// is none.
 func (j *Job) complete(r sched.Result, reply fetch.Reply, err error) sched.Result {
 	switch {
 	case errors.Is(err, fetch.ErrNotOpened):
@@ -148,8 +153,8 @@
 		r.Outcome = query.Outcome{Kind: query.Died, Reason: query.ReasonReset}
 		return r
 	}
-	r.Status = leafStatus(reply.Header)
-	o, err := j.outcome(reply)
+	r.Status = parseLeafStatus(reply.Header)
+	o, err := j.decodeOutcome(reply)
 	if err != nil {
 		// The connection delivers replies to other requests, so it is closed.
 		r.ConnLost = true
@@ -159,12 +164,12 @@
 	return r
 }
 
-// Probe requests the state of a leaf.
+// Probe requests the state of a leaf. The answer arrives as ProbeDone.
 func (p *Pool) Probe(address string, a sched.Probe) {
 	p.probe(address, http.MethodGet, "/v1/leafs/"+a.Leaf+"/state", a.Leaf, a.Conn)
 }
 
-// Abort asks a leaf to stop working on a call.
+// Abort asks a leaf to stop working on a call. The answer arrives as ProbeDone.
 func (p *Pool) Abort(address string, a sched.Abort) {
 	if job, ok := a.Call.Request.(*Job); ok {
 		p.probe(address, http.MethodDelete, "/v1/leafs/"+a.Leaf+"/attempts/"+job.Attempt, a.Leaf, a.Conn)
@@ -174,8 +179,9 @@
 // ErrProbeFailed means that a probe was answered with a server error.
 var ErrProbeFailed = errors.New("probe was refused")
 
+// probe sends a request without a body and reports the answer as ProbeDone.
 func (p *Pool) probe(address, method, path, leaf string, id sched.ConnID) {
-	c := p.conn(id, address, leaf)
+	c := p.ensureConn(id, address, leaf)
 	r, err := fetch.Request(method, address, path, nil)
 	if err != nil {
 		p.Report(ProbeDone{Leaf: leaf, Conn: id, Err: err})
@@ -185,11 +191,11 @@
 		if err == nil && reply.Status >= http.StatusInternalServerError {
 			err = ErrProbeFailed
 		}
-		p.Report(ProbeDone{Leaf: leaf, Conn: id, Status: leafStatus(reply.Header), Err: err})
+		p.Report(ProbeDone{Leaf: leaf, Conn: id, Status: parseLeafStatus(reply.Header), Err: err})
 	})
 }
 
-// CloseConn closes a connection.
+// CloseConn closes a connection in the background. An unknown ID is ignored.
 func (p *Pool) CloseConn(id sched.ConnID) {
 	p.mu.Lock()
 	c := p.conns[id]
