--- a/entry/core/admin.go
+++ b/entry/core/admin.go
@@ -29,10 +29,12 @@
 	return service
 }
 
-// Status returns the state, or false after the control loop has ended.
+// Status returns the state. It reports false if the loop has ended or doesn't reply
+// in time.
 func (c *Core) Status() (admin.Status, bool) { return inLoop(c, c.status) }
 
-// Explain returns the recorded decisions about an answered query.
+// Explain returns the recorded decisions about an answered query. It reports false if
+// the query is unknown, or too old to be still in the history.
 func (c *Core) Explain(id string) (admin.Query, bool) {
 	type found struct {
 		query HistoryEntry
@@ -61,7 +63,8 @@
 	return s, true
 }
 
-// Admin serves health, metrics and the endpoints that `stile` reads.
+// Admin returns the handler for health checks, metrics and the endpoints that `stile`
+// reads.
 func (c *Core) Admin() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
@@ -90,7 +93,8 @@
 	return mux
 }
 
-// Ready reports whether queries can be answered and the process is not shutting down.
+// Ready reports whether at least one shard of a service can be answered and the process
+// is not shutting down.
 func (c *Core) Ready() bool {
 	s, ok := c.Status()
 	if !ok || !s.Node.Ready || s.Node.Leaving {
--- a/entry/core/core.go
+++ b/entry/core/core.go
@@ -24,7 +24,8 @@
 	"dandelionstile/share/wire"
 )
 
-// tickInterval is the period of ticks and so the precision of hedges and deadlines.
+// tickInterval is the interval between ticks, and so the precision of hedges and
+// deadlines.
 const tickInterval = 2 * time.Millisecond
 
 // Core is a running entry. Fields are set before Start.
@@ -48,7 +49,7 @@
 	pendingForwards map[string][]fanout.Update // by owner; waiting for a link
 	forwarded       map[uint64]forwardedUpdate
 	history         queryHistory
-	lastID          uint64
+	lastID          uint64 // of queries and updates, which share one sequence
 }
 
 // openQuery is a query that is not answered yet.
@@ -116,7 +117,7 @@
 		Delegate: delegate{c}, HTTP: &c.http, Post: func(m node.Message) bool { return c.loop.Post(m) },
 	}
 	c.loop.Start(c.handle)
-	// Runs in the loop since links may come up while the node is still starting.
+	// Runs in the loop because links may come up while the node is still starting.
 	if err, _ := inLoop(c, func(clock.Milli) error { return c.node.Start() }); err != nil {
 		return err
 	}
@@ -148,6 +149,7 @@
 	}
 }
 
+// startQuery gives a query its ID, deadline and span, and starts it.
 func (c *Core) startQuery(now clock.Milli, m startQuery) {
 	c.lastID++
 	m.req.ID = c.lastID
@@ -161,7 +163,8 @@
 	c.execute(now, c.fanout.StartQuery(now, m.req))
 }
 
-// cancelQuery cancels the query whose caller waited on reply.
+// cancelQuery cancels the query whose caller waits on reply. An answered query is
+// ignored.
 func (c *Core) cancelQuery(now clock.Milli, reply chan QueryResult) {
 	for id, q := range c.queries {
 		if q.reply == reply {
@@ -171,7 +174,8 @@
 	}
 }
 
-// defaultBudget returns the time budget of requests that set none.
+// defaultBudget returns the time budget of requests that set none: that of the service,
+// or a second if the service is unknown.
 func (c *Core) defaultBudget(service string) clock.Milli {
 	if cfg := c.fanout.Config(); cfg != nil {
 		if s, ok := cfg.Service(service); ok {
@@ -209,6 +213,8 @@
 	}
 }
 
+// sendBatch sends the calls of a query to an aggregator. If that fails, they end as not
+// run.
 func (c *Core) sendBatch(now clock.Milli, a fanout.SendBatch) {
 	trace := ""
 	if q := c.queries[a.Query]; q != nil {
@@ -224,6 +230,8 @@
 	}
 }
 
+// answerQuery records a query's answer in the history, metrics and span, and returns it
+// to the caller.
 func (c *Core) answerQuery(now clock.Milli, a fanout.Answered) {
 	q := c.queries[a.Query]
 	if q == nil {
@@ -274,8 +282,8 @@
 	return "other"
 }
 
-// replyTimeoutMargin is how long after its deadline a request still waits for the
-// control loop's reply.
+// replyTimeoutMargin is how long a request waits for the control loop's reply after
+// its budget has ended.
 const replyTimeoutMargin = 2 * time.Second
 
 // Query runs a query until it is answered or until its context ends because the caller
@@ -293,12 +301,14 @@
 	return result, ok
 }
 
-// await waits for the control loop's reply for the budget, or for a minute if it is 0, plus
-// replyTimeoutMargin.
+// await waits for the control loop's reply for the budget plus replyTimeoutMargin. A
+// budget of 0, whose default only the loop knows, counts as a minute. The second result
+// is false if there is no reply.
 func await[T any](reply chan T, budget clock.Milli) (T, bool) {
 	return awaitContext(context.Background(), reply, budget)
 }
 
+// awaitContext is await with a context that may end the wait earlier.
 func awaitContext[T any](ctx context.Context, reply chan T, budget clock.Milli) (T, bool) {
 	if budget == 0 {
 		budget = clock.Minute
@@ -320,7 +330,9 @@
 	return cfg
 }
 
-// inLoop runs a function in the control loop and returns its result.
+// inLoop runs a function in the control loop and returns its result. The second result
+// is false if the loop has ended or doesn't reply within a second plus
+// replyTimeoutMargin.
 func inLoop[T any](c *Core, f func(now clock.Milli) T) (T, bool) {
 	reply := make(chan T, 1)
 	if !c.loop.Post(runInLoop{run: func(now clock.Milli) { reply <- f(now) }}) {
@@ -338,7 +350,8 @@
 	}
 }
 
-// Idle reports whether no request is in flight.
+// Idle reports whether no request is in flight. It is also true if the loop does not
+// reply.
 func (c *Core) Idle() bool {
 	idle, ok := inLoop(c, func(clock.Milli) bool { return c.fanout.Idle() && len(c.queries) == 0 })
 	return idle || !ok
--- a/entry/core/history.go
+++ b/entry/core/history.go
@@ -25,6 +25,7 @@
 	next int
 }
 
+// add keeps a query, in place of the oldest one if there are maxHistory.
 func (h *queryHistory) add(e HistoryEntry) {
 	e.Answer.Rows = nil
 	if len(h.ring) < maxHistory {
@@ -35,6 +36,7 @@
 	h.next = (h.next + 1) % maxHistory
 }
 
+// find returns the query with an ID, and false if there is none.
 func (h *queryHistory) find(id string) (HistoryEntry, bool) {
 	for i := range h.ring {
 		if h.ring[i].ID == id {
--- a/entry/core/links.go
+++ b/entry/core/links.go
@@ -16,6 +16,8 @@
 // delegate implements node.Delegate.
 type delegate struct{ c *Core }
 
+// Configure applies a configuration and a host list, passes the configuration on to
+// OnConfigure, and gives the engine the state of the hosts.
 func (d delegate) Configure(_ clock.Milli, cfg *topo.Config, hosts []topo.Host) {
 	d.c.fanout.Configure(cfg, hosts)
 	if d.c.OnConfigure != nil && cfg != nil {
@@ -31,6 +33,8 @@
 	}
 }
 
+// LinkUp registers a link. Calls are sent only over links that this entry has dialed.
+// Updates that wait for a link to another entry are forwarded.
 func (d delegate) LinkUp(now clock.Milli, l *mesh.Link) {
 	c := d.c
 	host := l.Peer.GetHost()
@@ -51,6 +55,8 @@
 	}
 }
 
+// LinkDown removes a link. If it is the one in use for its host, the calls and updates
+// sent to that host end. Updates received over the link need no reply any more.
 func (d delegate) LinkDown(now clock.Milli, l *mesh.Link, _ error) {
 	c := d.c
 	host := l.Peer.GetHost()
@@ -62,13 +68,14 @@
 		delete(c.entries, host)
 		c.execute(now, c.fanout.OwnerDown(host))
 	}
-	for id, r := range c.forwarded {
-		if r.link == l {
+	for id, update := range c.forwarded {
+		if update.link == l {
 			delete(c.forwarded, id)
 		}
 	}
 }
 
+// RTT records the round-trip time to an aggregator, in milliseconds.
 func (d delegate) RTT(_ clock.Milli, l *mesh.Link, rtt time.Duration) {
 	if l.Peer.GetProgram() == node.Aggregator {
 		d.c.fanout.RecordRTT(l.Peer.GetHost(), float64(rtt.Microseconds())/1000)
@@ -85,6 +92,7 @@
 	return d.c.fanout.MergeStrike(now, s)
 }
 
+// VersionsConfirmed does nothing: only aggregators suspend admission.
 func (d delegate) VersionsConfirmed(clock.Milli) {}
 
 // fullMeshMaxHosts is the largest fleet in which an entry links to all hosts.
@@ -96,6 +104,7 @@
 	remoteLinks = 8
 )
 
+// LinkAddrs lists the aggregators to link to: all in a small fleet, some in a large one.
 func (d delegate) LinkAddrs(cfg *topo.Config, hosts []topo.Host) []string {
 	self := d.c.Settings.Host
 	return assign.Neighbours(assign.Network{
--- a/entry/core/updates.go
+++ b/entry/core/updates.go
@@ -25,12 +25,14 @@
 	id   uint64
 }
 
-// MintResult is the result of Mint.
+// MintResult holds new IDs, or the reason why there are none.
 type MintResult struct {
 	IDs []dedup.ID
 	Err error
 }
 
+// startUpdate gives an update its request ID, deadline and span, and starts it. An
+// update without an ID gets a new one.
 func (c *Core) startUpdate(now clock.Milli, m startUpdate) {
 	c.lastID++
 	m.req.RequestID = c.lastID
@@ -52,6 +54,7 @@
 	c.execute(now, c.fanout.StartUpdate(now, m.req))
 }
 
+// sendUpdate sends an update to an aggregator. If that fails, it ends as not run.
 func (c *Core) sendUpdate(now clock.Milli, a fanout.SendUpdate) {
 	trace := ""
 	if u := c.updates[a.Update.RequestID]; u != nil {
@@ -64,8 +67,8 @@
 	c.execute(now, c.fanout.UpdateDone(now, a.Call, fanout.UpdateResult{Kind: query.NotRun, Reason: query.ReasonBusy}))
 }
 
-// forward sends an update to the entry that minted its ID, after dialing it if there
-// is no link.
+// forward sends an update to the entry that minted its ID. Without a link it dials that
+// entry first. If the entry's host is not in the host list, the outcome is unknown.
 func (c *Core) forward(now clock.Milli, a fanout.Forward) {
 	if l := c.entries[a.Host]; l != nil {
 		if !c.node.Send(l, encodeForward(a.Update, max(0, a.Update.Deadline-now))) {
@@ -85,6 +88,8 @@
 	}))
 }
 
+// answerUpdate returns the result of an update to the caller, or to the entry that
+// forwarded the update.
 func (c *Core) answerUpdate(a fanout.UpdateAnswered) {
 	c.Meter.Count("updates", 1, meter.Label{Name: "result", Value: a.Result.Kind.String()},
 		meter.Label{Name: "reason", Value: string(a.Result.Reason)})
@@ -113,7 +118,8 @@
 	return await(m.reply, budget)
 }
 
-// Mint returns new IDs.
+// Mint returns new IDs. The second result is false if the loop has ended or doesn't
+// reply in time.
 func (c *Core) Mint(count int) (MintResult, bool) {
 	m := mintIDs{count: count, reply: make(chan MintResult, 1)}
 	if !c.loop.Post(m) {
@@ -122,8 +128,8 @@
 	return await(m.reply, clock.Second)
 }
 
-// handleForwarded runs an update from an entry that takes this host for the one that
-// minted its ID. It never forwards the update again.
+// handleForwarded runs an update that another entry has forwarded to this one. It never
+// forwards the update again: if this host did not mint the ID, the outcome is unknown.
 func (c *Core) handleForwarded(now clock.Milli, l *mesh.Link, w *wire.Update) {
 	id, err := dedup.Parse(w.GetTicket())
 	if err != nil || id.Host != c.Settings.Host.Name {
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -60,11 +60,13 @@
 // Addr returns the address that the server listens on.
 func (f *Front) Addr() string { return f.server.Addr() }
 
+// handler returns the handler of the API. It counts requests in flight and answers by
+// status.
 func (f *Front) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/query", f.query)
-	mux.HandleFunc("POST /v1/ids", f.ids)
-	mux.HandleFunc("POST /v1/updates", f.update)
+	mux.HandleFunc("POST /v1/query", f.handleQuery)
+	mux.HandleFunc("POST /v1/ids", f.handleIDs)
+	mux.HandleFunc("POST /v1/updates", f.handleUpdate)
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
 		httpd.WriteReady(w, !f.leaving.Load() && f.Core.Ready() && (f.ExtraReady == nil || f.ExtraReady()))
 	})
@@ -110,10 +112,12 @@
 	errUnknown    = "unknown"
 )
 
+// writeBadRequest replies that a field of the request is invalid, and why.
 func writeBadRequest(w http.ResponseWriter, field, reason string) {
 	httpd.WriteJSON(w, http.StatusBadRequest, wireError{Error: errBadRequest, Reason: reason, Field: field})
 }
 
+// writeBodyError replies that the body is too large or cannot be decoded.
 func writeBodyError(w http.ResponseWriter, err error) {
 	if errors.Is(err, httpd.ErrTooLarge) {
 		httpd.WriteJSON(w, http.StatusRequestEntityTooLarge, wireError{Error: errBadRequest, Reason: err.Error(), Field: "body"})
@@ -165,7 +169,8 @@
 	Rows     []wireRow    `json:"rows"`
 }
 
-func (f *Front) query(w http.ResponseWriter, r *http.Request) {
+// handleQuery runs a query and replies with the answer, or with a refusal.
+func (f *Front) handleQuery(w http.ResponseWriter, r *http.Request) {
 	var q wireQuery
 	if err := httpd.ReadJSON(r, maxBodyBytes, &q); err != nil {
 		writeBodyError(w, err)
@@ -190,10 +195,11 @@
 		writeError(w, refusalStatus(result.Answer.Refused),
 			wireError{Error: errRefused, Reason: string(result.Answer.Refused), ID: result.ID}, result.Answer.RetryAfter)
 	default:
-		httpd.WriteJSON(w, http.StatusOK, newAnswer(result))
+		httpd.WriteJSON(w, http.StatusOK, encodeAnswer(result))
 	}
 }
 
+// refusalStatus returns the HTTP status for the reason of a refused query.
 func refusalStatus(reason query.Reason) int {
 	switch reason {
 	case query.ReasonOverload:
@@ -214,6 +220,8 @@
 	return hostOf(r.RemoteAddr)
 }
 
+// checkQuery returns the first invalid field and the reason; both are empty if there is
+// none.
 func (f *Front) checkQuery(q wireQuery) (field, reason string) {
 	switch {
 	case q.Service == "":
@@ -228,6 +236,7 @@
 	return f.checkService(q.Service)
 }
 
+// checkService returns a field and a reason if a service is not in the inventory.
 func (f *Front) checkService(name string) (field, reason string) {
 	cfg := f.Core.Config()
 	if cfg == nil {
@@ -239,7 +248,8 @@
 	return "", ""
 }
 
-func newAnswer(a core.QueryResult) wireAnswer {
+// encodeAnswer converts an answer to the format of the API.
+func encodeAnswer(a core.QueryResult) wireAnswer {
 	out := wireAnswer{
 		ID: a.ID, Snapshot: a.Answer.Pin.String(), Complete: a.Answer.Coverage.Complete(), Extra: a.Answer.Extra,
 		Coverage: wireCoverage{
@@ -264,7 +274,8 @@
 	IDs []string `json:"ids"`
 }
 
-func (f *Front) ids(w http.ResponseWriter, r *http.Request) {
+// handleIDs mints IDs for updates.
+func (f *Front) handleIDs(w http.ResponseWriter, r *http.Request) {
 	var m wireMint
 	if err := httpd.ReadJSON(r, maxBodyBytes, &m); err != nil {
 		writeBodyError(w, err)
@@ -303,7 +314,8 @@
 	Result string `json:"result"`
 }
 
-func (f *Front) update(w http.ResponseWriter, r *http.Request) {
+// handleUpdate runs an update. If the core does not reply, the outcome is unknown.
+func (f *Front) handleUpdate(w http.ResponseWriter, r *http.Request) {
 	var u wireUpdate
 	if err := httpd.ReadJSON(r, maxBodyBytes, &u); err != nil {
 		writeBodyError(w, err)
@@ -323,6 +335,7 @@
 	writeUpdateResult(w, u.ID, result)
 }
 
+// checkUpdate returns the update's ID, or the first invalid field and the reason.
 func (f *Front) checkUpdate(u wireUpdate) (id dedup.ID, field, reason string) {
 	switch {
 	case u.Service == "":
@@ -346,7 +359,7 @@
 
 // writeUpdateResult replies with the outcome of an update: it ran, it did not run, or
 // its outcome is unknown. Callers may resend only after "not-run", or "unknown" with a
-// retry time, and with the same ID.
+// retry time, and with the same ID. After "not-run" the retry time is at least 100 ms.
 func writeUpdateResult(w http.ResponseWriter, id string, r fanout.UpdateResult) {
 	e := wireError{Reason: string(r.Reason), ID: id}
 	switch {
--- a/entry/front/front_test.go
+++ b/entry/front/front_test.go
@@ -77,6 +77,7 @@
 	assert.Assert(t, !f.Core.Ready())
 }
 
+// Close must leave no goroutine of the server running.
 func TestCloseWaits(t *testing.T) {
 	ignore := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, ignore) })
@@ -91,6 +92,7 @@
 	assert.NilError(t, f.Close())
 }
 
+// A body of any content must not crash the decoder.
 func FuzzBodies(f *testing.F) {
 	f.Add([]byte(`{"service":"s","text":"x","limit":3,"budget-ms":5}`))
 	f.Add([]byte(`{"count":1}`))
--- a/entry/main.go
+++ b/entry/main.go
@@ -35,6 +35,8 @@
 	os.Exit(daemon.Main("entry", &a, &a.Arguments, a.start))
 }
 
+// start checks the addresses for callers, of which --callers takes precedence, and
+// starts the entry.
 func (a *arguments) start(env daemon.Env) (daemon.Service, error) {
 	if a.Callers != "" {
 		env.Settings.Listen.Callers = a.Callers
@@ -83,6 +85,7 @@
 	wait.Wait()
 }
 
+// close stops the parts in the reverse order of their start.
 func (e *entry) close() error {
 	err := errors.CombineErrors(e.front.Close(), e.core.Close())
 	return errors.CombineErrors(err, e.routed.Close())
--- a/entry/routed/routed.go
+++ b/entry/routed/routed.go
@@ -1,6 +1,6 @@
 // Package routed serves the routes of the inventory: it forwards requests unchanged to
 // one backend server of a service, or to one of each shard. It translates a
-// configuration into the facts that the router decides on.
+// configuration into the topology that the router decides on.
 package routed
 
 import (
@@ -57,21 +57,21 @@
 // withSpan gives each request a span below the span of its sender, and makes it the
 // parent span that is sent on to other hosts and leaves.
 func (s *Server) withSpan(next http.Handler) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		span := s.Tracer.Start(q.Header.Get(headerTraceParent), "routed",
-			attribute.String("request", q.Header.Get(httpc.DefaultDialect.RequestID)), attribute.String("path", q.URL.Path))
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		span := s.Tracer.Start(r.Header.Get(headerTraceParent), "routed",
+			attribute.String("request", r.Header.Get(httpc.DefaultDialect.RequestID)), attribute.String("path", r.URL.Path))
 		defer span.End()
 		if parent := span.Parent(); parent != "" {
-			q.Header.Set(headerTraceParent, parent)
+			r.Header.Set(headerTraceParent, parent)
 		}
-		next.ServeHTTP(w, q)
+		next.ServeHTTP(w, r)
 	})
 }
 
 // Configure applies a configuration.
 func (s *Server) Configure(cfg *topo.Config) {
 	if s.enabled() {
-		s.proxy.SetFacts(newFacts(cfg))
+		s.proxy.SetFacts(newTopology(cfg))
 	}
 }
 
@@ -101,29 +101,29 @@
 	return s.proxy.Close()
 }
 
-// newFacts translates a configuration into the router's facts. Each backend server
+// newTopology translates a configuration into the router's topology. Each backend server
 // becomes one leaf: an opaque request does not name the leaves on the server.
-func newFacts(cfg *topo.Config) router.Facts {
-	f := router.Facts{
+func newTopology(cfg *topo.Config) router.Facts {
+	topology := router.Facts{
 		Table:      cfg.RouteTable(),
 		DomainsOut: make(map[string]bool, len(cfg.Rules.DomainsOut)),
 		Regions:    make(map[string]string, len(cfg.Inventory.Domains)),
 	}
 	for _, d := range cfg.Inventory.Domains {
-		f.Regions[d.Name] = d.Region
+		topology.Regions[d.Name] = d.Region
 	}
 	for _, d := range cfg.Rules.DomainsOut {
-		f.DomainsOut[d] = true
+		topology.DomainsOut[d] = true
 	}
 	limits := cfg.ServerLimits()
 	for _, s := range cfg.Inventory.Servers {
 		limit := limits[s.Name]
-		f.Leaves = append(f.Leaves, roster.Leaf{
+		topology.Leaves = append(topology.Leaves, roster.Leaf{
 			ID: s.Name, Service: s.Service, Address: s.Address, Domain: s.Domain,
 			Slots: slotsOf(s, limit.Slots), Draining: limit.Out,
 		})
 	}
-	return f
+	return topology
 }
 
 // slotsOf returns how many requests a server handles concurrently, with each of its
--- a/entry/routed/routed_test.go
+++ b/entry/routed/routed_test.go
@@ -37,24 +37,26 @@
 out-of-service: [b]
 `
 
-func TestFactsOfAConfiguration(t *testing.T) {
+// Guards against limits and drains of the configuration that do not reach the router. The
+// limit of 3 slots caps each leaf of s-0: 4 slots become 3, and 2 stay.
+func TestTopologyOfAConfiguration(t *testing.T) {
 	t.Parallel()
 	cfg, err := topo.Parse(4, []topo.Part{{Name: "a.yaml", Body: []byte(inventory)}})
 	assert.NilError(t, err)
-	f := newFacts(cfg)
-	assert.Equal(t, f.Table.Version, uint64(4))
-	assert.Equal(t, f.Regions["b"], "south")
-	assert.Assert(t, f.DomainsOut["b"] && !f.DomainsOut["a"])
-	assert.Equal(t, f.Leaves[0].ID, "s-0")
-	assert.Equal(t, f.Leaves[0].Slots, 3+2, "the cap applies to each leaf")
-	assert.Assert(t, !f.Leaves[0].Draining && f.Leaves[1].Draining)
-	// The service has the connections of its smallest server.
-	assert.Equal(t, f.Table.Services["search"].Connections, 8)
+	topology := newTopology(cfg)
+	assert.Equal(t, topology.Table.Version, uint64(4))
+	assert.Equal(t, topology.Regions["b"], "south")
+	assert.Assert(t, topology.DomainsOut["b"] && !topology.DomainsOut["a"])
+	assert.Equal(t, topology.Leaves[0].ID, "s-0")
+	assert.Equal(t, topology.Leaves[0].Slots, 3+2, "the cap applies to each leaf")
+	assert.Assert(t, !topology.Leaves[0].Draining && topology.Leaves[1].Draining)
+	// The service has the connections of its smallest server: s-0 has 8+8, s-1 has 8.
+	assert.Equal(t, topology.Table.Services["search"].Connections, 8)
 }
 
 // The backend server gets the caller's trace ID with the entry's own span as the
 // parent.
-func TestTraceGoesOnToTheServer(t *testing.T) {
+func TestTraceIsForwardedToTheServer(t *testing.T) {
 	t.Parallel()
 	got := make(chan string, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -102,6 +104,7 @@
 	assert.Assert(t, strings.Contains(string(written), parent[36:52]), "the span was not written")
 }
 
+// Without a listen address the methods must do nothing, and readiness must not fail.
 func TestNothingIsServedWithoutAnAddress(t *testing.T) {
 	t.Parallel()
 	var r Server
