--- a/stile/cmds/capacity.go
+++ b/stile/cmds/capacity.go
@@ -14,16 +14,18 @@
 	services map[string]*serviceCapacity
 }
 
+// leafCapacity is the part of a leaf in the capacity.
 type leafCapacity struct {
 	server    string
 	domain    string
 	outReason string // why the leaf is out of service, or ""
-	slots     int
+	slots     int    // in effect if the leaf is in service
 }
 
+// serviceCapacity sums the leaves of a service that are in service.
 type serviceCapacity struct {
 	slots  int
-	shards map[shardID]int // leafs in service by shard
+	shards map[shardID]int // leaves in service by shard
 }
 
 type shardID struct {
@@ -46,22 +48,22 @@
 	limits := c.ServerLimits()
 	for _, s := range c.Inventory.Servers {
 		for _, l := range s.Leaves {
-			f := leafCapacity{server: s.Name, domain: s.Domain, slots: l.Slots}
+			leaf := leafCapacity{server: s.Name, domain: s.Domain, slots: l.Slots}
 			limit := limits[s.Name]
 			switch {
 			case c.DomainOut(s.Domain):
-				f.outReason = "failure domain " + s.Domain + " is out"
+				leaf.outReason = "failure domain " + s.Domain + " is out"
 			case limit.Out:
-				f.outReason = "server " + s.Name + " is out"
+				leaf.outReason = "server " + s.Name + " is out"
 			case limit.Slots > 0:
-				f.slots = min(f.slots, limit.Slots)
+				leaf.slots = min(leaf.slots, limit.Slots)
 			}
-			result.leaves[l.Name] = f
-			if f.outReason != "" {
+			result.leaves[l.Name] = leaf
+			if leaf.outReason != "" {
 				continue
 			}
 			v := result.services[s.Service]
-			v.slots += f.slots
+			v.slots += leaf.slots
 			for _, h := range l.Holds {
 				v.shards[shardID{h.Layout, h.Shard}]++
 			}
@@ -70,8 +72,8 @@
 	return result
 }
 
-// dangers lists the valid but risky parts of a configuration.
-func dangers(c *topo.Config) []string {
+// findDangers lists the valid but risky parts of a configuration.
+func findDangers(c *topo.Config) []string {
 	var list []string
 	inService := capacityOf(c)
 	for _, name := range sortedNames(inService.services) {
@@ -99,12 +101,12 @@
 			}
 		}
 	}
-	return append(list, routeDangers(c)...)
+	return append(list, findRouteDangers(c)...)
 }
 
-// routeDangers lists valid settings of routes that make requests fail or behave in
+// findRouteDangers lists valid settings of routes that make requests fail or behave in
 // ways that operators may not expect.
-func routeDangers(c *topo.Config) []string {
+func findRouteDangers(c *topo.Config) []string {
 	var list []string
 	servers := countServers(c)
 	for i := range c.Routes {
@@ -139,6 +141,8 @@
 // serverCounts counts the backend servers in service by service and region.
 type serverCounts map[serviceRegion]int
 
+// countServers counts the backend servers that are not out of service and whose failure
+// domain is not either.
 func countServers(c *topo.Config) serverCounts {
 	regions := make(map[string]string, len(c.Inventory.Domains))
 	for _, d := range c.Inventory.Domains {
@@ -165,6 +169,7 @@
 	return total
 }
 
+// sortedNames returns the keys of a map in alphabetical order.
 func sortedNames[T any](m map[string]T) []string {
 	names := make([]string, 0, len(m))
 	for n := range m {
--- a/stile/cmds/check.go
+++ b/stile/cmds/check.go
@@ -58,26 +58,27 @@
 		out.line("%s", topo.NewManifest(c.Manifest, parts).Encode())
 		return nil
 	}
-	s := checkResult{Valid: true, Faults: []faultResult{}, Dangers: dangers(cfg)}
-	s.Services, s.Servers, s.Routes = len(cfg.Inventory.Services), len(cfg.Inventory.Servers), len(cfg.Routes)
+	result := checkResult{Valid: true, Faults: []faultResult{}, Dangers: findDangers(cfg)}
+	result.Services, result.Servers, result.Routes = len(cfg.Inventory.Services), len(cfg.Inventory.Servers), len(cfg.Routes)
 	for _, v := range cfg.Inventory.Servers {
-		s.Leaves += len(v.Leaves)
+		result.Leaves += len(v.Leaves)
 	}
-	for _, d := range s.Dangers {
+	for _, d := range result.Dangers {
 		out.line("%s %s", out.colorize(yellow, "danger:"), d)
 	}
 	out.line("%s %d services, %d backend servers, %d leafs, %d routes",
-		out.colorize(green, "valid:"), s.Services, s.Servers, s.Leaves, s.Routes)
-	return out.value(s)
+		out.colorize(green, "valid:"), result.Services, result.Servers, result.Leaves, result.Routes)
+	return out.value(result)
 }
 
+// printFaults prints the faults and returns ErrFaulty.
 func (*check) printFaults(out *printer, faults conf.Faults) error {
-	s := checkResult{Faults: []faultResult{}, Dangers: []string{}}
+	result := checkResult{Faults: []faultResult{}, Dangers: []string{}}
 	for _, f := range faults {
 		out.line("%s %s", out.colorize(red, "fault:"), f)
-		s.Faults = append(s.Faults, faultResult(f))
+		result.Faults = append(result.Faults, faultResult(f))
 	}
-	if err := out.value(s); err != nil {
+	if err := out.value(result); err != nil {
 		return err
 	}
 	return ErrFaulty
--- a/stile/cmds/cmds.go
+++ b/stile/cmds/cmds.go
@@ -106,10 +106,11 @@
 	return "\x1b[" + color + "m" + text + "\x1b[0m"
 }
 
-// Main runs the command that the arguments name and returns the exit code.
+// Main runs the command that the arguments name and returns the exit code. Without a
+// command it prints the list of commands.
 func Main(args []string, out, errOut io.Writer) int {
 	if len(args) == 0 || args[0] == "help" || strings.HasPrefix(args[0], "-") {
-		usage(out)
+		printUsage(out)
 		if len(args) > 0 && (args[0] == "help" || args[0] == "--help" || args[0] == "-h") {
 			return ExitOK
 		}
@@ -136,8 +137,11 @@
 	return exitCode(args[0], c.Run(pr), errOut)
 }
 
+// writef writes a message. Errors are ignored: there is nowhere else to report them.
 func writef(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 
+// reportParseError prints the help if it was requested, otherwise the error and the
+// usage, and returns the exit code.
 func reportParseError(p *arg.Parser, err error, out, errOut io.Writer) int {
 	if errors.Is(err, arg.ErrHelp) {
 		p.WriteHelp(out)
@@ -148,6 +152,8 @@
 	return ExitUsage
 }
 
+// newPrinter returns the printer that a command's flags request, or an error if a flag
+// has an unknown value. In "auto", color needs a terminal and no NO_COLOR.
 func newPrinter(c command, out io.Writer) (*printer, error) {
 	p := &printer{out: out}
 	o, ok := c.(interface{ options() *outputFlags })
@@ -198,6 +204,7 @@
 	return ExitFault
 }
 
+// newCommand returns the command with a name or alias, or nil if there is none.
 func newCommand(name string) command {
 	for _, e := range registry {
 		for _, n := range e.names {
@@ -209,7 +216,8 @@
 	return nil
 }
 
-func usage(out io.Writer) {
+// printUsage prints the list of commands and the exit codes.
+func printUsage(out io.Writer) {
 	sort.Slice(registry, func(i, j int) bool { return registry[i].names[0] < registry[j].names[0] })
 	writef(out, "%s\nusage: stile COMMAND [ARGUMENTS]; stile COMMAND --help tells more\n", daemon.VersionText("stile"))
 	for _, e := range registry {
--- a/stile/cmds/cmds_test.go
+++ b/stile/cmds/cmds_test.go
@@ -60,7 +60,7 @@
 
 // A route may be valid although its service has no server left where it may be served,
 // and a route in use may be dropped. Both must be reported before they are published.
-func TestDangersAndChangesOfRoutesAreSaid(t *testing.T) {
+func TestDangersAndChangesOfRoutesAreReported(t *testing.T) {
 	dir := modifiedSample(t, map[string]string{
 		"rules.yaml": "out-of-service: [osaka]\n",
 		"routes.yaml": `routes:
@@ -78,6 +78,7 @@
 	}
 }
 
+// Every fault must be listed at once, with its file, line and key.
 func TestCheckListsFaults(t *testing.T) {
 	f := filepath.Join(t.TempDir(), "bad.yaml")
 	assert.NilError(t, os.WriteFile(f, []byte("services:\n  - {name: x}\ncolour: red\n"), 0o600))
@@ -91,6 +92,7 @@
 	assert.Assert(t, strings.Contains(out, `"valid": false`), out)
 }
 
+// The manifest must name the version and the parts by file name, without directories.
 func TestManifestNamesTheParts(t *testing.T) {
 	code, out, _ := stile("check", "--manifest", "7", sample("himal"))
 	assert.Equal(t, code, ExitOK)
--- a/stile/cmds/coverage.go
+++ b/stile/cmds/coverage.go
@@ -21,7 +21,7 @@
 	return "show, for each entry and service, which shards it could answer now"
 }
 
-// Run prints the coverage; a missing shard is a fault.
+// Run prints the coverage of each entry; a missing shard is a fault.
 func (c *coverage) Run(out *printer) error {
 	programs, err := c.fetchStatuses()
 	if err != nil {
@@ -41,7 +41,7 @@
 				color = red
 			}
 			out.line("%-10s %-24s snapshot %-8s %s%s", p.Node.Host, v.Service, v.Snapshot,
-				out.colorize(color, strconv.Itoa(v.Answered)+"/"+strconv.Itoa(v.Shards)), reasons(v.Missing))
+				out.colorize(color, strconv.Itoa(v.Answered)+"/"+strconv.Itoa(v.Shards)), formatMissing(v.Missing))
 		}
 	}
 	if err := out.value(shown); err != nil {
@@ -53,7 +53,8 @@
 	return nil
 }
 
-func reasons(list []admin.Missing) string {
+// formatMissing formats missing shards as " SHARD=REASON", each with a leading space.
+func formatMissing(list []admin.Missing) string {
 	text := ""
 	for _, m := range list {
 		text += " " + strconv.Itoa(m.Shard) + "=" + m.Reason
--- a/stile/cmds/diff.go
+++ b/stile/cmds/diff.go
@@ -19,6 +19,8 @@
 	After  string `arg:"positional,required" help:"file or directory to publish"`
 }
 
+// serviceChange counts the shards that lose all leaves in service, and those that are
+// left with a single one.
 type serviceChange struct {
 	Service      string `json:"service"`
 	SlotsBefore  int    `json:"slots-before"`
@@ -58,33 +60,35 @@
 	if err != nil {
 		return errors.Wrap(err, c.After)
 	}
-	s := compare(capacityOf(before), capacityOf(after))
-	s.Routes = compareRoutes(before.Routes, after.Routes)
-	for _, m := range s.Leaves {
+	result := compareCapacity(capacityOf(before), capacityOf(after))
+	result.Routes = compareRoutes(before.Routes, after.Routes)
+	for _, m := range result.Leaves {
 		out.line("leaf %-28s %s", m.Leaf, m.Change)
 	}
-	for _, v := range s.Services {
+	for _, v := range result.Services {
 		out.line("service %-25s slots %d -> %d, shards lost %d, left with one leaf %d",
 			v.Service, v.SlotsBefore, v.SlotsAfter, v.ShardsLost, v.ShardsSingle)
 	}
-	for _, r := range s.Routes {
+	for _, r := range result.Routes {
 		out.line("route %-27s %s", r.Route, r.Change)
 	}
-	if s.Safe {
+	if result.Safe {
 		out.line("%s no shard loses its last leaf", out.colorize(green, "safe:"))
 	} else {
 		out.line("%s answers will lack shards", out.colorize(red, "coverage is lost:"))
 	}
-	if err := out.value(s); err != nil {
+	if err := out.value(result); err != nil {
 		return err
 	}
-	if !s.Safe {
+	if !result.Safe {
 		return ErrFaulty
 	}
 	return nil
 }
 
-func compare(before, after capacity) diffResult {
+// compareCapacity lists the leaves and services that change. The change is safe if no
+// shard of the services that remain loses its last leaf.
+func compareCapacity(before, after capacity) diffResult {
 	d := diffResult{Leaves: []leafChange{}, Services: []serviceChange{}, Safe: true}
 	for _, name := range sortedNames(before.leaves) {
 		previous := before.leaves[name]
@@ -165,19 +169,21 @@
 	return list
 }
 
+// compareService compares a service with its previous capacity, which is nil if the
+// service is new.
 func compareService(name string, before, after *serviceCapacity) serviceChange {
-	v := serviceChange{Service: name, SlotsAfter: after.slots}
+	change := serviceChange{Service: name, SlotsAfter: after.slots}
 	if before == nil {
 		before = &serviceCapacity{}
 	}
-	v.SlotsBefore = before.slots
+	change.SlotsBefore = before.slots
 	for id, n := range after.shards {
 		switch {
 		case n == 0 && before.shards[id] > 0:
-			v.ShardsLost++
+			change.ShardsLost++
 		case n == 1 && before.shards[id] > 1:
-			v.ShardsSingle++
+			change.ShardsSingle++
 		}
 	}
-	return v
+	return change
 }
--- a/stile/cmds/files.go
+++ b/stile/cmds/files.go
@@ -50,7 +50,8 @@
 	return topo.Parse(1, parts)
 }
 
-// withBaseName returns the part under the name that it has in a manifest.
+// withBaseName returns the part under the name that it has in a manifest: that of its
+// file without directories.
 func withBaseName(p topo.Part) topo.Part {
 	p.Name = strings.TrimPrefix(filepath.Base(p.Name), "/")
 	return p
--- a/stile/cmds/losses.go
+++ b/stile/cmds/losses.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	l := lossesOf(lines, c.Every.Milliseconds())
+	l := sumLosses(lines, c.Every.Milliseconds())
 	if len(l.Spans) == 0 {
 		return ErrNoRequests
 	}
@@ -61,7 +61,8 @@
 	Spans  []lossSpan `json:"Spans"`
 }
 
-// lossRow is the loss of one route or cause.
+// lossRow is the loss of one route or cause. Asked counts the requests of a route, or
+// those that a cause affected.
 type lossRow struct {
 	Name  string  `json:"Name"`
 	Asked int     `json:"Asked"`
@@ -79,7 +80,8 @@
 	causes map[string]float64
 }
 
-// loss records what one request lost, as logged by the host that its caller sent it to.
+// loss records what one request lost, by cause, as logged by the host that its caller
+// sent it to.
 type loss struct {
 	route         string
 	arrivedMillis int64
@@ -90,8 +92,9 @@
 	return &loss{route: l.text("route"), arrivedMillis: l.Time, causes: map[string]float64{}}
 }
 
-// lossesOf computes the loss of each request.
-func lossesOf(lines []logLine, every int64) lossTable {
+// sumLosses computes the loss of each request that the logs name, and sums them up. Lines
+// about forwarded requests only add causes to the request of the host that forwarded it.
+func sumLosses(lines []logLine, spanMillis int64) lossTable {
 	peerCauses := forwardedCauses(lines)
 	byRequest := map[string]*loss{}
 	var requests []*loss
@@ -121,10 +124,12 @@
 			}
 		}
 	}
-	return summarize(requests, every)
+	return summarize(requests, spanMillis)
 }
 
-// recordAnswer records what an answer lacks.
+// recordAnswer records what an answer lacks: everything if it is late, otherwise the
+// share of the missing shards. Shards that the line counts but does not name get a
+// common cause.
 func (r *loss) recordAnswer(l logLine, peerCauses map[shardKey]string) {
 	if l.boolean("late") {
 		r.causes["answered late"] = 1
@@ -136,7 +141,7 @@
 	}
 	named := 0.0
 	for _, text := range missing {
-		words := strings.SplitN(text, " ", 3)
+		words := strings.SplitN(text, " ", 3) // shard, leaf or host, cause
 		if len(words) < 3 {
 			continue
 		}
@@ -186,7 +191,9 @@
 	return strings.Join(kept, " ")
 }
 
-func summarize(requests []*loss, every int64) lossTable {
+// summarize sums losses by route, by cause, and by time spans of spanMillis that begin
+// with the first request.
+func summarize(requests []*loss, spanMillis int64) lossTable {
 	if len(requests) == 0 {
 		return lossTable{}
 	}
@@ -194,14 +201,14 @@
 	routes, causes := map[string]*lossRow{}, map[string]*lossRow{}
 	spans := map[int64]*lossSpan{}
 	for _, r := range requests {
-		index := (r.arrivedMillis - start) / max(1, every)
+		index := (r.arrivedMillis - start) / max(1, spanMillis) // spanMillis is 0 if --every is below 1 ms
 		span := spans[index]
 		if span == nil {
-			span = &lossSpan{From: float64(index*every) / 1000, causes: map[string]float64{}}
+			span = &lossSpan{From: float64(index*spanMillis) / 1000, causes: map[string]float64{}}
 			spans[index] = span
 		}
 		span.Asked++
-		addLoss(routes, r.route, 0)
+		addLoss(routes, r.route, 0) // counts the request; its losses are added by cause
 		for cause, lost := range r.causes {
 			routes[r.route].Lost += lost
 			addLoss(causes, cause, lost)
@@ -222,6 +229,7 @@
 	return t
 }
 
+// addLoss adds a loss to the row of a name and counts it.
 func addLoss(rows map[string]*lossRow, name string, lost float64) {
 	if rows[name] == nil {
 		rows[name] = &lossRow{Name: name}
@@ -230,6 +238,7 @@
 	rows[name].Lost += lost
 }
 
+// sortByLoss returns the rows in descending order of their loss, then by name.
 func sortByLoss(rows map[string]*lossRow) []lossRow {
 	var list []lossRow
 	for _, r := range rows {
--- a/stile/cmds/losses_test.go
+++ b/stile/cmds/losses_test.go
@@ -29,8 +29,9 @@
 {"host":"a","request":"q6","route":"one","time":4600,"message":"caller-gone"}
 `
 
-// The sums by cause, by route and by time must be equal, and a shard that another host
-// lacked must count under that host's own cause.
+// Guards against losses that are counted twice or under a wrong cause: the sums by cause,
+// by route and by time must be equal, and a shard that another host lacked must count
+// under that host's own cause.
 func TestLossesAddUp(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "log")
 	assert.NilError(t, os.WriteFile(name, []byte(lossLog), 0o600))
@@ -59,6 +60,7 @@
 	for _, s := range l.Spans {
 		spans += s.Lost
 	}
+	// Two of q2's four shards (0.5), and each of q3, q4, q5 and q6.
 	assert.Equal(t, sum, 4.5)
 	assert.Equal(t, routes, sum)
 	assert.Equal(t, spans, sum)
--- a/stile/cmds/status.go
+++ b/stile/cmds/status.go
@@ -47,6 +47,8 @@
 	return nil
 }
 
+// printProgram prints one program. It reports a fault if the program did not answer or
+// is not ready.
 func (c *status) printProgram(out *printer, p programStatus) (faulty bool) {
 	if p.Problem != "" {
 		out.line("%s %s: %s", out.colorize(red, "no answer:"), p.Admin, p.Problem)
@@ -64,7 +66,7 @@
 	if n.PlatformAge >= 0 {
 		platform = fmt.Sprintf("platform heard %d ms ago", n.PlatformAge)
 	}
-	out.line("%-10s %-12s %-10s %s, %s%s", n.Host, n.Domain, n.Program, state, platform, watching(n))
+	out.line("%-10s %-12s %-10s %s, %s%s", n.Host, n.Domain, n.Program, state, platform, formatWatching(n))
 	for _, r := range n.Refused {
 		out.line("    refused %s %d: %s", r.Key, r.Version, r.Reason)
 	}
@@ -80,7 +82,8 @@
 	return !n.Ready
 }
 
-func watching(n admin.Node) string {
+// formatWatching returns the mark of a program that watches the platform, or "".
+func formatWatching(n admin.Node) string {
 	if n.Watching {
 		return ", watching"
 	}
--- a/stile/cmds/timeline.go
+++ b/stile/cmds/timeline.go
@@ -39,8 +39,8 @@
 func readLogs(files []string) ([]logLine, error) {
 	var lines []logLine
 	for _, name := range files {
-		err := eachLine(name, func(text string) {
-			if l, ok := parseLog(text); ok {
+		err := forEachLine(name, func(text string) {
+			if l, ok := parseLogLine(text); ok {
 				lines = append(lines, l)
 			}
 		})
@@ -52,7 +52,8 @@
 	return lines, nil
 }
 
-func eachLine(name string, handle func(string)) error {
+// forEachLine calls handle with each line of a file; "-" is standard input.
+func forEachLine(name string, handle func(string)) error {
 	in := io.Reader(os.Stdin)
 	if name != "-" {
 		f, err := os.Open(name)
@@ -70,13 +71,15 @@
 	return errors.Wrapf(s.Err(), "read %s", name)
 }
 
-func parseLog(text string) (logLine, bool) {
-	at := strings.IndexByte(text, '{')
-	if at < 0 {
+// parseLogLine decodes a line. It reports false if the line holds no JSON object with a
+// message.
+func parseLogLine(text string) (logLine, bool) {
+	start := strings.IndexByte(text, '{')
+	if start < 0 {
 		return logLine{}, false
 	}
 	var l logLine
-	body := []byte(text[at:])
+	body := []byte(text[start:])
 	if json.Unmarshal(body, &l) != nil || json.Unmarshal(body, &l.fields) != nil {
 		return logLine{}, false // not a line of these programs
 	}
@@ -139,6 +142,8 @@
 		case l.Request == id:
 			related = append(related, l)
 		case l.Request != "" || l.Time < from || l.Time > to || !hosts[l.Host]:
+			// Of another request, too early or late, or of a host that did not handle
+			// this request.
 		case l.Leaf == "" || leaves[l.Leaf]:
 			related = append(related, l)
 		}
@@ -146,10 +151,11 @@
 	return related
 }
 
-// mentionedNames returns the leaves and hosts that a line names.
+// mentionedNames returns the line's leaf and the leaves or hosts of the shards that it
+// lists as missing.
 func mentionedNames(l logLine) []string {
 	names := []string{l.Leaf}
-	for _, text := range l.list("missing") {
+	for _, text := range l.list("missing") { // each has a shard, a leaf or host, and a cause
 		if words := strings.Fields(text); len(words) > 1 {
 			names = append(names, words[1])
 		}
@@ -157,7 +163,8 @@
 	return names
 }
 
-// printTimeline prints lines with their times relative to the request's first line.
+// printTimeline prints lines with their times relative to the request's first line. It
+// returns ErrNoLines if there are none.
 func printTimeline(out *printer, lines []logLine, id string) error {
 	if len(lines) == 0 {
 		return errors.Wrapf(ErrNoLines, "%s; was it sent here, and do the logs reach back to it?", id)
@@ -169,7 +176,7 @@
 			break
 		}
 	}
-	shown := make([]map[string]any, 0, len(lines))
+	fields := make([]map[string]any, 0, len(lines))
 	for _, l := range lines {
 		color := green
 		if l.fields["level"] == "warn" {
@@ -178,14 +185,14 @@
 		if l.Message == "refused" || l.fields["level"] == "error" {
 			color = red
 		}
-		out.line("%+7d ms  %-24s %s  %s", l.Time-start, l.Host, out.colorize(color, l.Message), details(l))
-		shown = append(shown, l.fields)
+		out.line("%+7d ms  %-24s %s  %s", l.Time-start, l.Host, out.colorize(color, l.Message), formatDetails(l))
+		fields = append(fields, l.fields)
 	}
-	return out.value(shown)
+	return out.value(fields)
 }
 
-// details formats the other fields of a line, sorted by name.
-func details(l logLine) string {
+// formatDetails formats the other fields of a line, sorted by name.
+func formatDetails(l logLine) string {
 	var names []string
 	for name := range l.fields {
 		switch name {
--- a/stile/cmds/watch.go
+++ b/stile/cmds/watch.go
@@ -19,7 +19,7 @@
 	return "show changes of hosts, versions, leafs and coverage as they come"
 }
 
-// Run prints a line for each change.
+// Run prints a line for each value that appears, changes or disappears between polls.
 func (c *watch) Run(out *printer) error {
 	previous := map[string]string{}
 	for n := 0; c.Times == 0 || n < c.Times; n++ {
@@ -32,17 +32,17 @@
 		}
 		current := map[string]string{}
 		for _, p := range programs {
-			watchedValues(p, current)
+			addWatchedValues(p, current)
 		}
-		at := time.Now().Format(time.TimeOnly)
+		clockTime := time.Now().Format(time.TimeOnly)
 		for _, key := range sortedNames(current) {
 			if previous[key] != current[key] {
-				out.line("%s %-44s %s", at, key, current[key])
+				out.line("%s %-44s %s", clockTime, key, current[key])
 			}
 		}
 		for _, key := range sortedNames(previous) {
-			if _, still := current[key]; !still {
-				out.line("%s %-44s gone", at, key)
+			if _, kept := current[key]; !kept {
+				out.line("%s %-44s gone", clockTime, key)
 			}
 		}
 		previous = current
@@ -50,8 +50,8 @@
 	return out.value(previous)
 }
 
-// watchedValues adds the values to watch of one program.
-func watchedValues(p programStatus, values map[string]string) {
+// addWatchedValues adds the values to watch of one program, keyed by what they describe.
+func addWatchedValues(p programStatus, values map[string]string) {
 	name := p.Node.Host + "/" + p.Node.Program
 	if p.Problem != "" {
 		values[p.Admin] = "no answer"
@@ -62,7 +62,7 @@
 		values[name+" "+v.Key] = fmt.Sprintf("version %d", v.Version)
 	}
 	for _, v := range p.Services {
-		values[name+" "+v.Service] = fmt.Sprintf("snapshot %s, %d/%d%s", v.Snapshot, v.Answered, v.Shards, reasons(v.Missing))
+		values[name+" "+v.Service] = fmt.Sprintf("snapshot %s, %d/%d%s", v.Snapshot, v.Answered, v.Shards, formatMissing(v.Missing))
 	}
 	for _, f := range p.Leaves {
 		if f.Primary && (f.Closed != "" || f.Limit < f.Slots) {
