--- a/aggregator/leaves/pool.go
+++ b/aggregator/leaves/pool.go
@@ -176,8 +176,8 @@
 	}
 }
 
-// ErrProbeFailed means that a probe was answered with a server error.
-var ErrProbeFailed = errors.New("probe was refused")
+// ErrProbeFailed means that a probe was answered with a 5xx status.
+var ErrProbeFailed = errors.New("probe was answered with a server error")
 
 // probe sends a request without a body and reports the answer as ProbeDone.
 func (p *Pool) probe(address, method, path, leaf string, id sched.ConnID) {
--- a/aggregator/main.go
+++ b/aggregator/main.go
@@ -24,8 +24,8 @@
 
 func main() {
 	var a arguments
-	os.Exit(daemon.Main("aggregator", &a, &a.Arguments, func(b daemon.Env) (daemon.Service, error) {
-		c := &core.Core{Settings: b.Settings, Log: b.Log, Meter: b.Meter, Tracer: b.Tracer}
+	os.Exit(daemon.Main("aggregator", &a, &a.Arguments, func(env daemon.Env) (daemon.Service, error) {
+		c := &core.Core{Settings: env.Settings, Log: env.Log, Meter: env.Meter, Tracer: env.Tracer}
 		return daemon.Service{Admin: c.Admin(), Leave: c.Leave, Close: c.Close}, c.Start()
 	}))
 }
--- a/entry/core/core.go
+++ b/entry/core/core.go
@@ -342,7 +342,7 @@
 	return await(reply, clock.Second)
 }
 
-// Leave tells the peers that this entry is shutting down.
+// Leave announces to the peers that this entry is shutting down.
 func (c *Core) Leave() {
 	m := announceLeaving{done: make(chan struct{})}
 	if c.loop.Post(m) {
