--- a/aggregator/core/core.go
+++ b/aggregator/core/core.go
@@ -205,13 +205,13 @@
 		out = &wire.Outcomes{}
 		replies[a.Key.Link] = out
 	}
-	out.Outcomes = append(out.Outcomes, wire.OutcomeTo(a.Outcome))
+	out.Outcomes = append(out.Outcomes, wire.EncodeOutcome(a.Outcome))
 }
 
 // publish sends the state of a leaf to all entries.
 func (c *Core) publish(fb query.Feedback) {
 	m := &wire.Envelope{Body: &wire.Envelope_Outcomes{Outcomes: &wire.Outcomes{
-		Feedback: []*wire.Feedback{wire.FeedbackTo(fb)},
+		Feedback: []*wire.Feedback{wire.EncodeFeedback(fb)},
 	}}}
 	for _, l := range c.links {
 		if l.Peer.GetProgram() == node.Entry {
@@ -325,7 +325,7 @@
 	case node.Entry:
 		out := &wire.Outcomes{}
 		for _, fb := range c.sched.Feedback(now) {
-			out.Feedback = append(out.Feedback, wire.FeedbackTo(fb))
+			out.Feedback = append(out.Feedback, wire.EncodeFeedback(fb))
 		}
 		c.send(l, &wire.Envelope{Body: &wire.Envelope_Outcomes{Outcomes: out}})
 	}
@@ -378,7 +378,7 @@
 func (d delegate) LinkAddrs(cfg *topo.Config, hosts []topo.Host) []string {
 	self := d.c.Settings.Host
 	return assign.Neighbours(assign.Network{
-		Self: self.Name, Domain: self.Domain, FullMeshMax: fullMeshMaxHosts, LocalLinks: localLinks, RemoteLinks: remoteLinks,
+		Self: self.Name, Domain: self.Domain, FullMeshMaxHosts: fullMeshMaxHosts, LocalLinks: localLinks, RemoteLinks: remoteLinks,
 	}, cfg, hosts)
 }
 
@@ -418,7 +418,7 @@
 		job := &leaves.Job{
 			Attempt: c.attemptID(key), Service: b.GetService(),
 			Snapshot: topo.SnapshotID{Layout: b.GetLayout(), Version: b.GetSnapshot()},
-			Shard:    int(w.GetShard()), Text: b.GetText(), Limit: int(b.GetLimit()), TraceParent: span.Parent(),
+			Shard:    int(w.GetShard()), Text: b.GetText(), Limit: int(b.GetLimit()), TraceParent: span.Traceparent(),
 		}
 		c.execute(now, c.sched.Submit(now, sched.Call{
 			Key: key, Leaf: w.GetLeaf(), Caller: b.GetCaller(), Deadline: now + clock.Milli(b.GetBudgetMs()),
--- a/aggregator/leaves/pool.go
+++ b/aggregator/leaves/pool.go
@@ -82,7 +82,7 @@
 		p.finish(span, result)
 		return
 	}
-	if parent := span.Parent(); parent != "" {
+	if parent := span.Traceparent(); parent != "" {
 		r.Header.Set("traceparent", parent)
 	}
 	p.do(c, r, func(reply fetch.Reply, err error) {
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -148,7 +148,7 @@
 	}
 	empty := &topo.Config{}
 	for _, n := range f.Nodes {
-		network := assign.Network{Self: n.Name, Domain: n.Domain, FullMeshMax: 16, LocalLinks: 3, RemoteLinks: 2}
+		network := assign.Network{Self: n.Name, Domain: n.Domain, FullMeshMaxHosts: 16, LocalLinks: 3, RemoteLinks: 2}
 		for _, peer := range assign.Neighbours(network, empty, list) {
 			if peer != n.Name {
 				n.links[peer] = true
--- a/bench/slope/measure.go
+++ b/bench/slope/measure.go
@@ -257,7 +257,7 @@
 		for range 3 {
 			o.Rows = append(o.Rows, query.Row{Key: "garment-0001234", Score: 0.5, Text: "a row with some hundred bytes of text, as a search result has, more or less as long as this one here is"})
 		}
-		outcomes.Outcomes = append(outcomes.Outcomes, wire.OutcomeTo(o))
+		outcomes.Outcomes = append(outcomes.Outcomes, wire.EncodeOutcome(o))
 	}
 	return outcomes
 }
--- a/entry/core/admin.go
+++ b/entry/core/admin.go
@@ -21,7 +21,7 @@
 func (c *Core) serviceStatus(name string) admin.Service {
 	coverage := c.fanout.Coverage(name)
 	service := admin.Service{
-		Service: name, Shards: coverage.Shards, Answered: coverage.Answered, Missing: admin.MissingFrom(coverage.Missing),
+		Service: name, Shards: coverage.Shards, Reachable: coverage.Answered, Missing: admin.MissingFrom(coverage.Missing),
 	}
 	if id, ok := c.fanout.Pin(name); ok {
 		service.Snapshot = id.String()
@@ -101,7 +101,7 @@
 		return false
 	}
 	for _, v := range s.Services {
-		if v.Answered > 0 {
+		if v.Reachable > 0 {
 			return true
 		}
 	}
--- a/entry/core/codec.go
+++ b/entry/core/codec.go
@@ -41,7 +41,7 @@
 
 func decodeUpdateReply(w *wire.UpdateReply) fanout.UpdateResult {
 	return fanout.UpdateResult{
-		Kind: wire.KindFrom(w.GetKind()), Reason: query.Reason(w.GetReason()),
+		Kind: wire.DecodeKind(w.GetKind()), Reason: query.Reason(w.GetReason()),
 		RetryAfter: clock.Milli(w.GetRetryAfterMs()), Body: w.GetBody(), Strikes: int(w.GetStrikes()),
 	}
 }
--- a/entry/core/core.go
+++ b/entry/core/core.go
@@ -218,7 +218,7 @@
 func (c *Core) sendBatch(now clock.Milli, a fanout.SendBatch) {
 	trace := ""
 	if q := c.queries[a.Query]; q != nil {
-		trace = q.span.Parent()
+		trace = q.span.Traceparent()
 	}
 	l := c.aggregators[a.Host]
 	if l != nil && c.node.Send(l, encodeBatch(a, max(0, a.Deadline-now), trace)) {
--- a/entry/core/links.go
+++ b/entry/core/links.go
@@ -108,7 +108,7 @@
 func (d delegate) LinkAddrs(cfg *topo.Config, hosts []topo.Host) []string {
 	self := d.c.Settings.Host
 	return assign.Neighbours(assign.Network{
-		Self: self.Name, Domain: self.Domain, FullMeshMax: fullMeshMaxHosts, LocalLinks: localLinks, RemoteLinks: remoteLinks,
+		Self: self.Name, Domain: self.Domain, FullMeshMaxHosts: fullMeshMaxHosts, LocalLinks: localLinks, RemoteLinks: remoteLinks,
 	}, cfg, hosts)
 }
 
@@ -117,10 +117,10 @@
 	switch b := m.Body.(type) {
 	case *wire.Envelope_Outcomes:
 		for _, fb := range b.Outcomes.GetFeedback() {
-			c.fanout.SetFeedback(wire.FeedbackFrom(fb))
+			c.fanout.SetFeedback(wire.DecodeFeedback(fb))
 		}
 		for _, w := range b.Outcomes.GetOutcomes() {
-			c.execute(now, c.fanout.CallDone(now, wire.OutcomeFrom(w)))
+			c.execute(now, c.fanout.CallDone(now, wire.DecodeOutcome(w)))
 		}
 	case *wire.Envelope_UpdateReply:
 		res := decodeUpdateReply(b.UpdateReply)
--- a/entry/core/updates.go
+++ b/entry/core/updates.go
@@ -58,7 +58,7 @@
 func (c *Core) sendUpdate(now clock.Milli, a fanout.SendUpdate) {
 	trace := ""
 	if u := c.updates[a.Update.RequestID]; u != nil {
-		trace = u.span.Parent()
+		trace = u.span.Traceparent()
 	}
 	l := c.aggregators[a.Host]
 	if l != nil && c.node.Send(l, encodeUpdate(a, max(0, a.Update.Deadline-now), trace)) {
--- a/entry/routed/routed.go
+++ b/entry/routed/routed.go
@@ -61,7 +61,7 @@
 		span := s.Tracer.Start(r.Header.Get(headerTraceParent), "routed",
 			attribute.String("request", r.Header.Get(httpc.DefaultDialect.RequestID)), attribute.String("path", r.URL.Path))
 		defer span.End()
-		if parent := span.Parent(); parent != "" {
+		if parent := span.Traceparent(); parent != "" {
 			r.Header.Set(headerTraceParent, parent)
 		}
 		next.ServeHTTP(w, r)
@@ -71,7 +71,7 @@
 // Configure applies a configuration.
 func (s *Server) Configure(cfg *topo.Config) {
 	if s.enabled() {
-		s.proxy.SetFacts(newTopology(cfg))
+		s.proxy.SetTopology(newTopology(cfg))
 	}
 }
 
@@ -103,8 +103,8 @@
 
 // newTopology translates a configuration into the router's topology. Each backend server
 // becomes one leaf: an opaque request does not name the leaves on the server.
-func newTopology(cfg *topo.Config) router.Facts {
-	topology := router.Facts{
+func newTopology(cfg *topo.Config) router.Topology {
+	topology := router.Topology{
 		Table:      cfg.RouteTable(),
 		DomainsOut: make(map[string]bool, len(cfg.Rules.DomainsOut)),
 		Regions:    make(map[string]string, len(cfg.Inventory.Domains)),
--- a/share/admin/admin.go
+++ b/share/admin/admin.go
@@ -32,10 +32,10 @@
 	Watching bool `json:"watching"`
 	// PlatformAge is the time since any process that this program knows of last
 	// reached the platform, in ms; -1 if none has.
-	PlatformAge int64     `json:"platform-age-ms"`
-	Versions    []Version `json:"versions"`
-	Refused     []Refused `json:"refused"`
-	Peers       []Peer    `json:"peers"`
+	PlatformAge int64             `json:"platform-age-ms"`
+	Versions    []Version         `json:"versions"`
+	Rejected    []RejectedVersion `json:"refused"`
+	Peers       []Peer            `json:"peers"`
 }
 
 // Version is the version of a key that is in force.
@@ -45,8 +45,8 @@
 	Digest  uint64 `json:"digest"`
 }
 
-// Refused is a version that was rejected as invalid.
-type Refused struct {
+// RejectedVersion is a version that was rejected as invalid.
+type RejectedVersion struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
 	Reason  string `json:"why"`
@@ -85,9 +85,9 @@
 	Service  string `json:"service"`
 	Snapshot string `json:"snapshot"`
 	// Shards counts all shards, Answered those that some leaf could serve.
-	Shards   int       `json:"shards"`
-	Answered int       `json:"reachable"`
-	Missing  []Missing `json:"missing"`
+	Shards    int       `json:"shards"`
+	Reachable int       `json:"reachable"`
+	Missing   []Missing `json:"missing"`
 }
 
 // Missing is a shard that an answer lacks or would lack.
@@ -102,8 +102,8 @@
 	Fingerprint string `json:"fingerprint"`
 	// Count is the number of servers that it crashed.
 	Count int `json:"count"`
-	// Left is the time until the strike expires, in ms.
-	Left int64 `json:"left-ms"`
+	// TimeLeft is the time until the strike expires, in ms.
+	TimeLeft int64 `json:"left-ms"`
 }
 
 // Query is the body of /v1/explain: an answered query with the decisions about it.
@@ -150,7 +150,7 @@
 func StrikesFrom(list []deny.Strike) []Strike {
 	out := make([]Strike, len(list))
 	for i, s := range list {
-		out[i] = Strike{Fingerprint: fmt.Sprintf("%016x", s.Fingerprint), Count: s.Count, Left: int64(s.TimeLeft)}
+		out[i] = Strike{Fingerprint: fmt.Sprintf("%016x", s.Fingerprint), Count: s.Count, TimeLeft: int64(s.TimeLeft)}
 	}
 	return out
 }
--- a/share/assign/assign.go
+++ b/share/assign/assign.go
@@ -148,8 +148,8 @@
 type Network struct {
 	Self   string
 	Domain string
-	// FullMeshMax is the largest number of hosts that link to all others.
-	FullMeshMax int
+	// FullMeshMaxHosts is the largest number of hosts that link to all others.
+	FullMeshMaxHosts int
 	// LocalLinks and RemoteLinks are the numbers of links of a host in a larger fleet,
 	// within its failure domain and beyond.
 	LocalLinks, RemoteLinks int
@@ -161,7 +161,7 @@
 // have about as many links. The other owners of its servers are added.
 func Neighbours(n Network, cfg *topo.Config, hosts []topo.Host) []string {
 	chosen := map[string]string{} // link addresses by host name
-	if len(hosts) <= n.FullMeshMax {
+	if len(hosts) <= n.FullMeshMaxHosts {
 		for _, h := range hosts {
 			chosen[h.Name] = h.Aggregator
 		}
--- a/share/httpc/httpc_test.go
+++ b/share/httpc/httpc_test.go
@@ -60,14 +60,14 @@
 type caller struct {
 	t    *testing.T
 	pool *Pool
-	done chan router.Done
+	done chan router.CallDone
 	last uint64
 }
 
 func newCaller(t *testing.T) *caller {
 	t.Helper()
-	c := &caller{t: t, done: make(chan router.Done, 10)}
-	c.pool = &Pool{Dialect: DefaultDialect, Clock: clock.Wall{}, OnDone: func(d router.Done) { c.done <- d }}
+	c := &caller{t: t, done: make(chan router.CallDone, 10)}
+	c.pool = &Pool{Dialect: DefaultDialect, Clock: clock.Wall{}, OnDone: func(d router.CallDone) { c.done <- d }}
 	t.Cleanup(func() { assert.NilError(t, c.pool.Close()) })
 	return c
 }
@@ -86,19 +86,19 @@
 	})
 }
 
-func (c *caller) result() router.Done {
+func (c *caller) result() router.CallDone {
 	c.t.Helper()
 	select {
 	case d := <-c.done:
 		return d
 	case <-time.After(testTimeout):
 		c.t.Fatal("the call did not end")
-		return router.Done{}
+		return router.CallDone{}
 	}
 }
 
 // ask sends a request and returns the result of the call.
-func (c *caller) ask(l *fakeLeaf, id string) router.Done {
+func (c *caller) ask(l *fakeLeaf, id string) router.CallDone {
 	c.t.Helper()
 	c.send(l, id, nil)
 	return c.result()
@@ -333,7 +333,7 @@
 	l := serve(t, reset)
 	c := newCaller(t)
 	c.pool.Send(router.Send{
-		Call: 1, Leaf: "l", Address: l.ln.Addr().String(), Timeout: 1000, Watch: true,
+		Call: 1, Leaf: "l", Address: l.ln.Addr().String(), Timeout: 1000, AwaitRejection: true,
 		Request: &call.Request{ID: "q", Method: "POST", Target: "/x", Host: "h", Header: http.Header{}},
 	})
 	d := <-c.done
--- a/share/httpc/pool.go
+++ b/share/httpc/pool.go
@@ -33,7 +33,7 @@
 	Clock  clock.Clock
 	// OnDone receives the result of a call, OnProbed that of a probe, and OnConnRefused
 	// the refusal of a connection check. They are called from any goroutine.
-	OnDone        func(router.Done)
+	OnDone        func(router.CallDone)
 	OnProbed      func(router.ProbeResult)
 	OnConnRefused func(router.ConnRefused)
 
@@ -234,7 +234,7 @@
 }
 
 // call makes one call over an idle or a new connection.
-func (p *Pool) call(ctx context.Context, send router.Send, request *http.Request) router.Done {
+func (p *Pool) call(ctx context.Context, send router.Send, request *http.Request) router.CallDone {
 	j := &job{request: request, stampOptional: isForwarded(request), done: make(chan result, 1)}
 	c := p.takeIdle(send.Leaf, j)
 	if c == nil {
@@ -244,25 +244,25 @@
 			return dialFailure(ctx, err)
 		}
 		c = newConn(netConn, &p.Dialect)
-		if send.Watch && c.awaitReset((p.Clock.Now() - dialedAt).Duration()) {
-			return router.Done{Kind: call.Full, Cause: "the leaf ended a new connection"}
+		if send.AwaitRejection && c.awaitReset((p.Clock.Now() - dialedAt).Duration()) {
+			return router.CallDone{Kind: call.Full, Cause: "the leaf ended a new connection"}
 		}
 		if !c.begin(j) {
-			return router.Done{Kind: call.NotSent, Cause: ErrIdleClosed.Error()}
+			return router.CallDone{Kind: call.NotSent, Cause: ErrIdleClosed.Error()}
 		}
 	}
 	return p.exchange(ctx, c, j, send)
 }
 
 // dialFailure classifies a failed dial.
-func dialFailure(ctx context.Context, err error) router.Done {
+func dialFailure(ctx context.Context, err error) router.CallDone {
 	switch {
 	case ctx.Err() != nil:
-		return router.Done{Kind: call.Withdrawn, Cause: "given up"}
+		return router.CallDone{Kind: call.Withdrawn, Cause: "given up"}
 	case errors.Is(err, syscall.ECONNRESET):
-		return router.Done{Kind: call.Full, Cause: shortError(err)}
+		return router.CallDone{Kind: call.Full, Cause: shortError(err)}
 	}
-	return router.Done{Kind: call.NotSent, Cause: shortError(err)}
+	return router.CallDone{Kind: call.NotSent, Cause: shortError(err)}
 }
 
 // isForwarded reports whether a request goes to another host.
@@ -270,7 +270,7 @@
 
 // exchange sends the request and waits for the result of the call, or until it is
 // cancelled.
-func (p *Pool) exchange(ctx context.Context, c *conn, j *job, send router.Send) router.Done {
+func (p *Pool) exchange(ctx context.Context, c *conn, j *job, send router.Send) router.CallDone {
 	// The reply may arrive before the whole body is written. The leaf then keeps
 	// reading, and the connection is not reused unless the body was written.
 	written := make(chan error, 1)
@@ -284,7 +284,7 @@
 		return p.completeCall(c, send.Leaf, j, r, written)
 	case <-ctx.Done():
 		c.close()
-		return router.Done{Kind: call.Cancelled, Cause: "given up"}
+		return router.CallDone{Kind: call.Cancelled, Cause: "given up"}
 	}
 }
 
@@ -294,10 +294,10 @@
 
 // completeCall handles the result of a call: it keeps the connection for further calls if
 // possible, or closes it, and classifies the reply.
-func (p *Pool) completeCall(c *conn, leaf string, j *job, r result, written chan error) router.Done {
+func (p *Pool) completeCall(c *conn, leaf string, j *job, r result, written chan error) router.CallDone {
 	if r.err != nil {
 		c.close()
-		return router.Done{Kind: call.Broken, Cause: shortError(r.err)}
+		return router.CallDone{Kind: call.Broken, Cause: shortError(r.err)}
 	}
 	keep := r.keep
 	select {
@@ -323,18 +323,18 @@
 
 // classify distinguishes a rejection by a leaf, which has not run the request, from an
 // answer.
-func (p *Pool) classify(reply *call.Reply) router.Done {
+func (p *Pool) classify(reply *call.Reply) router.CallDone {
 	switch {
 	case reply.Status == http.StatusMisdirectedRequest:
-		return router.Done{Kind: call.Foreign, Cause: "another leaf has the address"}
+		return router.CallDone{Kind: call.Foreign, Cause: "another leaf has the address"}
 	case reply.Header.Get(p.Dialect.NotRun) != "":
-		return router.Done{Kind: call.Shed, Cause: "turned down: " + strconv.Itoa(reply.Status) + " " + reply.Header.Get(p.Dialect.NotRun)}
+		return router.CallDone{Kind: call.Shed, Cause: "turned down: " + strconv.Itoa(reply.Status) + " " + reply.Header.Get(p.Dialect.NotRun)}
 	}
-	return router.Done{Kind: call.Answered, Reply: reply}
+	return router.CallDone{Kind: call.Answered, Reply: reply}
 }
 
 // readMergedHeaders reads the headers of another host's merged answer.
-func (p *Pool) readMergedHeaders(done *router.Done) {
+func (p *Pool) readMergedHeaders(done *router.CallDone) {
 	ms, err := strconv.ParseInt(done.Reply.Header.Get(HeaderForwardProcessingTime), 10, 64)
 	if err == nil {
 		done.ProcessingTime = clock.Milli(ms)
--- a/share/mesh/mesh_test.go
+++ b/share/mesh/mesh_test.go
@@ -137,7 +137,7 @@
 		}
 		if o := m.GetOutcomes(); o != nil {
 			for _, outcome := range o.GetOutcomes() {
-				if k := wire.OutcomeFrom(outcome).Kind; k.String() == "invalid" {
+				if k := wire.DecodeOutcome(outcome).Kind; k.String() == "invalid" {
 					t.Fatal("outcome has an invalid kind")
 				}
 			}
--- a/share/node/node.go
+++ b/share/node/node.go
@@ -134,7 +134,7 @@
 	strikeBroadcasts map[uint64]*strikeBroadcast // by ID
 	lastStrikeID     uint64
 	reads            sync.WaitGroup // platform reads in flight
-	rejected         []admin.Refused
+	rejected         []admin.RejectedVersion
 }
 
 // peer is the process at the other end of a link.
--- a/share/node/status.go
+++ b/share/node/status.go
@@ -12,7 +12,7 @@
 // recordRejected keeps a rejected version for the status, in place of the oldest one if
 // there are maxRejected.
 func (n *Node) recordRejected(a syncer.Reject) {
-	n.rejected = append(n.rejected, admin.Refused{Key: a.Key, Version: a.Stamp.Version, Reason: a.Err.Error()})
+	n.rejected = append(n.rejected, admin.RejectedVersion{Key: a.Key, Version: a.Stamp.Version, Reason: a.Err.Error()})
 	if len(n.rejected) > maxRejected {
 		n.rejected = n.rejected[1:]
 	}
@@ -25,7 +25,7 @@
 		Host: n.Settings.Host.Name, Domain: n.Settings.Host.Domain, Program: n.Program,
 		Incarnation: n.Incarnation, Ready: n.Ready(), Leaving: n.leaving,
 		Watching: n.engine.Watching(now), PlatformAge: -1,
-		Refused: append([]admin.Refused{}, n.rejected...),
+		Rejected: append([]admin.RejectedVersion{}, n.rejected...),
 	}
 	if age, known := n.engine.PlatformAge(now); known {
 		s.PlatformAge = int64(age)
--- a/share/proxy/notes.go
+++ b/share/proxy/notes.go
@@ -13,9 +13,9 @@
 const maxMissingLogged = 8
 
 // logNote logs a decision and counts it.
-func (s *Server) logNote(note router.Note) {
+func (s *Server) logNote(note router.LogRecord) {
 	level := zerolog.InfoLevel
-	if note.Kind.Failure() {
+	if note.Kind.Important() {
 		level = zerolog.WarnLevel
 	}
 	line := s.Log.WithLevel(level)
@@ -45,7 +45,7 @@
 	if note.Extra > 0 {
 		line.Int("extra", note.Extra)
 	}
-	if note.Kind == router.NoteHedged || note.Kind == router.NoteRetried || note.Kind == router.NoteWithheld {
+	if note.Kind == router.LogHedged || note.Kind == router.LogRetried || note.Kind == router.LogWithheld {
 		line.Float64("budget-left", note.BudgetLeft)
 	}
 	if len(note.Missing) > 0 {
@@ -81,20 +81,20 @@
 
 // countNote updates the metrics. Their labels come from fixed lists and the operators'
 // routes, never from callers.
-func (s *Server) countNote(note router.Note) {
+func (s *Server) countNote(note router.LogRecord) {
 	s.Meter.Count("decisions", 1, meter.Label{Name: "kind", Value: note.Kind.String()})
 	switch note.Kind {
-	case router.NoteAnswered, router.NotePartial:
+	case router.LogAnswered, router.LogPartial:
 		s.Meter.Latency("answer_time", note.Took.Duration(), meter.Label{Name: "route", Value: note.Route})
 		s.Meter.Count("extra_calls", int64(note.Extra))
-	case router.NoteRefused:
+	case router.LogRefused:
 		s.Meter.Count("refusals", 1,
 			meter.Label{Name: "route", Value: note.Route}, meter.Label{Name: "reason", Value: note.Refusal.String()})
 	}
 }
 
 // countCall counts a finished call to a leaf by failure domain and outcome.
-func (s *Server) countCall(ended router.CallEnded) {
+func (s *Server) countCall(ended router.CountCall) {
 	domain := meter.Label{Name: "domain", Value: ended.Domain}
 	s.Meter.Count("leaf_calls", 1, domain, meter.Label{Name: "end", Value: ended.Kind.String()})
 	s.Meter.Latency("leaf_call_time", ended.Took.Duration(), domain)
--- a/share/proxy/peers_test.go
+++ b/share/proxy/peers_test.go
@@ -67,7 +67,7 @@
 		}
 		assert.NilError(t, servers[i].Start())
 		defer func() { assert.NilError(t, servers[i].Close()) }()
-		servers[i].SetFacts(router.Facts{Table: &route.Table{Version: 1}, Leaves: []roster.Leaf{leaf}})
+		servers[i].SetTopology(router.Topology{Table: &route.Table{Version: 1}, Leaves: []roster.Leaf{leaf}})
 	}
 	hasLogged := func(i int, text string) poll.Check {
 		return func(poll.LogT) poll.Result {
--- a/share/proxy/server.go
+++ b/share/proxy/server.go
@@ -114,8 +114,8 @@
 // Ready reports whether new callers should connect to this host.
 func (s *Server) Ready() bool { return s.ready.Load() && !s.leaving.Load() }
 
-// SetFacts applies a new configuration and inventory.
-func (s *Server) SetFacts(facts router.Facts) {
+// SetTopology applies a new configuration and inventory.
+func (s *Server) SetTopology(facts router.Topology) {
 	if facts.Table != nil {
 		limits := facts.Table.Limits
 		s.server.SetLimits(httpd.Limits{
@@ -137,7 +137,7 @@
 // SetSeeds replaces the addresses of the hosts to contact first.
 func (s *Server) SetSeeds(list []string) { s.peers.setSeeds(list) }
 
-func (s *Server) callDone(d router.Done) { s.post(d) }
+func (s *Server) callDone(d router.CallDone) { s.post(d) }
 
 func (s *Server) probeDone(p router.ProbeResult) { s.post(p) }
 
@@ -215,9 +215,9 @@
 			s.peers.queueCrashReports(a.List)
 		case router.SendLeafReports:
 			s.peers.queueLeafReports(a.List)
-		case router.CallEnded:
+		case router.CountCall:
 			s.countCall(a)
-		case router.Note:
+		case router.LogRecord:
 			s.logNote(a)
 		}
 	}
--- a/share/proxy/server_test.go
+++ b/share/proxy/server_test.go
@@ -65,7 +65,7 @@
 
 // configureWithin is configure with the operators' limits.
 func (r *rig) configureWithin(limits route.Limits) {
-	r.server.SetFacts(router.Facts{Leaves: r.leaves, Table: &route.Table{Version: 1, Limits: limits, Routes: []route.Route{
+	r.server.SetTopology(router.Topology{Leaves: r.leaves, Table: &route.Table{Version: 1, Limits: limits, Routes: []route.Route{
 		{Name: "one", Host: "h", Prefix: "/one/", Idempotent: true, Attempts: 2, Timeout: 8000, Target: 500, Services: []route.WeightedService{{Service: "s0", Weight: 1}}},
 		{Name: "all", Host: "h", Prefix: "/all/", Idempotent: true, Attempts: 2, Timeout: 2000, Target: 500, Shards: []string{"s0", "s1"}, TopK: 3, MinShare: 0.5},
 	}}})
--- a/share/router/arrive.go
+++ b/share/router/arrive.go
@@ -63,8 +63,8 @@
 		return
 	}
 	e.queries[q.id] = q
-	e.emit(Note{
-		Kind: NoteAdmitted, Request: q.request.ID, Query: q.id, Route: r.Name, Version: q.version, Total: len(q.shards),
+	e.emit(LogRecord{
+		Kind: LogAdmitted, Request: q.request.ID, Query: q.id, Route: r.Name, Version: q.version, Total: len(q.shards),
 		Wait: a.Wait, SinceFirstAttempt: elapsed, Due: q.target - now, Remote: a.Remote, Forwarded: q.forwarded, Late: q.late,
 	})
 	for _, h := range remote {
@@ -233,8 +233,8 @@
 	if q == nil {
 		return
 	}
-	e.emit(Note{
-		Kind: NoteCallerGone, Request: q.request.ID, Query: q.id, Route: q.route.Name, Version: q.version,
+	e.emit(LogRecord{
+		Kind: LogCallerGone, Request: q.request.ID, Query: q.id, Route: q.route.Name, Version: q.version,
 		Took: now - q.arrived, Count: q.answered, Total: len(q.shards),
 	})
 	e.closeQuery(now, q)
--- a/share/router/calldone.go
+++ b/share/router/calldone.go
@@ -8,7 +8,7 @@
 )
 
 // handleCallDone handles the end of a call to a leaf or to another host.
-func (e *Engine) handleCallDone(now clock.Milli, d Done) {
+func (e *Engine) handleCallDone(now clock.Milli, d CallDone) {
 	if r := e.forwards[d.Call]; r != nil {
 		e.endForward(now, r, d)
 		return
@@ -22,7 +22,7 @@
 	f, s := a.leaf, a.shard
 	svc := e.service(f.Service)
 	f.removeCall(a)
-	e.emit(CallEnded{Service: f.Service, Domain: f.Domain, Kind: d.Kind, Took: now - a.sent})
+	e.emit(CountCall{Service: f.Service, Domain: f.Domain, Kind: d.Kind, Took: now - a.sent})
 	e.observeCall(now, a, d)
 	f.calledAt = now
 	e.reportLeaf(now, f)
@@ -37,7 +37,7 @@
 }
 
 // observeCall updates a leaf's statistics and health.
-func (e *Engine) observeCall(now clock.Milli, a *attempt, d Done) {
+func (e *Engine) observeCall(now clock.Milli, a *attempt, d CallDone) {
 	f := a.leaf
 	took := float64(now - a.sent)
 	switch {
@@ -46,7 +46,7 @@
 		e.regions[f.region].observe(took)
 		e.markProven(now, a.shard.query)
 		if f.recordReply(now) {
-			e.emit(Note{Kind: NoteLeafHealthy, Leaf: f.ID, Service: f.Service, Cause: "it answered", Took: now - a.sent})
+			e.emit(LogRecord{Kind: LogLeafHealthy, Leaf: f.ID, Service: f.Service, Cause: "it answered", Took: now - a.sent})
 		}
 	case d.Kind == call.Answered, d.Kind == call.Shed:
 		// The call failed, but the leaf is alive.
@@ -101,13 +101,13 @@
 // unhealthy. The threshold is that of recordFailure.
 func (e *Engine) recordFailedCall(now clock.Milli, f *leaf, threshold int, cause string, elapsed clock.Milli) {
 	if f.recordFailure(now, threshold) && !f.removed {
-		e.emit(Note{Kind: NoteLeafUnhealthy, Leaf: f.ID, Service: f.Service, Cause: cause, Took: elapsed})
+		e.emit(LogRecord{Kind: LogLeafUnhealthy, Leaf: f.ID, Service: f.Service, Cause: cause, Took: elapsed})
 	}
 }
 
 // applyResult applies the end of a call to its shard: the shard is answered, waits for
 // its other calls, is sent to another leaf, or is abandoned.
-func (e *Engine) applyResult(now clock.Milli, a *attempt, d Done) {
+func (e *Engine) applyResult(now clock.Milli, a *attempt, d CallDone) {
 	s := a.shard
 	q := s.query
 	if !d.Kind.NotRun() {
@@ -188,8 +188,8 @@
 		return
 	}
 	s.query.withheld = true
-	e.emit(Note{
-		Kind: NoteWithheld, Request: s.query.request.ID, Query: s.query.id, Service: s.service, Leaf: s.lastTarget,
+	e.emit(LogRecord{
+		Kind: LogWithheld, Request: s.query.request.ID, Query: s.query.id, Service: s.service, Leaf: s.lastTarget,
 		Cause: cause, Took: now - s.query.arrived, BudgetLeft: e.services[s.service].budget.Tokens,
 	})
 }
--- a/share/router/crash.go
+++ b/share/router/crash.go
@@ -69,6 +69,6 @@
 	if len(list) == 0 {
 		return
 	}
-	e.emit(Note{Kind: NoteCrash, Leaf: f.ID, Service: f.Service, Total: len(list), Cause: "it went down with requests on it"})
+	e.emit(LogRecord{Kind: LogCrash, Leaf: f.ID, Service: f.Service, Total: len(list), Cause: "it went down with requests on it"})
 	e.emit(SendCrashReports{List: list})
 }
--- a/share/router/crash_test.go
+++ b/share/router/crash_test.go
@@ -21,7 +21,7 @@
 	}
 	one := singleRoute(true)
 	one.Attempts = 1
-	r.handle(Facts{Table: table(1, one), Leaves: leaves})
+	r.handle(Topology{Table: table(1, one), Leaves: leaves})
 	return r
 }
 
--- a/share/router/dispatch.go
+++ b/share/router/dispatch.go
@@ -47,7 +47,7 @@
 	s.queued = false
 	s.sentAt = now
 	s.hedgeAt = now + e.hedgeDelay(now, s, f)
-	e.emit(Send{Call: a.id, Request: q.request, Leaf: f.ID, Address: f.Address, Timeout: max(1, q.deadline-now), Watch: !q.route.Sharded()})
+	e.emit(Send{Call: a.id, Request: q.request, Leaf: f.ID, Address: f.Address, Timeout: max(1, q.deadline-now), AwaitRejection: !q.route.Sharded()})
 }
 
 const (
@@ -98,7 +98,7 @@
 		return
 	}
 	f.markHealthy(now)
-	e.emit(Note{Kind: NoteLeafHealthy, Leaf: f.ID, Service: f.Service, Cause: "its health is good"})
+	e.emit(LogRecord{Kind: LogLeafHealthy, Leaf: f.ID, Service: f.Service, Cause: "its health is good"})
 	e.dispatchWaiting(now, e.services[f.Service])
 }
 
--- a/share/router/engine.go
+++ b/share/router/engine.go
@@ -109,9 +109,9 @@
 		e.arrive(now, ev)
 	case CallerGone:
 		e.handleCallerGone(now, ev)
-	case Done:
+	case CallDone:
 		e.handleCallDone(now, ev)
-	case Facts:
+	case Topology:
 		e.applyTopology(now, ev)
 	case Peers:
 		e.setPeers(now, ev.List)
@@ -149,11 +149,11 @@
 
 // applyTopology applies new routes, leaves and failure domains. Routes are replaced only
 // by a newer version.
-func (e *Engine) applyTopology(now clock.Milli, t Facts) {
+func (e *Engine) applyTopology(now clock.Milli, t Topology) {
 	if t.Table != nil && (e.table == nil || t.Table.Version > e.table.Version) {
 		e.table = t.Table
 		e.sharded = shardServices(t.Table)
-		e.emit(Note{Kind: NoteTable, Version: t.Table.Version, Total: len(t.Table.Routes)})
+		e.emit(LogRecord{Kind: LogTable, Version: t.Table.Version, Total: len(t.Table.Routes)})
 	}
 	if t.Regions != nil {
 		e.setRegions(t.Regions)
@@ -222,12 +222,12 @@
 func (e *Engine) setDomainsOut(out map[string]bool) {
 	for d := range out {
 		if !e.domainsOut[d] {
-			e.emit(Note{Kind: NoteDomainOut, Cause: d})
+			e.emit(LogRecord{Kind: LogDomainOut, Cause: d})
 		}
 	}
 	for d := range e.domainsOut {
 		if !out[d] {
-			e.emit(Note{Kind: NoteDomainBack, Cause: d})
+			e.emit(LogRecord{Kind: LogDomainBack, Cause: d})
 		}
 	}
 	e.domainsOut = out
@@ -289,7 +289,7 @@
 		}
 	}
 	if first {
-		e.emit(Note{Kind: NoteLeavesKnown, Total: len(list)})
+		e.emit(LogRecord{Kind: LogLeavesKnown, Total: len(list)})
 		added = nil
 	}
 	for id, f := range e.leaves {
@@ -298,8 +298,8 @@
 			removed = append(removed, f)
 		}
 	}
-	e.logLeaves(now, added, NoteLeafNew, NoteLeavesNew)
-	e.logLeaves(now, removed, NoteLeafRemoved, NoteLeavesRemoved)
+	e.logLeaves(now, added, LogLeafNew, LogLeavesNew)
+	e.logLeaves(now, removed, LogLeafRemoved, LogLeavesRemoved)
 }
 
 // maxLeafLogs bounds the log lines per second on leaves added or removed: when an
@@ -308,7 +308,7 @@
 
 // logLeaves logs leaves that were added or removed: each in a record of its own, or all
 // in one record if that would exceed maxLeafLogs in this second.
-func (e *Engine) logLeaves(now clock.Milli, list []*leaf, each, all NoteKind) {
+func (e *Engine) logLeaves(now clock.Milli, list []*leaf, each, all LogKind) {
 	if now >= e.leafLogsAt+clock.Second {
 		e.leafLogsAt, e.leafLogs = now, 0
 	}
@@ -317,12 +317,12 @@
 		for _, f := range list[:min(len(list), maxLeafLogs)] {
 			names = append(names, f.ID)
 		}
-		e.emit(Note{Kind: all, Total: len(list), Cause: strings.Join(names, " ")})
+		e.emit(LogRecord{Kind: all, Total: len(list), Cause: strings.Join(names, " ")})
 		return
 	}
 	e.leafLogs += len(list)
 	for _, f := range list {
-		e.emit(Note{Kind: each, Leaf: f.ID, Service: f.Service, Cause: f.Domain})
+		e.emit(LogRecord{Kind: each, Leaf: f.ID, Service: f.Service, Cause: f.Domain})
 	}
 }
 
@@ -338,7 +338,7 @@
 	if !same {
 		if f != nil {
 			e.removeLeaf(f)
-			e.emit(Note{Kind: NoteLeafRemoved, Leaf: f.ID, Service: f.Service, Cause: "another has its name"})
+			e.emit(LogRecord{Kind: LogLeafRemoved, Leaf: f.ID, Service: f.Service, Cause: "another has its name"})
 		}
 		f = &leaf{warmupLimiter: warmup.Limiter{Phase: rank.Fraction(e.Self.Host, l.ID)}}
 		e.leaves[l.ID] = f
@@ -346,7 +346,7 @@
 		s.leaves = append(s.leaves, f)
 	}
 	if l.Draining && !f.Draining {
-		e.emit(Note{Kind: NoteLeafDraining, Leaf: l.ID, Service: l.Service})
+		e.emit(LogRecord{Kind: LogLeafDraining, Leaf: l.ID, Service: l.Service})
 	}
 	f.Leaf = l
 	e.setLeafRegion(f)
--- a/share/router/finish.go
+++ b/share/router/finish.go
@@ -53,11 +53,11 @@
 	if l.Active() == was {
 		return
 	}
-	kind := NoteLimitLifted
+	kind := LogLimitLifted
 	if l.Active() {
-		kind = NoteLimitSet
+		kind = LogLimitSet
 	}
-	e.emit(Note{
+	e.emit(LogRecord{
 		Kind: kind, Cause: fmt.Sprintf("%.0f of 100 answers came too late of late", 100*l.LateRatio()),
 		Count: l.InFlight, Total: int(l.Limit()),
 	})
@@ -159,8 +159,8 @@
 
 // answer answers a query with the shards answered so far, and closes it.
 func (e *Engine) answer(now clock.Milli, q *query) {
-	n := Note{
-		Kind: NoteAnswered, Request: q.request.ID, Query: q.id, Route: q.route.Name, Version: q.version,
+	n := LogRecord{
+		Kind: LogAnswered, Request: q.request.ID, Query: q.id, Route: q.route.Name, Version: q.version,
 		Took: now - q.arrived, Count: q.answered, Total: len(q.shards), Extra: q.extraCalls, Forwarded: q.forwarded,
 	}
 	n.Late = q.late || now > q.target+e.Policy.Margin
@@ -168,7 +168,7 @@
 	if q.route.Sharded() {
 		a.Merged = &Merged{Parts: q.parts(), Missing: q.missingServices(), TopK: q.route.TopK}
 		if q.answered < len(q.shards) {
-			n.Kind = NotePartial
+			n.Kind = LogPartial
 			n.Missing = q.missingShards()
 		}
 	} else {
@@ -194,8 +194,8 @@
 	if reason == Late && !q.mayHaveRun() {
 		reason = NoCapacity
 	}
-	n := Note{
-		Kind: NoteRefused, Request: q.request.ID, Query: q.id, Version: q.version,
+	n := LogRecord{
+		Kind: LogRefused, Request: q.request.ID, Query: q.id, Version: q.version,
 		Cause: reason.String() + ": " + cause, Refusal: reason, Took: now - q.arrived, Count: q.answered, Total: len(q.shards), Extra: q.extraCalls,
 		Missing: q.missingShards(), Forwarded: q.forwarded,
 	}
--- a/share/router/forward.go
+++ b/share/router/forward.go
@@ -50,12 +50,12 @@
 		Call: r.id, Request: q.request, Address: p.Address, Version: q.version, Shards: names,
 		Target: due - now - clock.Milli(e.roundTrip(p)), Timeout: q.deadline - now, Late: q.late,
 	})
-	e.emit(Note{Kind: NoteForwarded, Request: q.request.ID, Query: q.id, Leaf: p.Address, Version: q.version, Total: len(group)})
+	e.emit(LogRecord{Kind: LogForwarded, Request: q.request.ID, Query: q.id, Leaf: p.Address, Version: q.version, Total: len(group)})
 }
 
 // endForward handles the end of a forward. It merges an answer; the shards of a forward
 // that failed are called from this host or abandoned.
-func (e *Engine) endForward(now clock.Milli, r *forward, d Done) {
+func (e *Engine) endForward(now clock.Milli, r *forward, d CallDone) {
 	delete(e.forwards, r.id)
 	r.ended = true
 	p, q := r.peer, r.query
@@ -155,7 +155,7 @@
 // them. The other host may have called one leaf for each shard. If it failed before it
 // can have hedged, it hasn't called a second one, and one more call stays within the
 // route's attempts.
-func (e *Engine) fallBack(now clock.Milli, r *forward, d Done) {
+func (e *Engine) fallBack(now clock.Milli, r *forward, d CallDone) {
 	early := now-r.sent < clock.Milli(e.roundTrip(r.peer))+minHedgeDelay
 	for _, s := range r.shards {
 		if early && e.retryLocally(now, s) {
@@ -165,9 +165,9 @@
 	}
 }
 
-func (e *Engine) logForwardFailed(now clock.Milli, r *forward, d Done) {
-	e.emit(Note{
-		Kind: NoteForwardFailed, Request: r.query.request.ID, Query: r.query.id, Leaf: r.peer.Address,
+func (e *Engine) logForwardFailed(now clock.Milli, r *forward, d CallDone) {
+	e.emit(LogRecord{
+		Kind: LogForwardFailed, Request: r.query.request.ID, Query: r.query.id, Leaf: r.peer.Address,
 		Cause: d.Kind.String() + ": " + d.Cause, Took: now - r.sent, Total: len(r.shards),
 	})
 }
--- a/share/router/forward_test.go
+++ b/share/router/forward_test.go
@@ -22,7 +22,7 @@
 		s := fmt.Sprintf("s%d", i)
 		leaves = append(leaves, leafOf(s, s+"-far", farDomain), leafOf(s, s+"-far2", farDomain))
 	}
-	r.handle(Facts{Table: table(7, shardedRoute(8)), Leaves: leaves})
+	r.handle(Topology{Table: table(7, shardedRoute(8)), Leaves: leaves})
 	r.handle(Peers{List: []Peer{{Address: peerAddress, Domain: farDomain, Started: 1}}})
 	return r
 }
@@ -42,7 +42,7 @@
 	for _, s := range r.sends {
 		r.reply(s)
 	}
-	r.handle(Done{Call: forward.Call, Kind: call.Answered, ProcessingTime: 20, Reply: &call.Reply{
+	r.handle(CallDone{Call: forward.Call, Kind: call.Answered, ProcessingTime: 20, Reply: &call.Reply{
 		Status: 200, Stamp: "a, b, c", Missing: []string{"s6"},
 	}})
 	m := r.answers[q].Merged
@@ -55,7 +55,7 @@
 func TestRefusedForwardIsServedLocally(t *testing.T) {
 	r := farRig(t)
 	q := r.arrive("/all/x", 1500)
-	r.handle(Done{Call: r.forwards[0].Call, Kind: call.Shed, Cause: "stale"})
+	r.handle(CallDone{Call: r.forwards[0].Call, Kind: call.Shed, Cause: "stale"})
 	assert.Equal(t, len(r.sends), 8)
 	for _, s := range r.sends {
 		r.reply(s)
@@ -74,10 +74,10 @@
 	}
 	r.advance(120)
 	sent := len(r.sends)
-	r.handle(Done{Call: r.forwards[0].Call, Kind: call.Broken, Cause: "reset"})
+	r.handle(CallDone{Call: r.forwards[0].Call, Kind: call.Broken, Cause: "reset"})
 	assert.Equal(t, len(r.sends), sent)
 	assert.Equal(t, r.answers[q].Refusal, Failed)
-	assert.Assert(t, r.logged(NotePeerUnhealthy))
+	assert.Assert(t, r.logged(LogPeerUnhealthy))
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, len(r.forwards), 1)
 	assert.Equal(t, len(r.sends), sent+8)
@@ -98,7 +98,7 @@
 // refused as not run: an answer by the older configuration would undo the newer.
 func TestOlderHostRefusesAForward(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(6, shardedRoute(2)), Leaves: leafPairs(2)})
+	r.handle(Topology{Table: table(6, shardedRoute(2)), Leaves: leafPairs(2)})
 	ask := func(version uint64, shards ...string) Answer {
 		r.queries++
 		r.handle(Arrival{
@@ -119,7 +119,7 @@
 // host that answers the caller.
 func TestForwardedPartIsAnsweredInTime(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(6, shardedRoute(4)), Leaves: leafPairs(4)})
+	r.handle(Topology{Table: table(6, shardedRoute(4)), Leaves: leafPairs(4)})
 	r.queries++
 	r.handle(Arrival{
 		Query: 1, Wait: 1000, Forwarded: true, Version: 6, Shards: []string{"s0", "s1", "s2"}, Target: 100,
@@ -139,7 +139,7 @@
 	restricted := shardedRoute(2)
 	restricted.Regions = []string{"near"}
 	restricted.MinShare = 0.5
-	r.handle(Facts{Table: table(1, restricted), Leaves: []roster.Leaf{
+	r.handle(Topology{Table: table(1, restricted), Leaves: []roster.Leaf{
 		leafOf("s0", "a", nearDomain), leafOf("s1", "b", farDomain),
 	}})
 	r.handle(Peers{List: []Peer{{Address: peerAddress, Domain: farDomain, Started: 1}}})
@@ -154,7 +154,7 @@
 // same leaves.
 func TestForwardedPartWaitsForCapacity(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(6, shardedRoute(1)), Leaves: leafPairs(1)})
+	r.handle(Topology{Table: table(6, shardedRoute(1)), Leaves: leafPairs(1)})
 	for _, f := range r.engine.leaves {
 		f.connLimit = 0
 	}
@@ -174,12 +174,12 @@
 // retry all shards.
 func TestShardsMissingFromAForwardAreRetriedLocally(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: farLeaves(4)})
+	r.handle(Topology{Table: table(1, shardedRoute(4)), Leaves: farLeaves(4)})
 	r.handle(Peers{List: []Peer{{Address: peerAddress, Domain: farDomain, Started: 1}}})
 	q := r.arrive("/all/x", 1500)
 	assert.Equal(t, len(r.forwards), 1)
 	r.advance(200)
-	r.handle(Done{Call: r.forwards[0].Call, Kind: call.Answered, Reply: &call.Reply{
+	r.handle(CallDone{Call: r.forwards[0].Call, Kind: call.Answered, Reply: &call.Reply{
 		Status: 200, Stamp: "a, b", Missing: []string{"s2", "s3"},
 	}})
 	assert.Equal(t, len(r.sends), 1, "three of four shards are needed: %v", r.logs)
@@ -193,7 +193,7 @@
 // many hosts would detect that only by a late query of its own.
 func TestSuspectedHostGetsNoShards(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: farLeaves(4)})
+	r.handle(Topology{Table: table(1, shardedRoute(4)), Leaves: farLeaves(4)})
 	other := "10.0.2.8:1"
 	r.handle(Peers{List: []Peer{{Address: peerAddress, Domain: farDomain, Started: 1, Suspected: true}, {Address: other, Domain: farDomain, Started: 1}}})
 	for range 3 {
--- a/share/router/hedge.go
+++ b/share/router/hedge.go
@@ -63,14 +63,14 @@
 		e.logWithheld(now, s, "budget of second calls is empty")
 		return
 	}
-	kind, cause := NoteHedged, "no reply yet"
+	kind, cause := LogHedged, "no reply yet"
 	if s.pending() == 0 {
-		kind, cause = NoteRetried, s.cause
+		kind, cause = LogRetried, s.cause
 	}
 	age := now - s.sentAt
 	q.extraCalls++
 	e.send(now, s, f)
-	e.emit(Note{
+	e.emit(LogRecord{
 		Kind: kind, Request: q.request.ID, Query: q.id, Service: s.service, Leaf: f.ID,
 		Cause: cause, Took: age, BudgetLeft: svc.budget.Tokens,
 	})
--- a/share/router/late_test.go
+++ b/share/router/late_test.go
@@ -14,7 +14,7 @@
 // was admitted last.
 func (r *rig) sinceFirstAttempt() clock.Milli {
 	for i := len(r.logs) - 1; i >= 0; i-- {
-		if r.logs[i].Kind == NoteAdmitted {
+		if r.logs[i].Kind == LogAdmitted {
 			return r.logs[i].SinceFirstAttempt
 		}
 	}
@@ -28,7 +28,7 @@
 // wait.
 func TestTimeoutRevealsRetries(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
+	r.handle(Topology{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
 	for _, left := range []clock.Milli{400, 350, 480, 310} {
 		r.arrive("/all/x", left)
 		assert.Equal(t, r.sinceFirstAttempt(), 1500-left)
@@ -40,7 +40,7 @@
 // a first attempt.
 func TestCallersOwnWaitReplacesTheTimeout(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
+	r.handle(Topology{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
 	for range 30 {
 		r.arrive("/all/x", 900)
 		r.reply(r.last())
@@ -53,7 +53,7 @@
 // too late.
 func TestFirstRequestsOnConnectionsDoNotCountAsFull(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
+	r.handle(Topology{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
 	for range 40 {
 		r.arrive("/all/x", 1493)
 		r.reply(r.last())
@@ -70,7 +70,7 @@
 // and must not change the estimate.
 func TestForwardedPartsDoNotChangeWaitEstimates(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
+	r.handle(Topology{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
 	for range 80 {
 		r.queries++
 		r.handle(Arrival{
@@ -89,7 +89,7 @@
 func TestLateQueryLeavesCapacity(t *testing.T) {
 	r := newRig(t)
 	near := []roster.Leaf{leafOf("s0", "only", nearDomain)}
-	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: near})
+	r.handle(Topology{Table: table(1, shardedRoute(1)), Leaves: near})
 	r.arrive("/all/a", 1500)
 	late := r.arrive("/all/late", 400)
 	assert.Equal(t, len(r.sends), 1, "the late query took capacity")
@@ -108,7 +108,7 @@
 // cost of queries in time.
 func TestLateQueryIsNotHedged(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
+	r.handle(Topology{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
 	r.arrive("/all/late", 400)
 	r.advance(245) // the new target is the route's 250 ms after the arrival
 	assert.Equal(t, len(r.sends), 1)
--- a/share/router/leaflog_test.go
+++ b/share/router/leaflog_test.go
@@ -14,8 +14,8 @@
 func TestManyLeavesAreLoggedInOneLine(t *testing.T) {
 	r := newRig(t)
 	first := []roster.Leaf{leafOf("s0", "s0-near", nearDomain)}
-	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: first})
-	count := func(kind NoteKind) (lines, leaves int) {
+	r.handle(Topology{Table: table(1, shardedRoute(1)), Leaves: first})
+	count := func(kind LogKind) (lines, leaves int) {
 		for _, n := range r.logs {
 			if n.Kind == kind {
 				lines++
@@ -25,21 +25,21 @@
 		return lines, leaves
 	}
 	few := append(slices.Clone(first), leafOf("s1", "a", nearDomain), leafOf("s2", "b", nearDomain))
-	r.handle(Facts{Leaves: few})
-	lines, _ := count(NoteLeafNew)
+	r.handle(Topology{Leaves: few})
+	lines, _ := count(LogLeafNew)
 	assert.Equal(t, lines, 2)
 	many := slices.Clone(few)
 	for i := range 258 {
 		many = append(many, leafOf("s3", fmt.Sprintf("i-%d", i), nearDomain))
 	}
-	r.handle(Facts{Leaves: many})
-	r.handle(Facts{Leaves: few})
-	lines, _ = count(NoteLeafNew)
+	r.handle(Topology{Leaves: many})
+	r.handle(Topology{Leaves: few})
+	lines, _ = count(LogLeafNew)
 	assert.Equal(t, lines, 2)
-	lines, leaves := count(NoteLeavesNew)
+	lines, leaves := count(LogLeavesNew)
 	assert.Equal(t, lines, 1)
 	assert.Equal(t, leaves, 258)
-	lines, leaves = count(NoteLeavesRemoved)
+	lines, leaves = count(LogLeavesRemoved)
 	assert.Equal(t, lines, 1)
 	assert.Equal(t, leaves, 258)
 }
--- a/share/router/limit_test.go
+++ b/share/router/limit_test.go
@@ -23,7 +23,7 @@
 // fewer queries are in flight than the limit, and until then refused in the same way.
 func TestBeyondTheLimitCallersAreRefusedAtOnce(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
+	r.handle(Topology{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
 	r.engine.limiter = saturatedLimiter(20)
 	first := r.arrive("/all/x", 1500)
 	// A retry waits for less than the callers' full 1500 ms.
@@ -42,7 +42,7 @@
 // the share of late answers, and one that it is lifted.
 func TestLimitIsLogged(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
+	r.handle(Topology{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
 	for range 6 {
 		sent := len(r.sends)
 		for range 4 {
@@ -53,7 +53,7 @@
 			r.reply(s)
 		}
 	}
-	assert.Assert(t, r.logged(NoteLimitSet), "%v", r.logs)
+	assert.Assert(t, r.logged(LogLimitSet), "%v", r.logs)
 	for range 200 {
 		sent := len(r.sends)
 		r.arrive("/all/x", 1500)
@@ -61,7 +61,7 @@
 			r.reply(s)
 		}
 	}
-	assert.Assert(t, r.logged(NoteLimitLifted))
+	assert.Assert(t, r.logged(LogLimitLifted))
 }
 
 // A host whose limiter refuses queries gets shards of a late query that another host has
@@ -69,7 +69,7 @@
 // fail the whole query.
 func TestForwardedLateShardsAreServedDespiteTheLimit(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
+	r.handle(Topology{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
 	r.engine.limiter = saturatedLimiter(20)
 	r.queries++
 	r.handle(Arrival{
--- a/share/router/overload_test.go
+++ b/share/router/overload_test.go
@@ -30,7 +30,7 @@
 			w.roster[i].Slots = 2
 		}
 		for _, h := range w.hosts {
-			h.handle(Facts{Table: w.table, Leaves: w.roster})
+			h.handle(Topology{Table: w.table, Leaves: w.roster})
 		}
 		w.startLoad(13000)
 		w.runUntil(begin)
--- a/share/router/peer.go
+++ b/share/router/peer.go
@@ -69,7 +69,7 @@
 		e.updateShares(now)
 	}
 	if len(known) != len(list) {
-		e.emit(Note{Kind: NotePeers, Count: len(list), Total: hosts})
+		e.emit(LogRecord{Kind: LogPeers, Count: len(list), Total: hosts})
 	}
 }
 
@@ -298,7 +298,7 @@
 }
 
 // recordForward updates a host's round trip and backoff with the outcome of a forward.
-func (e *Engine) recordForward(now clock.Milli, r *forward, d Done) {
+func (e *Engine) recordForward(now clock.Milli, r *forward, d CallDone) {
 	p := r.peer
 	if d.Refusal == NoCapacity {
 		p.backoff = 0 // its leaves have no capacity; the host is healthy
@@ -321,5 +321,5 @@
 	}
 	p.backoff = min(max(minPeerBackoff, 2*p.backoff), maxPeerBackoff)
 	p.backoffUntil = now + p.backoff
-	e.emit(Note{Kind: NotePeerUnhealthy, Leaf: p.Address, Cause: d.Kind.String() + ": " + d.Cause, Took: now - r.sent})
+	e.emit(LogRecord{Kind: LogPeerUnhealthy, Leaf: p.Address, Cause: d.Kind.String() + ": " + d.Cause, Took: now - r.sent})
 }
--- a/share/router/query_test.go
+++ b/share/router/query_test.go
@@ -15,7 +15,7 @@
 // call is cancelled soon after.
 func TestPartialAnswerLeavesInTime(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
+	r.handle(Topology{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
 	q := r.arrive("/all/x", 1500)
 	calls := r.sends
 	assert.Equal(t, len(calls), 4)
@@ -37,7 +37,7 @@
 // as soon as the third replies.
 func TestTooFewShardsDelayTheAnswer(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
+	r.handle(Topology{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
 	q := r.arrive("/all/x", 1500)
 	r.reply(r.sends[0])
 	r.reply(r.sends[1])
@@ -53,7 +53,7 @@
 // attempt.
 func TestRetryIsAnsweredSooner(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
+	r.handle(Topology{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
 	for range 5 {
 		first := r.arrive("/all/x", 1500)
 		for _, s := range r.sends[len(r.sends)-4:] {
@@ -74,7 +74,7 @@
 // all callers, its partial answers were late.
 func TestFarCallerIsAnsweredSooner(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
+	r.handle(Topology{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
 	ask := func(wait clock.Milli) uint64 {
 		r.queries++
 		r.handle(Arrival{
@@ -108,7 +108,7 @@
 // failed.
 func TestStalledLeafIsHedgedAndAvoided(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: []roster.Leaf{leafOf("s0", "a", nearDomain), leafOf("s0", "b", nearDomain)}})
+	r.handle(Topology{Table: table(1, shardedRoute(1)), Leaves: []roster.Leaf{leafOf("s0", "a", nearDomain), leafOf("s0", "b", nearDomain)}})
 	for range 20 {
 		r.arrive("/all/x", 1500)
 		r.advance(20)
@@ -119,7 +119,7 @@
 	r.advance(120)
 	hedge := r.last()
 	assert.Assert(t, hedge.Leaf != stalled.Leaf)
-	assert.Assert(t, r.logged(NoteHedged))
+	assert.Assert(t, r.logged(LogHedged))
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, hedge.Leaf)
 	r.reply(hedge)
@@ -130,7 +130,7 @@
 // fraction of a second, so that leaves stop work that nobody needs.
 func TestWorkEndsWhenTheCallerDisconnects(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
+	r.handle(Topology{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
 	q := r.arrive("/all/x", 1500)
 	r.handle(CallerGone{Query: q})
 	r.advance(250)
@@ -146,7 +146,7 @@
 func TestSecondCallsStayWithinTheBudget(t *testing.T) {
 	r := newRig(t)
 	r.engine.Policy = Policy{BudgetRatio: 0.19, BudgetReserve: 40, MinHosts: 6}
-	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
+	r.handle(Topology{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
 	type openCall struct {
 		send Send
 		due  clock.Milli
@@ -196,7 +196,7 @@
 // near leaves would keep sending them calls; within a second most must go to the far leaves.
 func TestRejectingLeavesAreAvoided(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
+	r.handle(Topology{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
 	far := 0
 	for i := range 60 {
 		r.arrive("/all/x", 1500)
@@ -224,10 +224,10 @@
 // the shards that it began with; the next one has the new ones.
 func TestQueryKeepsItsConfiguration(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(2)), Leaves: leafPairs(3)})
+	r.handle(Topology{Table: table(1, shardedRoute(2)), Leaves: leafPairs(3)})
 	q := r.arrive("/all/x", 1500)
 	first := r.sends
-	r.handle(Facts{Table: table(2, shardedRoute(3)), Leaves: leafPairs(3)})
+	r.handle(Topology{Table: table(2, shardedRoute(3)), Leaves: leafPairs(3)})
 	for _, s := range first {
 		r.reply(s)
 	}
@@ -235,7 +235,7 @@
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, len(r.sends), 5)
 	// An older version that arrives late is ignored.
-	r.handle(Facts{Table: table(1, shardedRoute(2)), Leaves: leafPairs(3)})
+	r.handle(Topology{Table: table(1, shardedRoute(2)), Leaves: leafPairs(3)})
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, len(r.sends), 8)
 }
@@ -244,13 +244,13 @@
 // soon as the other shards have replied.
 func TestShardWithoutLeafIsNotWaitedFor(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(3)})
+	r.handle(Topology{Table: table(1, shardedRoute(4)), Leaves: leafPairs(3)})
 	q := r.arrive("/all/x", 1500)
 	for _, s := range r.sends {
 		r.reply(s)
 	}
 	assert.Equal(t, len(r.answers[q].Merged.Parts), 3)
-	r.handle(Facts{Leaves: []roster.Leaf{leafOf("s0", "a", nearDomain)}})
+	r.handle(Topology{Leaves: []roster.Leaf{leafOf("s0", "a", nearDomain)}})
 	q = r.arrive("/all/x", 1500)
 	assert.Equal(t, r.answers[q].Refusal, NoLeaf)
 }
@@ -261,7 +261,7 @@
 func TestLeavesThatLoseRepliesAreStillCalled(t *testing.T) {
 	r := newRig(t)
 	r.engine.Policy = Policy{BudgetRatio: 1, BudgetReserve: 1000, MinHosts: 1}
-	r.handle(Facts{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
+	r.handle(Topology{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
 	good, calls := 0, 0
 	for range 100 {
 		seen := len(r.sends)
--- a/share/router/replay_test.go
+++ b/share/router/replay_test.go
@@ -171,7 +171,7 @@
 		}
 	}
 	for _, h := range w.hosts {
-		h.handle(Facts{Table: w.table, Leaves: list})
+		h.handle(Topology{Table: w.table, Leaves: list})
 	}
 }
 
--- a/share/router/reports.go
+++ b/share/router/reports.go
@@ -70,8 +70,8 @@
 		f.latency, f.latencyAt = e.typicalLatency(f)+float64(r.ExtraLatency), now
 		f.deviation = max(f.deviation, f.latency/4)
 		f.failureRatio, f.failureRatioAt = r.FailureRatio, now
-		e.emit(Note{
-			Kind: NoteLeafReport, Leaf: f.ID, Service: f.Service, Took: r.ExtraLatency,
+		e.emit(LogRecord{
+			Kind: LogLeafReport, Leaf: f.ID, Service: f.Service, Took: r.ExtraLatency,
 			Cause: fmt.Sprintf("%.0f of 100 calls fail", 100*r.FailureRatio),
 		})
 	}
--- a/share/router/reports_test.go
+++ b/share/router/reports_test.go
@@ -15,7 +15,7 @@
 // reportsRig returns a rig with a shard that has a near leaf and a far one, and a neighbor.
 func reportsRig(t *testing.T) *rig {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
+	r.handle(Topology{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
 	r.handle(Peers{List: []Peer{neighbor}})
 	return r
 }
@@ -26,7 +26,7 @@
 func TestSlowLeafIsAvoidedAfterReport(t *testing.T) {
 	r := reportsRig(t)
 	r.handle(LeafReports{List: []report.Leaf{{ID: "s0-near", ExtraLatency: 300}}})
-	assert.Assert(t, r.logged(NoteLeafReport))
+	assert.Assert(t, r.logged(LogLeafReport))
 	r.arrive("/all/x", 1500)
 	assert.Equal(t, r.last().Leaf, "s0-far")
 	r.reply(r.last())
--- a/share/router/router_test.go
+++ b/share/router/router_test.go
@@ -25,7 +25,7 @@
 	cancels      []Cancel
 	probes       []Probe
 	answers      map[uint64]Answer
-	logs         []Note
+	logs         []LogRecord
 	crashReports []crash.Report
 	// leafReports are the reports sent to the other hosts of the domain.
 	leafReports []report.Leaf
@@ -64,7 +64,7 @@
 			r.crashReports = append(r.crashReports, a.List...)
 		case SendLeafReports:
 			r.leafReports = append(r.leafReports, a.List...)
-		case Note:
+		case LogRecord:
 			r.logs = append(r.logs, a)
 		}
 	}
@@ -107,14 +107,16 @@
 
 // reply ends a call with a successful reply of its leaf.
 func (r *rig) reply(s Send) {
-	r.handle(Done{Call: s.Call, Kind: call.Answered, Reply: &call.Reply{Status: 200, Stamp: "stamp-" + s.Leaf}})
+	r.handle(CallDone{Call: s.Call, Kind: call.Answered, Reply: &call.Reply{Status: 200, Stamp: "stamp-" + s.Leaf}})
 }
 
 // fail ends a call without a reply.
-func (r *rig) fail(s Send, kind call.Kind) { r.handle(Done{Call: s.Call, Kind: kind, Cause: "test"}) }
+func (r *rig) fail(s Send, kind call.Kind) {
+	r.handle(CallDone{Call: s.Call, Kind: kind, Cause: "test"})
+}
 
 // logged reports whether the engine has logged a record of a kind.
-func (r *rig) logged(kind NoteKind) bool {
+func (r *rig) logged(kind LogKind) bool {
 	for _, n := range r.logs {
 		if n.Kind == kind {
 			return true
@@ -166,7 +168,7 @@
 // leaf is called at once, and the caller gets its reply.
 func TestBrokenCallIsTriedOnAnotherLeaf(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, singleRoute(true)), Leaves: []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("s", "b", nearDomain)}})
+	r.handle(Topology{Table: table(1, singleRoute(true)), Leaves: []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("s", "b", nearDomain)}})
 	q := r.arrive("/one/x", 4000)
 	first := r.last()
 	r.now += 2
--- a/share/router/single_test.go
+++ b/share/router/single_test.go
@@ -16,7 +16,7 @@
 // that nothing ran.
 func TestUpdateThatMayHaveRunIsNotSentAgain(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, singleRoute(false)), Leaves: []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("s", "b", nearDomain)}})
+	r.handle(Topology{Table: table(1, singleRoute(false)), Leaves: []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("s", "b", nearDomain)}})
 	q := r.arrive("/one/x", 4000)
 	r.fail(r.last(), call.Broken)
 	r.advance(5000)
@@ -28,7 +28,7 @@
 // route's timeout that the outcome is unknown; no second leaf is called before.
 func TestSilentUpdateIsNotHedged(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, singleRoute(false)), Leaves: []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("s", "b", nearDomain)}})
+	r.handle(Topology{Table: table(1, singleRoute(false)), Leaves: []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("s", "b", nearDomain)}})
 	q := r.arrive("/one/x", 9000)
 	r.advance(3999)
 	_, answered := r.answers[q]
@@ -43,7 +43,7 @@
 // to retry.
 func TestRejectedUpdateIsRetried(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, singleRoute(false)), Leaves: []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("s", "b", nearDomain)}})
+	r.handle(Topology{Table: table(1, singleRoute(false)), Leaves: []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("s", "b", nearDomain)}})
 	q := r.arrive("/one/x", 4000)
 	first := r.last()
 	r.fail(first, call.Shed)
@@ -61,7 +61,7 @@
 	r := newRig(t)
 	q := r.arrive("/one/x", 4000)
 	assert.Equal(t, r.answers[q].Refusal, NoConfig)
-	r.handle(Facts{Table: table(1, singleRoute(true))})
+	r.handle(Topology{Table: table(1, singleRoute(true))})
 	q = r.arrive("/two/x", 4000)
 	assert.Equal(t, r.answers[q].Refusal, NoRoute)
 	q = r.arrive("/one/x", 4000)
@@ -72,10 +72,10 @@
 // reply is returned with its status.
 func TestLeafErrorIsReturnedLast(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, singleRoute(true)), Leaves: []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("s", "b", nearDomain)}})
+	r.handle(Topology{Table: table(1, singleRoute(true)), Leaves: []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("s", "b", nearDomain)}})
 	q := r.arrive("/one/x", 4000)
 	fail := func() {
-		r.handle(Done{Call: r.last().Call, Kind: call.Answered, Reply: &call.Reply{Status: 500, Stamp: "x"}})
+		r.handle(CallDone{Call: r.last().Call, Kind: call.Answered, Reply: &call.Reply{Status: 500, Stamp: "x"}})
 	}
 	fail()
 	assert.Equal(t, len(r.sends), 2)
@@ -88,7 +88,7 @@
 func TestLeavesOutOfServiceGetNoCalls(t *testing.T) {
 	leaves := []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("s", "b", farDomain), leafOf("s", "c", nearDomain)}
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, singleRoute(true)), Leaves: leaves})
+	r.handle(Topology{Table: table(1, singleRoute(true)), Leaves: leaves})
 	for range 40 {
 		r.arrive("/one/x", 4000)
 	}
@@ -96,7 +96,7 @@
 	assert.Assert(t, sent < 40, "some requests must be queued")
 	draining := leaves[0]
 	draining.Draining = true
-	r.handle(Facts{Leaves: []roster.Leaf{draining, leaves[1]}, DomainsOut: map[string]bool{farDomain: true}})
+	r.handle(Topology{Leaves: []roster.Leaf{draining, leaves[1]}, DomainsOut: map[string]bool{farDomain: true}})
 	for _, s := range r.sends[:sent] {
 		r.reply(s)
 	}
@@ -109,7 +109,7 @@
 	weighted := singleRoute(true)
 	weighted.Services = []route.WeightedService{{Service: "s", Weight: 3}, {Service: "t", Weight: 1}}
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, weighted), Leaves: []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("t", "b", nearDomain)}})
+	r.handle(Topology{Table: table(1, weighted), Leaves: []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("t", "b", nearDomain)}})
 	got := map[string]int{}
 	for range 400 {
 		r.arrive("/one/x", 4000)
@@ -124,7 +124,7 @@
 // probed meanwhile and gets calls again when it is healthy.
 func TestRefusedConnectionMakesALeafUnhealthy(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, singleRoute(true)), Leaves: []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("s", "b", nearDomain)}})
+	r.handle(Topology{Table: table(1, singleRoute(true)), Leaves: []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("s", "b", nearDomain)}})
 	for _, f := range r.engine.leaves {
 		f.connLimit = 20
 	}
@@ -143,7 +143,7 @@
 	}
 	assert.Assert(t, len(r.probes) == 1 && r.probes[0].Leaf == first.Leaf, "%v", r.probes)
 	r.handle(ProbeResult{Leaf: first.Leaf, Healthy: true})
-	assert.Assert(t, r.logged(NoteLeafHealthy))
+	assert.Assert(t, r.logged(LogLeafHealthy))
 	r.advance(4000)
 	seen := map[string]bool{}
 	for range 10 {
@@ -161,7 +161,7 @@
 	config := table(1, singleRoute(true))
 	config.Services["s"] = route.Service{Name: "s", ColdRate: 10, Connections: 100}
 	r := newRig(t)
-	r.handle(Facts{Table: config, Leaves: []roster.Leaf{cold}})
+	r.handle(Topology{Table: config, Leaves: []roster.Leaf{cold}})
 	for range 100 {
 		r.advance(20)
 		r.arrive("/one/x", 4000)
@@ -201,8 +201,8 @@
 	r.engine.Self.Region = ""
 	restricted := singleRoute(true)
 	restricted.Regions = []string{"near"}
-	topology := func(version uint64, near, far string) Facts {
-		return Facts{
+	topology := func(version uint64, near, far string) Topology {
+		return Topology{
 			Table: table(version, restricted), Leaves: []roster.Leaf{leafOf("s", "a", nearDomain), leafOf("s", "b", farDomain)},
 			Regions: map[string]string{nearDomain: near, farDomain: far},
 		}
@@ -227,7 +227,7 @@
 	}{"within the round trip": {90, false}, "long after it": {250, true}} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			r.handle(Facts{Table: table(1, singleRoute(true)), Leaves: []roster.Leaf{leafOf("s", "a", farDomain)}})
+			r.handle(Topology{Table: table(1, singleRoute(true)), Leaves: []roster.Leaf{leafOf("s", "a", farDomain)}})
 			r.arrive("/one/", 2000)
 			r.advance(92)
 			r.reply(r.last()) // the region's leaves take 92 ms
@@ -245,7 +245,7 @@
 // a leaf that is added later has a line of its own.
 func TestFirstListOfLeavesIsOneLine(t *testing.T) {
 	r := newRig(t)
-	count := func(kind NoteKind) int {
+	count := func(kind LogKind) int {
 		n := 0
 		for _, note := range r.logs {
 			if note.Kind == kind {
@@ -254,10 +254,10 @@
 		}
 		return n
 	}
-	r.handle(Facts{Table: table(1, shardedRoute(8)), Leaves: leafPairs(8)})
-	assert.Equal(t, count(NoteLeavesKnown), 1)
-	assert.Equal(t, count(NoteLeafNew), 0)
-	r.handle(Facts{Leaves: leafPairs(9)})
-	assert.Equal(t, count(NoteLeavesKnown), 1)
-	assert.Equal(t, count(NoteLeafNew), 2)
+	r.handle(Topology{Table: table(1, shardedRoute(8)), Leaves: leafPairs(8)})
+	assert.Equal(t, count(LogLeavesKnown), 1)
+	assert.Equal(t, count(LogLeafNew), 0)
+	r.handle(Topology{Leaves: leafPairs(9)})
+	assert.Equal(t, count(LogLeavesKnown), 1)
+	assert.Equal(t, count(LogLeafNew), 2)
 }
--- a/share/router/types.go
+++ b/share/router/types.go
@@ -42,8 +42,8 @@
 // CallerGone reports that a caller closed its connection.
 type CallerGone struct{ Query uint64 }
 
-// Done is the outcome of a call to a leaf or to another host.
-type Done struct {
+// CallDone is the outcome of a call to a leaf or to another host.
+type CallDone struct {
 	Call  uint64
 	Kind  call.Kind
 	Reply *call.Reply
@@ -56,9 +56,9 @@
 	ProcessingTime clock.Milli
 }
 
-// Facts replaces the known routes, leaves and failure domains. A nil Table, or one that
+// Topology replaces the known routes, leaves and failure domains. A nil Table, or one that
 // isn't newer than the table in force, is ignored.
-type Facts struct {
+type Topology struct {
 	Table  *route.Table
 	Leaves []roster.Leaf
 	// DomainsOut are the failure domains that get no new work.
@@ -98,8 +98,8 @@
 func (Arrival) event()     {}
 func (CallerGone) event()  {}
 func (ConnRefused) event() {}
-func (Done) event()        {}
-func (Facts) event()       {}
+func (CallDone) event()    {}
+func (Topology) event()    {}
 func (Peers) event()       {}
 func (ProbeResult) event() {}
 func (Tick) event()        {}
@@ -116,9 +116,9 @@
 	Address string
 	// Timeout is how long the leaf may take.
 	Timeout clock.Milli
-	// Watch delays the request on a new connection for a moment, so that the
+	// AwaitRejection delays the request on a new connection for a moment, so that the
 	// leaf can reject the connection first.
-	Watch bool
+	AwaitRejection bool
 }
 
 // Forward sends shards of a request to another host, which queries their leaves.
@@ -214,17 +214,17 @@
 	return Refusal(max(0, slices.Index(refusalNames[:], name)))
 }
 
-// CallEnded reports the end of a call to a leaf, for the metrics.
-type CallEnded struct {
+// CountCall reports the end of a call to a leaf, for the metrics.
+type CountCall struct {
 	Service string
 	Domain  string
 	Kind    call.Kind
 	Took    clock.Milli
 }
 
-// Note is a log record of a decision or a state change.
-type Note struct {
-	Kind    NoteKind
+// LogRecord is a log record of a decision or a state change.
+type LogRecord struct {
+	Kind    LogKind
 	Request string
 	Query   uint64
 	Route   string
@@ -267,38 +267,38 @@
 	Cause   string
 }
 
-// NoteKind is the subject of a log record.
-type NoteKind int
+// LogKind is the subject of a log record.
+type LogKind int
 
 // Kinds of log records.
 const (
-	NoteAdmitted NoteKind = iota
-	NoteAnswered
-	NotePartial
-	NoteRefused
-	NoteCallerGone
-	NoteHedged
-	NoteRetried
-	NoteWithheld
-	NoteForwarded
-	NoteForwardFailed
-	NoteLeafUnhealthy
-	NoteLeafHealthy
-	NoteLeafNew
-	NoteLeafDraining
-	NoteLeafRemoved
-	NoteTable
-	NoteDomainOut
-	NoteDomainBack
-	NotePeerUnhealthy
-	NotePeers
-	NoteCrash
-	NoteLimitSet
-	NoteLimitLifted
-	NoteLeafReport
-	NoteLeavesKnown
-	NoteLeavesNew
-	NoteLeavesRemoved
+	LogAdmitted LogKind = iota
+	LogAnswered
+	LogPartial
+	LogRefused
+	LogCallerGone
+	LogHedged
+	LogRetried
+	LogWithheld
+	LogForwarded
+	LogForwardFailed
+	LogLeafUnhealthy
+	LogLeafHealthy
+	LogLeafNew
+	LogLeafDraining
+	LogLeafRemoved
+	LogTable
+	LogDomainOut
+	LogDomainBack
+	LogPeerUnhealthy
+	LogPeers
+	LogCrash
+	LogLimitSet
+	LogLimitLifted
+	LogLeafReport
+	LogLeavesKnown
+	LogLeavesNew
+	LogLeavesRemoved
 )
 
 var logNames = [...]string{
@@ -309,19 +309,19 @@
 }
 
 // String returns the kind's name in logs and metrics.
-func (k NoteKind) String() string { return logNames[k] }
+func (k LogKind) String() string { return logNames[k] }
 
-// Failure reports whether the record explains a request that was not served in
+// Important reports whether the record explains a request that was not served in
 // full, or a state change; such records are kept when others are dropped.
-func (k NoteKind) Failure() bool {
+func (k LogKind) Important() bool {
 	switch k {
-	case NoteAdmitted, NoteAnswered, NoteHedged, NoteForwarded, NoteLeafReport:
+	case LogAdmitted, LogAnswered, LogHedged, LogForwarded, LogLeafReport:
 		return false
 	}
 	return true
 }
 
-func (CallEnded) action()  {}
+func (CountCall) action()  {}
 func (Preconnect) action() {}
 func (Forward) action()    {}
 func (Send) action()       {}
@@ -329,4 +329,4 @@
 func (Probe) action()      {}
 func (CheckConn) action()  {}
 func (Answer) action()     {}
-func (Note) action()       {}
+func (LogRecord) action()  {}
--- a/share/router/wait_test.go
+++ b/share/router/wait_test.go
@@ -15,7 +15,7 @@
 // shard's reply late, once no other query needs the capacity.
 func TestCapacityGoesToQueriesInTime(t *testing.T) {
 	r := newRig(t)
-	r.handle(Facts{Table: table(1, shardedRoute(2)), Leaves: []roster.Leaf{leafOf("s0", "busy", nearDomain), leafOf("s1", "idle", nearDomain)}})
+	r.handle(Topology{Table: table(1, shardedRoute(2)), Leaves: []roster.Leaf{leafOf("s0", "busy", nearDomain), leafOf("s1", "idle", nearDomain)}})
 	var busy []Send
 	ask := func(path string) uint64 {
 		sent := len(r.sends)
@@ -57,7 +57,7 @@
 		only.Slots = slots
 		config := table(1, shardedRoute(1))
 		config.Services["s0"] = route.Service{Name: "s0", Connections: 30}
-		r.handle(Facts{Table: config, Leaves: []roster.Leaf{only}})
+		r.handle(Topology{Table: config, Leaves: []roster.Leaf{only}})
 		for range 6 {
 			r.arrive("/all/x", 1500)
 		}
--- a/share/router/world_test.go
+++ b/share/router/world_test.go
@@ -144,7 +144,7 @@
 	h.calls = map[uint64]*simJob{}
 	h.down = false
 	h.tickAt = 0
-	h.handle(Facts{Table: h.w.table, Leaves: h.w.roster})
+	h.handle(Topology{Table: h.w.table, Leaves: h.w.roster})
 	h.w.schedule(h.w.now+300, func() { h.updatePeers() })
 }
 
@@ -203,7 +203,7 @@
 	case Cancel:
 		if j := h.calls[a.Call]; j != nil {
 			j.leaf.cancel(j)
-			h.endCall(j, Done{Call: a.Call, Kind: call.Cancelled})
+			h.endCall(j, CallDone{Call: a.Call, Kind: call.Cancelled})
 		}
 	case Forward:
 		h.forward(engine, a)
@@ -239,7 +239,7 @@
 
 // endCall reports the end of a call to the engine, unless the process has restarted or the
 // call has ended before.
-func (h *simHost) endCall(j *simJob, d Done) {
+func (h *simHost) endCall(j *simJob, d CallDone) {
 	if h.engine != j.engine || h.calls[j.call] == nil {
 		return
 	}
@@ -257,7 +257,7 @@
 		}
 	}
 	delay := h.delay(other.info.Region)
-	done := func(d Done) {
+	done := func(d CallDone) {
 		w.schedule(w.now+delay, func() {
 			if h.engine == engine {
 				h.handle(d)
@@ -266,7 +266,7 @@
 	}
 	w.schedule(w.now+delay, func() {
 		if other.engine == nil {
-			done(Done{Call: a.Call, Kind: call.NotSent})
+			done(CallDone{Call: a.Call, Kind: call.NotSent})
 			return
 		}
 		arrivedAt := w.now
@@ -274,9 +274,9 @@
 			Wait: a.Timeout, Request: a.Request, Forwarded: true, Shards: a.Shards, Target: a.Target, Version: a.Version, Remote: h.address, Late: a.Late,
 		}
 		other.arrive(arrival, func(answer Answer) {
-			d := Done{Call: a.Call, Kind: call.Answered, ProcessingTime: w.now - arrivedAt}
+			d := CallDone{Call: a.Call, Kind: call.Answered, ProcessingTime: w.now - arrivedAt}
 			if answer.Merged == nil {
-				d = Done{Call: a.Call, Kind: call.Shed, Refusal: answer.Refusal}
+				d = CallDone{Call: a.Call, Kind: call.Shed, Refusal: answer.Refusal}
 			} else {
 				d.Reply = &call.Reply{Status: 200, Stamp: "x", Missing: answer.Merged.Missing}
 			}
@@ -351,13 +351,13 @@
 	switch {
 	case j.ended:
 	case l.down:
-		l.reply(j, Done{Call: j.call, Kind: call.NotSent, Cause: "refused"})
+		l.reply(j, CallDone{Call: j.call, Kind: call.NotSent, Cause: "refused"})
 	case l.busy < l.Slots:
 		l.start(j)
 	case len(l.queue) < simQueueSize:
 		l.queue = append(l.queue, j)
 	default:
-		l.reply(j, Done{Call: j.call, Kind: call.Shed})
+		l.reply(j, CallDone{Call: j.call, Kind: call.Shed})
 	}
 }
 
@@ -390,7 +390,7 @@
 	j.running = false
 	l.busy--
 	if !j.ended {
-		l.reply(j, Done{Call: j.call, Kind: call.Answered, Reply: &call.Reply{Status: 200, Stamp: l.ID}})
+		l.reply(j, CallDone{Call: j.call, Kind: call.Answered, Reply: &call.Reply{Status: 200, Stamp: l.ID}})
 	}
 	l.startQueued()
 }
@@ -422,7 +422,7 @@
 }
 
 // reply returns a call's outcome to its host and frees the connection.
-func (l *simLeaf) reply(j *simJob, d Done) {
+func (l *simLeaf) reply(j *simJob, d CallDone) {
 	j.ended = true
 	l.connsInUse[j.engine]--
 	h := j.host
--- a/share/spans/spans.go
+++ b/share/spans/spans.go
@@ -69,9 +69,9 @@
 	return Span{span: span, ctx: ctx}
 }
 
-// Parent returns the traceparent header for children of this span, or an empty
+// Traceparent returns the traceparent header for children of this span, or an empty
 // string if the span is not sampled.
-func (s Span) Parent() string {
+func (s Span) Traceparent() string {
 	if s.span == nil || !s.span.SpanContext().IsSampled() {
 		return ""
 	}
--- a/share/wire/map.go
+++ b/share/wire/map.go
@@ -8,9 +8,9 @@
 	"dandelionstile/share/topo"
 )
 
-// OutcomeTo converts an outcome to its message. Body, the result of an update, is not part
+// EncodeOutcome converts an outcome to its message. Body, the result of an update, is not part
 // of the message.
-func OutcomeTo(o query.Outcome) *Outcome {
+func EncodeOutcome(o query.Outcome) *Outcome {
 	w := &Outcome{
 		Call: o.Call, Kind: uint32(o.Kind), Reason: string(o.Reason),
 		RetryAfterMs: uint32(o.RetryAfter), TookMs: uint32(o.Took), Strikes: uint32(o.Strikes),
@@ -19,39 +19,39 @@
 		w.Rows = append(w.Rows, &Row{Key: r.Key, Score: r.Score, Text: r.Text})
 	}
 	if o.Feedback != nil {
-		w.Feedback = FeedbackTo(*o.Feedback)
+		w.Feedback = EncodeFeedback(*o.Feedback)
 	}
 	return w
 }
 
-// OutcomeFrom converts a message to an outcome. An unrecognized kind becomes
+// DecodeOutcome converts a message to an outcome. An unrecognized kind becomes
 // query.Unknown, which guarantees the least.
-func OutcomeFrom(w *Outcome) query.Outcome {
+func DecodeOutcome(w *Outcome) query.Outcome {
 	o := query.Outcome{
-		Call: w.GetCall(), Kind: KindFrom(w.GetKind()), Reason: query.Reason(w.GetReason()),
+		Call: w.GetCall(), Kind: DecodeKind(w.GetKind()), Reason: query.Reason(w.GetReason()),
 		RetryAfter: clock.Milli(w.GetRetryAfterMs()), Took: clock.Milli(w.GetTookMs()), Strikes: int(w.GetStrikes()),
 	}
 	for _, r := range w.GetRows() {
 		o.Rows = append(o.Rows, query.Row{Key: r.GetKey(), Score: r.GetScore(), Text: r.GetText()})
 	}
 	if w.GetFeedback() != nil {
-		fb := FeedbackFrom(w.GetFeedback())
+		fb := DecodeFeedback(w.GetFeedback())
 		o.Feedback = &fb
 	}
 	return o
 }
 
-// KindFrom converts a number to a kind. It returns query.Unknown for a number that is no
+// DecodeKind converts a number to a kind. It returns query.Unknown for a number that is no
 // kind.
-func KindFrom(n uint32) query.Kind {
+func DecodeKind(n uint32) query.Kind {
 	if n < uint32(query.OK) || n > uint32(query.Died) {
 		return query.Unknown
 	}
 	return query.Kind(n)
 }
 
-// FeedbackTo converts feedback to its message.
-func FeedbackTo(fb query.Feedback) *Feedback {
+// EncodeFeedback converts feedback to its message.
+func EncodeFeedback(fb query.Feedback) *Feedback {
 	w := &Feedback{
 		Leaf: fb.Leaf, Busy: uint32(fb.Busy), Limit: uint32(fb.Limit), Queued: uint32(fb.Queued), Closed: fb.Closed, PaceMs: float32(fb.CallTime),
 	}
@@ -61,8 +61,8 @@
 	return w
 }
 
-// FeedbackFrom converts a message to feedback; a nil message gives the zero value.
-func FeedbackFrom(w *Feedback) query.Feedback {
+// DecodeFeedback converts a message to feedback; a nil message gives the zero value.
+func DecodeFeedback(w *Feedback) query.Feedback {
 	fb := query.Feedback{
 		Leaf: w.GetLeaf(), Busy: int(w.GetBusy()), Limit: int(w.GetLimit()), Queued: int(w.GetQueued()), Closed: w.GetClosed(), CallTime: float64(w.GetPaceMs()),
 	}
--- a/stile/cmds/coverage.go
+++ b/stile/cmds/coverage.go
@@ -41,7 +41,7 @@
 				color = red
 			}
 			out.line("%-10s %-24s snapshot %-8s %s%s", p.Node.Host, v.Service, v.Snapshot,
-				out.colorize(color, strconv.Itoa(v.Answered)+"/"+strconv.Itoa(v.Shards)), formatMissing(v.Missing))
+				out.colorize(color, strconv.Itoa(v.Reachable)+"/"+strconv.Itoa(v.Shards)), formatMissing(v.Missing))
 		}
 	}
 	if err := out.value(shown); err != nil {
--- a/stile/cmds/status.go
+++ b/stile/cmds/status.go
@@ -67,7 +67,7 @@
 		platform = fmt.Sprintf("platform heard %d ms ago", n.PlatformAge)
 	}
 	out.line("%-10s %-12s %-10s %s, %s%s", n.Host, n.Domain, n.Program, state, platform, formatWatching(n))
-	for _, r := range n.Refused {
+	for _, r := range n.Rejected {
 		out.line("    refused %s %d: %s", r.Key, r.Version, r.Reason)
 	}
 	for _, f := range p.Leaves {
@@ -77,7 +77,7 @@
 		}
 	}
 	for _, s := range p.Strikes {
-		out.line("    quarantined %s: %d servers, %d ms left", s.Fingerprint, s.Count, s.Left)
+		out.line("    quarantined %s: %d servers, %d ms left", s.Fingerprint, s.Count, s.TimeLeft)
 	}
 	return !n.Ready
 }
--- a/stile/cmds/watch.go
+++ b/stile/cmds/watch.go
@@ -62,7 +62,7 @@
 		values[name+" "+v.Key] = fmt.Sprintf("version %d", v.Version)
 	}
 	for _, v := range p.Services {
-		values[name+" "+v.Service] = fmt.Sprintf("snapshot %s, %d/%d%s", v.Snapshot, v.Answered, v.Shards, formatMissing(v.Missing))
+		values[name+" "+v.Service] = fmt.Sprintf("snapshot %s, %d/%d%s", v.Snapshot, v.Reachable, v.Shards, formatMissing(v.Missing))
 	}
 	for _, f := range p.Leaves {
 		if f.Primary && (f.Closed != "" || f.Limit < f.Slots) {
