--- a/share/httpc/conn.go
+++ b/share/httpc/conn.go
@@ -23,7 +23,7 @@
 	// ErrWrongRequestID reports a reply that carries another request's ID.
 	ErrWrongRequestID = errors.New("reply belongs to another request")
 	// ErrNoStamp reports a successful reply without the leaf's stamp.
-	ErrNoStamp = errors.New("reply has no signature")
+	ErrNoStamp = errors.New("reply has no stamp")
 	// ErrIdleClosed reports a connection that was closed, or carried bytes, while
 	// no call was active on it.
 	ErrIdleClosed = errors.New("connection ended while idle")
--- a/share/httpc/pool.go
+++ b/share/httpc/pool.go
@@ -258,7 +258,7 @@
 func dialFailure(ctx context.Context, err error) router.CallDone {
 	switch {
 	case ctx.Err() != nil:
-		return router.CallDone{Kind: call.Withdrawn, Cause: "given up"}
+		return router.CallDone{Kind: call.Withdrawn, Cause: "no connection yet"}
 	case errors.Is(err, syscall.ECONNRESET):
 		return router.CallDone{Kind: call.Full, Cause: shortError(err)}
 	}
@@ -284,7 +284,7 @@
 		return p.completeCall(c, send.Leaf, j, r, written)
 	case <-ctx.Done():
 		c.close()
-		return router.CallDone{Kind: call.Cancelled, Cause: "given up"}
+		return router.CallDone{Kind: call.Cancelled, Cause: "no reply"}
 	}
 }
 
@@ -326,9 +326,9 @@
 func (p *Pool) classify(reply *call.Reply) router.CallDone {
 	switch {
 	case reply.Status == http.StatusMisdirectedRequest:
-		return router.CallDone{Kind: call.Foreign, Cause: "another leaf has the address"}
+		return router.CallDone{Kind: call.Foreign, Cause: "address belongs to another leaf"}
 	case reply.Header.Get(p.Dialect.NotRun) != "":
-		return router.CallDone{Kind: call.Shed, Cause: "turned down: " + strconv.Itoa(reply.Status) + " " + reply.Header.Get(p.Dialect.NotRun)}
+		return router.CallDone{Kind: call.Shed, Cause: "rejected: " + strconv.Itoa(reply.Status) + " " + reply.Header.Get(p.Dialect.NotRun)}
 	}
 	return router.CallDone{Kind: call.Answered, Reply: reply}
 }
--- a/share/mesh/mesh.go
+++ b/share/mesh/mesh.go
@@ -28,9 +28,9 @@
 	// ErrBusy means that the peer reads too slowly. The message was not sent.
 	ErrBusy = errors.New("link is busy")
 	// ErrProtocol means that the peer sent a message that violates the protocol.
-	ErrProtocol = errors.New("peer breaks the protocol")
+	ErrProtocol = errors.New("peer violates the protocol")
 	// ErrUnresponsive means that the peer does not answer pings or sends no heartbeats.
-	ErrUnresponsive = errors.New("peer is silent")
+	ErrUnresponsive = errors.New("peer does not respond")
 )
 
 // Limits and timing of links.
--- a/share/router/arrive.go
+++ b/share/router/arrive.go
@@ -22,7 +22,7 @@
 	}
 	q.version = e.table.Version
 	if a.Version > q.version {
-		e.refuse(now, q, Stale, "the sender goes by a newer configuration")
+		e.refuse(now, q, Stale, "the sender has a newer configuration")
 		return
 	}
 	r, ok := e.table.Match(a.Request.Host, a.Request.Path())
@@ -34,13 +34,13 @@
 	q.fingerprint = fingerprint(a.Request)
 	q.sample = rank.Fraction(a.Request.ID)
 	if e.crashes.Blocked(now, q.fingerprint) {
-		e.refuse(now, q, Harmful, "leafs went down under it")
+		e.refuse(now, q, Harmful, "leaves crashed while running it")
 		return
 	}
 	elapsed := e.setDeadlines(now, q, a)
 	names, ok := e.requestedServices(r, a)
 	if !ok {
-		e.refuse(now, q, Stale, "a shard that is asked for is not in the route")
+		e.refuse(now, q, Stale, "a requested shard is not in the route")
 		return
 	}
 	for _, name := range names {
@@ -95,7 +95,7 @@
 		return true
 	}
 	if !l.Admit(q.late) {
-		e.refuse(now, q, NoCapacity, fmt.Sprintf("answers come too late: %d queries are under way, the limit is %.0f", l.InFlight, l.Limit()))
+		e.refuse(now, q, NoCapacity, fmt.Sprintf("answers are late: %d queries in flight, limit %.0f", l.InFlight, l.Limit()))
 		return false
 	}
 	q.counted = true
@@ -214,7 +214,7 @@
 	if reachable >= need {
 		return ""
 	}
-	return "too few shards have a leaf"
+	return "too few shards have a usable leaf"
 }
 
 // reachable reports whether a shard has a leaf that may be called.
--- a/share/router/calldone.go
+++ b/share/router/calldone.go
@@ -46,7 +46,7 @@
 		e.regions[f.region].observe(took)
 		e.markProven(now, a.shard.query)
 		if f.recordReply(now) {
-			e.emit(LogRecord{Kind: LogLeafHealthy, Leaf: f.ID, Service: f.Service, Cause: "it answered", Took: now - a.sent})
+			e.emit(LogRecord{Kind: LogLeafHealthy, Leaf: f.ID, Service: f.Service, Cause: "call succeeded", Took: now - a.sent})
 		}
 	case d.Kind == call.Answered, d.Kind == call.Shed:
 		// The call failed, but the leaf is alive.
@@ -61,7 +61,7 @@
 			e.recordFailedCall(now, f, unhealthyAfter, "no reply", now-a.sent)
 		}
 	case d.Kind == call.Foreign:
-		e.recordFailedCall(now, f, 1, "another leaf has its address", now-a.sent)
+		e.recordFailedCall(now, f, 1, "address belongs to another leaf", now-a.sent)
 	case d.Kind == call.Withdrawn:
 		if took > openSlackMs+openLatencies*e.minLatency(f) {
 			e.recordFailedCall(now, f, 1, "no connection yet", now-a.sent)
--- a/share/router/crash.go
+++ b/share/router/crash.go
@@ -59,7 +59,7 @@
 		return
 	}
 	e.reportCrash(now, f)
-	e.recordFailedCall(now, f, 1, "nobody listens", 0)
+	e.recordFailedCall(now, f, 1, "connection refused", 0)
 }
 
 // reportCrash sends crash reports on the requests that a leaf was running when it went
@@ -69,6 +69,6 @@
 	if len(list) == 0 {
 		return
 	}
-	e.emit(LogRecord{Kind: LogCrash, Leaf: f.ID, Service: f.Service, Total: len(list), Cause: "it went down with requests on it"})
+	e.emit(LogRecord{Kind: LogCrash, Leaf: f.ID, Service: f.Service, Total: len(list), Cause: "leaf crashed with requests in flight"})
 	e.emit(SendCrashReports{List: list})
 }
--- a/share/router/dispatch.go
+++ b/share/router/dispatch.go
@@ -22,7 +22,7 @@
 		e.enqueue(s)
 	case c.unhealthy:
 		e.probeUnhealthy(now, s)
-		e.abandon(s, "no leaf has answered of late")
+		e.abandon(s, "no leaf has answered recently")
 	default:
 		e.abandon(s, "no leaf is known")
 	}
@@ -98,7 +98,7 @@
 		return
 	}
 	f.markHealthy(now)
-	e.emit(LogRecord{Kind: LogLeafHealthy, Leaf: f.ID, Service: f.Service, Cause: "its health is good"})
+	e.emit(LogRecord{Kind: LogLeafHealthy, Leaf: f.ID, Service: f.Service, Cause: "health check passed"})
 	e.dispatchWaiting(now, e.services[f.Service])
 }
 
--- a/share/router/engine.go
+++ b/share/router/engine.go
@@ -338,7 +338,7 @@
 	if !same {
 		if f != nil {
 			e.removeLeaf(f)
-			e.emit(LogRecord{Kind: LogLeafRemoved, Leaf: f.ID, Service: f.Service, Cause: "another has its name"})
+			e.emit(LogRecord{Kind: LogLeafRemoved, Leaf: f.ID, Service: f.Service, Cause: "replaced by a leaf of the same name"})
 		}
 		f = &leaf{warmupLimiter: warmup.Limiter{Phase: rank.Fraction(e.Self.Host, l.ID)}}
 		e.leaves[l.ID] = f
--- a/share/router/finish.go
+++ b/share/router/finish.go
@@ -16,11 +16,11 @@
 		return
 	}
 	if now >= q.deadline {
-		e.refuse(now, q, Late, "time is up")
+		e.refuse(now, q, Late, "deadline exceeded")
 		return
 	}
 	if e.queueTimedOut(now, q) {
-		e.refuse(now, q, NoCapacity, "no leaf had room")
+		e.refuse(now, q, NoCapacity, "no leaf had capacity")
 		return
 	}
 	e.recordMissedTarget(now, q)
@@ -58,7 +58,7 @@
 		kind = LogLimitSet
 	}
 	e.emit(LogRecord{
-		Kind: kind, Cause: fmt.Sprintf("%.0f of 100 answers came too late of late", 100*l.LateRatio()),
+		Kind: kind, Cause: fmt.Sprintf("%.0f of 100 recent answers were late", 100*l.LateRatio()),
 		Count: l.InFlight, Total: int(l.Limit()),
 	})
 }
--- a/share/router/forward.go
+++ b/share/router/forward.go
@@ -82,7 +82,7 @@
 		q.peerFull = true
 		for _, s := range r.shards {
 			s.tries--
-			e.abandon(s, "the other host has no room")
+			e.abandon(s, "the other host has no capacity")
 		}
 	case d.Kind.NotRun():
 		e.logForwardFailed(now, r, d)
@@ -161,7 +161,7 @@
 		if early && e.retryLocally(now, s) {
 			continue
 		}
-		e.abandon(s, "the host it was handed to failed: "+d.Kind.String())
+		e.abandon(s, "the host it was forwarded to failed: "+d.Kind.String())
 	}
 }
 
--- a/share/router/hedge.go
+++ b/share/router/hedge.go
@@ -26,7 +26,7 @@
 	}
 	c := e.selectLeaf(now, s, true)
 	if now >= s.query.target || s.query.withheld || (c.leaf == nil && !c.full) {
-		e.abandon(s, "no second call was possible")
+		e.abandon(s, "no hedge or retry was possible")
 	}
 }
 
@@ -60,7 +60,7 @@
 	}
 	svc := e.services[s.service]
 	if !svc.budget.Spend() {
-		e.logWithheld(now, s, "budget of second calls is empty")
+		e.logWithheld(now, s, "budget of hedges and retries is empty")
 		return
 	}
 	kind, cause := LogHedged, "no reply yet"
--- a/share/router/query.go
+++ b/share/router/query.go
@@ -129,11 +129,11 @@
 	case s.cause != "" && s.pending() == 0:
 		return s.cause
 	case s.queued:
-		return "waited for room"
+		return "queued for capacity"
 	case s.pending() > 0:
 		return "no reply yet"
 	}
-	return "not asked"
+	return "not called"
 }
 
 // hedgeDue reports whether another leaf is to be called for a shard: its call has
--- a/stile/cmds/losses_test.go
+++ b/stile/cmds/losses_test.go
@@ -19,10 +19,10 @@
 {"host":"a","request":"q2","route":"all","time":1000,"message":"admitted"}
 {"host":"b","request":"q2","route":"all","forwarded":true,"time":1010,"message":"admitted"}
 {"host":"b","request":"q2","forwarded":true,"got":1,"of":2,"missing":["s4 i-4 no reply yet"],"time":1190,"message":"answered-in-part"}
-{"host":"a","request":"q2","got":2,"of":4,"missing":["s3 i-3 shed: turned down: 503 1","s4 10.0.0.2:1 the other host had no reply in time"],"time":1200,"message":"answered-in-part"}
+{"host":"a","request":"q2","got":2,"of":4,"missing":["s3 i-3 shed: rejected: 503 1","s4 10.0.0.2:1 the other host had no reply in time"],"time":1200,"message":"answered-in-part"}
 {"host":"a","request":"q3","route":"all","time":1300,"message":"admitted"}
 {"host":"a","request":"q3","got":4,"of":4,"late":true,"time":1900,"message":"answered"}
-{"host":"a","request":"q4","route":"all","cause":"no-room: 7 queries are under way, the limit is 5","time":1400,"message":"refused"}
+{"host":"a","request":"q4","route":"all","cause":"no-room: answers are late: 7 queries in flight, limit 5","time":1400,"message":"refused"}
 {"host":"a","request":"q5","route":"one","time":1500,"message":"admitted"}
 {"host":"a","request":"q5","route":"one","cause":"failed: too few shards can still answer","time":1600,"message":"refused"}
 {"host":"a","request":"q6","route":"one","time":4500,"message":"admitted"}
@@ -46,10 +46,10 @@
 		sum += c.Lost
 	}
 	assert.DeepEqual(t, causes, map[string]float64{
-		"answered late":                   1,
-		"missing, shed: turned down: N N": 0.25,
-		"refused, no-room: N queries are under way, the limit is N": 1,
-		"refused, failed: too few shards can still answer":          1,
+		"answered late":                1,
+		"missing, shed: rejected: N N": 0.25,
+		"refused, no-room: answers are late: N queries in flight, limit N": 1,
+		"refused, failed: too few shards can still answer":                 1,
 		"the caller left": 1,
 		"missing, at the host it was handed to: no reply yet": 0.25,
 	})
