--- a/share/node/strikes.go
+++ b/share/node/strikes.go
@@ -50,7 +50,7 @@
 	s := decodeStrike(w)
 	if n.Delegate.MergeStrike(now, s) {
 		n.Log.Warn().Uint64("fingerprint", s.Fingerprint).Int("count", s.Count).Str("from", p.name).
-			Msg("request crashed a backend server and is refused")
+			Msg("request crashed a backend server and is rejected")
 		for _, other := range n.sortedPeers() {
 			if other != p {
 				n.Send(other.link, encodeStrike(0, s))
--- a/share/route/check.go
+++ b/share/route/check.go
@@ -121,7 +121,7 @@
 	seen := make(map[string]bool, len(r.Shards))
 	for _, s := range r.Shards {
 		if seen[s] {
-			c.addFault(FieldShards, "shard %q stands twice", s)
+			c.addFault(FieldShards, "shard %q is listed twice", s)
 		}
 		seen[s] = true
 	}
@@ -138,7 +138,7 @@
 		sum += w.Weight
 	}
 	if sum <= 0 {
-		c.addFault(FieldServices, "no service gets requests")
+		c.addFault(FieldServices, "no service has a weight above 0")
 	}
 }
 
--- a/share/topo/routes_test.go
+++ b/share/topo/routes_test.go
@@ -58,11 +58,11 @@
 	for _, want := range []string{
 		`routes.yaml:4: routes[0].prefix: prefix "/find" must begin and end with a slash`,
 		`routes.yaml:5: routes[0].idempotent: a query over shards must be idempotent`,
-		`routes.yaml:7: routes[0].shards: shard "search" stands twice`,
+		`routes.yaml:7: routes[0].shards: shard "search" is listed twice`,
 		`routes.yaml:7: routes[0].shards[2]: service "lost" is not in the inventory`,
 		`routes.yaml:10: routes[0].regions[0]: region "moon" has no failure domain`,
 		`second.yaml:2: routes[0].prefix: host and prefix are those of route "file"`,
-		`second.yaml:3: routes[1].services: no service gets requests`,
+		`second.yaml:3: routes[1].services: no service has a weight above 0`,
 	} {
 		assert.ErrorContains(t, err, want)
 	}
--- a/stile/cmds/diff.go
+++ b/stile/cmds/diff.go
@@ -48,7 +48,7 @@
 }
 
 // Help describes the command.
-func (*diff) Help() string { return "tell what a change would do: leafs, capacity and coverage lost" }
+func (*diff) Help() string { return "tell what a change would do: leaves, capacity and coverage lost" }
 
 // Run prints the difference; losing coverage is a fault.
 func (c *diff) Run(out *printer) error {
--- a/stile/cmds/status.go
+++ b/stile/cmds/status.go
@@ -16,7 +16,7 @@
 
 // Help describes the command.
 func (*status) Help() string {
-	return "show hosts, versions in force, leafs that warm up or are closed, and quarantines"
+	return "show hosts, versions in force, leaves that warm up or are closed, and quarantines"
 }
 
 // Run prints the status; programs that are not ready, out of date or unreachable are a
--- a/stile/cmds/watch.go
+++ b/stile/cmds/watch.go
@@ -16,7 +16,7 @@
 
 // Help describes the command.
 func (*watch) Help() string {
-	return "show changes of hosts, versions, leafs and coverage as they come"
+	return "show changes of hosts, versions, leaves and coverage as they come"
 }
 
 // Run prints a line for each value that appears, changes or disappears between polls.
