--- a/soak/main.go
+++ b/soak/main.go
@@ -14,6 +14,7 @@
 	"dandelionstile/soak/play"
 )
 
+// sharedFlags are the flags of all subcommands.
 type sharedFlags struct {
 	Bin       string        `arg:"--bin" default:"bin/platform" placeholder:"FILE" help:"path of the platform program"`
 	Dir       string        `arg:"--dir" placeholder:"DIR" help:"parent of the run's directory for settings and logs; the system's temporary directory if empty"`
@@ -69,6 +70,7 @@
 	os.Exit(2)
 }
 
+// seeds returns Count consecutive seeds.
 func (h *huntCommand) seeds() []uint64 {
 	first := h.First
 	if first == 0 {
@@ -81,7 +83,8 @@
 	return seeds
 }
 
-// runSeeds runs seeds one after the other and returns the exit code.
+// runSeeds runs seeds one after the other, prints their reports and returns the
+// exit code. It stops at a seed whose environment could not be started.
 func runSeeds(c sharedFlags, seeds []uint64) int {
 	failed := 0
 	for _, seed := range seeds {
--- a/soak/play/canceled.go
+++ b/soak/play/canceled.go
@@ -75,5 +75,5 @@
 		defer h.mu.Unlock()
 		return overlaps(h.faults, from.Add(-time.Second), to) || overlaps(h.terminations, from, to)
 	}
-	return true // not from a host: a probe of the soak
+	return true // not from a host but a probe of the soak, which is not checked
 }
--- a/soak/play/check.go
+++ b/soak/play/check.go
@@ -41,8 +41,8 @@
 type requestTrace struct {
 	runCount          int
 	arrivalsByService map[string]int
-	arrivals          []fake.RequestRecord
-	runs              []fake.RequestRecord
+	arrivals          []fake.RequestRecord // when leaves received it
+	runs              []fake.RequestRecord // when leaves ran it
 }
 
 // checkRun runs the checks that need the records of the whole run.
@@ -83,14 +83,16 @@
 	t.checkRecovery()
 }
 
-// checkRequest checks that an update runs at most once, that no update runs after
-// a 503, and that requests without an answer are explained by a fault of the host.
+// checkRequest checks that an update runs at most once, and not at all if it got
+// a 503. It also checks requests without an answer, unless a fault of the host
+// explains them: the host must not hold one past its deadline, nor forward one and
+// then close its connection because it shuts down.
 func (t *testbed) checkRequest(r *request, trace *requestTrace) {
-	unsafe := strings.HasPrefix(r.path, "/set/")
-	if unsafe && trace.runCount > 1 {
+	update := strings.HasPrefix(r.path, "/set/")
+	if update && trace.runCount > 1 {
 		t.results.addViolation("TWICE: %s ran %d times", r.id, trace.runCount)
 	}
-	if unsafe && r.status == http.StatusServiceUnavailable && trace.runCount > 0 {
+	if update && r.status == http.StatusServiceUnavailable && trace.runCount > 0 {
 		t.results.addViolation("REFUSED: %s got status 503 but ran", r.id)
 	}
 	if r.status != 0 || r.canceled || r.host.hadFaultDuring(r) {
@@ -129,6 +131,7 @@
 		return
 	}
 	deadline := l.drained.Add(applyBound)
+	// A fault of the store may have delayed the change.
 	if overlaps(t.storeFaults, l.drained.Add(-settleTime), deadline) {
 		return
 	}
@@ -148,11 +151,11 @@
 			return h.wasStale(from, to)
 		}
 	}
-	return true // not from a host: a probe of the soak
+	return true // not from a host but a probe of the soak, which is not checked
 }
 
-// collectRepeats adds the arrivals of each request at a service beyond the first:
-// retries and hedges. It reduces the counts in arrivalsByService to 1.
+// collectRepeats adds the times of retries and hedges: all arrivals of a request at
+// a service but one. It reduces the counts in arrivalsByService to 1.
 func (t *testbed) collectRepeats(l *leaf, traces map[string]*requestTrace, repeats map[string][]time.Time) {
 	arrivals, _ := l.Requests()
 	for _, a := range arrivals {
@@ -182,7 +185,7 @@
 	}
 	for service, times := range repeats {
 		sortTimes(times)
-		requests := sent[service != "one"]
+		requests := sent[service != "one"] // the other services are shards
 		for i, from := range times {
 			n := countInWindow(times[i:], from)
 			maxRequests := max(countInWindow(requests, from), countInWindow(requests, from.Add(-budgetWindow)), countInWindow(requests, from.Add(-budgetWindow/2)))
@@ -231,9 +234,9 @@
 	}
 }
 
-// probe requests the route that was added last and the one that was removed with
-// it, and checks that the host applies a change within applyBound while no fault
-// keeps it from receiving changes.
+// probe repeatedly requests the route that was added last and the one that was
+// removed with it, and checks that the host applies a change within applyBound
+// while no fault keeps it from receiving changes.
 func (t *testbed) probe(h *host) {
 	c := caller{testbed: t, host: h, name: "probe-" + h.name}
 	for {
@@ -255,6 +258,8 @@
 		t.mu.Lock()
 		unchanged := added == t.addedPrefix
 		t.mu.Unlock()
+		// The routes have changed, or the host was stale, between the checks above and
+		// the answers.
 		if !unchanged || h.wasStale(now, time.Now()) {
 			continue
 		}
@@ -284,7 +289,7 @@
 	c.count++
 	_ = conn.SetDeadline(time.Now().Add(2 * time.Second)) // cannot fail on an open connection
 	id := fmt.Sprintf("%s-%d", c.name, c.count)
-	if _, err := io.WriteString(conn, fake.RequestText(hostName, path, id, time.Second)); err != nil {
+	if _, err := io.WriteString(conn, fake.RequestText(hostHeader, path, id, time.Second)); err != nil {
 		return 0
 	}
 	got, err := readReply(bufio.NewReader(conn))
--- a/soak/play/client.go
+++ b/soak/play/client.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	hostName      = "soak.example"
+	hostHeader    = "soak.example" // the Host header of all requests
 	topK          = 5
 	minShare      = 0.6
 	callerTimeout = 3 * time.Second
@@ -39,7 +39,7 @@
 	rand    *rand.Rand
 	host    *host
 	conn    net.Conn
-	in      *bufio.Reader
+	in      *bufio.Reader // reads from conn
 	name    string
 	count   int
 }
@@ -50,21 +50,21 @@
 	host     *host
 	sent     time.Time
 	ended    time.Time
-	status   int // 0: the connection closed without an answer
-	reused   bool
+	status   int  // 0: the connection closed without an answer
+	reused   bool // the connection had served another request
 	canceled bool // the caller closed the connection at ended without waiting for the answer
 }
 
-// run sends requests until the testbed stops, with random pauses of meanPause on
+// run sends requests until the testbed stops, at random intervals of meanInterval on
 // average.
-func (c *caller) run(meanPause time.Duration) {
+func (c *caller) run(meanInterval time.Duration) {
 	for {
 		c.sendRequest()
 		select {
 		case <-c.testbed.stop:
 			c.disconnect()
 			return
-		case <-time.After(meanPause/2 + time.Duration(c.rand.Int64N(int64(meanPause)))):
+		case <-time.After(meanInterval/2 + time.Duration(c.rand.Int64N(int64(meanInterval)))):
 		}
 	}
 }
@@ -103,7 +103,7 @@
 		return
 	}
 	r := c.newRequest(path)
-	if _, err := io.WriteString(c.conn, fake.RequestText(hostName, path, r.id, callerTimeout)); err != nil {
+	if _, err := io.WriteString(c.conn, fake.RequestText(hostHeader, path, r.id, callerTimeout)); err != nil {
 		c.disconnect()
 		return // the host closed the connection
 	}
@@ -126,7 +126,8 @@
 	}
 }
 
-// sendOnce makes one attempt. It returns nil if it could not connect.
+// sendOnce makes one attempt, and checks the answer if it is successful. It returns
+// nil if it could not connect.
 func (c *caller) sendOnce(path string) *request {
 	reused := c.conn != nil
 	if !reused && !c.connect() {
@@ -135,7 +136,7 @@
 	r := c.newRequest(path)
 	r.reused = reused
 	_ = c.conn.SetDeadline(r.sent.Add(callerTimeout + lateTolerance)) // cannot fail on an open connection
-	_, err := io.WriteString(c.conn, fake.RequestText(hostName, path, r.id, callerTimeout))
+	_, err := io.WriteString(c.conn, fake.RequestText(hostHeader, path, r.id, callerTimeout))
 	var got reply
 	if err == nil {
 		got, err = readReply(c.in)
@@ -177,7 +178,7 @@
 }
 
 // connect opens a connection to a random host in rotation, as the load balancer
-// would, or to any host if none is in rotation.
+// would, or to any host if none is in rotation. It reports whether it succeeded.
 func (c *caller) connect() bool {
 	hosts := c.testbed.readyHosts()
 	if len(hosts) == 0 {
@@ -206,8 +207,8 @@
 	return list
 }
 
-// pollReadiness polls the readiness of a host. Two failed polls in a row take it out of
-// rotation.
+// pollReadiness polls the readiness of a host. Two failed polls in a row take it out
+// of rotation, and a successful one puts it back.
 func (t *testbed) pollReadiness(h *host) {
 	client := &http.Client{Timeout: 300 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 	misses := 0
--- a/soak/play/fault.go
+++ b/soak/play/fault.go
@@ -19,15 +19,16 @@
 	warmUpTime        = 4 * time.Second
 	recoveryTime      = 7 * time.Second
 	recoveryWatchTime = 4 * time.Second
-	// meanFaultPause is the mean pause between two faults; it is short enough that
-	// several faults overlap. Even seeds multiply it by calmPauseFactor, since bounds
-	// apply only to hosts that had no fault for a while.
-	meanFaultPause  = 400 * time.Millisecond
-	calmPauseFactor = 4
-	maxFaultTime    = 4 * time.Second
+	// meanFaultInterval is the mean interval between the starts of two faults; it is
+	// short enough that several faults overlap. Even seeds multiply it by
+	// calmIntervalFactor, since bounds apply only to hosts that had no fault for a while.
+	meanFaultInterval  = 400 * time.Millisecond
+	calmIntervalFactor = 4
+	maxFaultTime       = 4 * time.Second
 )
 
-// Run runs one seed.
+// Run runs one seed. It returns an error if the environment could not be started;
+// violated guarantees are in the report.
 func Run(s Settings) (Report, error) {
 	t := &testbed{Settings: s}
 	defer t.close()
@@ -40,6 +41,7 @@
 	}
 	callers := max(4, t.Rate/4)
 	for i := range callers {
+		// With at least 16 requests per second, each caller sends 4 of them.
 		c := &caller{testbed: t, rand: rand.New(rand.NewPCG(t.Seed, uint64(100+i))), name: "c" + string(rune('a'+i%26)) + string(rune('a'+i/26))}
 		t.wait.Go(func() {
 			time.Sleep(warmUpTime / 2)
@@ -47,6 +49,7 @@
 		})
 	}
 	time.Sleep(time.Until(t.startedAt.Add(warmUpTime)))
+	// Every third seed also sends harmful requests.
 	if t.Seed%3 == 0 {
 		t.wait.Go(t.sendHarmful)
 	}
@@ -55,12 +58,12 @@
 	close(t.stop)
 	time.Sleep(callerTimeout / 2)
 	t.checkRun()
-	return t.report(faults), nil
+	return t.makeReport(faults), nil
 }
 
-// report returns the result of the run, and removes its directory if no guarantee
+// makeReport returns the result of the run, and removes its directory if no guarantee
 // was violated.
-func (t *testbed) report(faults int) Report {
+func (t *testbed) makeReport(faults int) Report {
 	r := Report{Seed: t.Seed, Dir: t.dir, Requests: len(t.results.requests), Faults: faults, Violations: t.results.violations}
 	for _, q := range t.results.requests {
 		if q.status == 200 {
@@ -73,13 +76,13 @@
 	return r
 }
 
-// injectFaults starts random faults until the time is over and returns their
-// number. Each fault ends by itself.
+// injectFaults starts random faults until the end of the fault phase and returns
+// their number. Each fault ends by itself.
 func (t *testbed) injectFaults() int {
 	end := t.startedAt.Add(warmUpTime + t.FaultTime)
-	meanPause := float64(meanFaultPause)
+	meanInterval := float64(meanFaultInterval)
 	if t.Seed%2 == 0 {
-		meanPause *= calmPauseFactor
+		meanInterval *= calmIntervalFactor
 	}
 	n := 0
 	for time.Now().Before(end) {
@@ -88,15 +91,16 @@
 		kind, draw := t.rand.IntN(len(faultKinds)), t.rand.Uint64()
 		t.wait.Go(func() { faultKinds[kind](t, draw, duration) })
 		n++
-		time.Sleep(time.Duration(t.rand.ExpFloat64() * meanPause))
+		time.Sleep(time.Duration(t.rand.ExpFloat64() * meanInterval))
 	}
 	return n
 }
 
-// faultKinds are the kinds of faults; draw is a random number that chooses the
-// target.
+// faultKinds are the kinds of faults; one that is listed twice is drawn twice as
+// often. draw is a random number that chooses the target and the details of the
+// fault. A function returns when its fault has ended.
 var faultKinds = []func(t *testbed, draw uint64, duration time.Duration){
-	(*testbed).kill, (*testbed).term, (*testbed).term, (*testbed).pause, (*testbed).hup,
+	(*testbed).kill, (*testbed).terminate, (*testbed).terminate, (*testbed).pause, (*testbed).reload,
 	(*testbed).failStore, (*testbed).compactStore, (*testbed).impairStoreLink, (*testbed).impairStoreLink,
 	(*testbed).degradeLeaves, (*testbed).degradeLeaves, (*testbed).degradeLeaves, (*testbed).impairLeafLinks, (*testbed).impairLeafLinks,
 	(*testbed).crashLeaf, (*testbed).drainLeaf, (*testbed).drainLeaf, (*testbed).slowLeafPerService, (*testbed).slowLeafPerService,
@@ -105,7 +109,8 @@
 
 func (t *testbed) chooseHost(draw uint64) *host { return t.hosts[draw%uint64(len(t.hosts))] }
 
-// chooseLeaf returns a leaf that is neither closed nor draining, if there is one.
+// chooseLeaf returns a leaf that is neither closed nor draining, or the first leaf
+// if there is none.
 func (t *testbed) chooseLeaf(draw uint64) *leaf {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -141,7 +146,7 @@
 }
 
 // claim reserves a host for a fault that ends its process, and reports whether it
-// succeeded. Only one such fault runs at a time.
+// succeeded. Only one such fault runs on a host at a time.
 func (h *host) claim() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -152,14 +157,15 @@
 	return true
 }
 
+// release ends the reservation of a host. From now on an exit is unexpected.
 func (h *host) release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.shouldRun = true
 }
 
-// term shuts a host down gracefully with SIGTERM and starts it again.
-func (t *testbed) term(draw uint64, duration time.Duration) {
+// terminate shuts a host down gracefully with SIGTERM and starts it again.
+func (t *testbed) terminate(draw uint64, duration time.Duration) {
 	h := t.chooseHost(draw)
 	if !h.claim() {
 		return
@@ -176,6 +182,7 @@
 			t.results.addViolation("EXIT: %s exited with status %d after SIGTERM", h.name, code)
 		}
 	case <-time.After(shutdownTimeout):
+		// Another fault, such as a SIGSTOP, may have delayed the shutdown.
 		if !h.hadRecentFault() {
 			t.results.addViolation("EXIT: %s was still running %s after SIGTERM", h.name, shutdownTimeout)
 		}
@@ -201,7 +208,7 @@
 	return overlaps(h.faults, now.Add(-shutdownTimeout), now)
 }
 
-// pause stops a process for a while. It resumes with outdated state.
+// pause suspends a host's process with SIGSTOP. It resumes with outdated state.
 func (t *testbed) pause(draw uint64, duration time.Duration) {
 	h := t.chooseHost(draw)
 	now := time.Now()
@@ -212,8 +219,12 @@
 	h.signal(syscall.SIGCONT, false)
 }
 
-func (t *testbed) hup(draw uint64, _ time.Duration) { t.chooseHost(draw).signal(syscall.SIGHUP, false) }
+// reload makes a host's process reload its settings.
+func (t *testbed) reload(draw uint64, _ time.Duration) {
+	t.chooseHost(draw).signal(syscall.SIGHUP, false)
+}
 
+// addStoreFault records a fault of the store that starts now.
 func (t *testbed) addStoreFault(duration time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -221,6 +232,7 @@
 	t.storeFaults = append(t.storeFaults, interval{now, now.Add(duration)})
 }
 
+// failStore makes the store unavailable, silent or slow.
 func (t *testbed) failStore(draw uint64, duration time.Duration) {
 	t.addStoreFault(duration)
 	t.store.SetMode([]fake.StoreMode{fake.StoreUnavailable, fake.StoreSilent, fake.StoreSlow}[draw%3])
@@ -228,6 +240,7 @@
 	t.store.SetMode(fake.StoreHealthy)
 }
 
+// compactStore makes the store drop its history of changes.
 func (t *testbed) compactStore(uint64, time.Duration) {
 	t.addStoreFault(0)
 	t.store.Compact()
@@ -236,6 +249,7 @@
 // relayFaults are the faults that a relay can apply to the connections of a host.
 var relayFaults = []relay.State{relay.Blocked, relay.Silent, relay.OneWay, relay.Slow}
 
+// impairStoreLink impairs the connections from one host to the store.
 func (t *testbed) impairStoreLink(draw uint64, duration time.Duration) {
 	h := t.chooseHost(draw)
 	now := time.Now()
@@ -306,7 +320,8 @@
 	t.setLeafMode(leaves, fake.LeafMode{StallShare: 0.5}, min(2*maxFaultTime, time.Until(t.startedAt.Add(warmUpTime+t.FaultTime))))
 }
 
-// setLeafMode applies a fault to leaves for a while.
+// setLeafMode applies a fault to leaves for a duration. A concurrent fault of the
+// same leaf replaces it, and the first of the two to end clears the leaf's fault.
 func (t *testbed) setLeafMode(affected []*leaf, mode fake.LeafMode, duration time.Duration) {
 	now := time.Now()
 	t.mu.Lock()
@@ -321,6 +336,7 @@
 	}
 }
 
+// leavesOf returns the leaves of a service that are not closed.
 func (t *testbed) leavesOf(service string) []*leaf {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -346,13 +362,15 @@
 }
 
 // startReplacement starts a leaf with the service and failure domain of another.
+// A leaf that does not start is a violation.
 func (t *testbed) startReplacement(l *leaf) {
 	if err := t.addLeaf(l.Service, l.Domain); err != nil {
 		t.results.addViolation("START: replacement leaf: %v", err)
 	}
 }
 
-// drainLeaf starts a replacement of a leaf, then drains and unregisters the leaf.
+// drainLeaf starts a replacement of a leaf and marks the leaf as draining. It
+// unregisters the leaf once all hosts must have learned of the drain.
 func (t *testbed) drainLeaf(draw uint64, _ time.Duration) {
 	l := t.chooseLeaf(draw)
 	t.startReplacement(l)
--- a/soak/play/harmful.go
+++ b/soak/play/harmful.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// harmfulPause is the pause between two harmful requests.
-	harmfulPause = 700 * time.Millisecond
+	// harmfulInterval is the interval between two harmful requests.
+	harmfulInterval = 700 * time.Millisecond
 	// harmfulCrashLimit is the number of leaves that a harmful request may crash
 	// before all hosts must reject it. Up to maxHarmfulArrivals requests may still
 	// reach leaves after that.
@@ -28,7 +28,7 @@
 		select {
 		case <-t.stop:
 			return
-		case <-time.After(harmfulPause):
+		case <-time.After(harmfulInterval):
 		}
 		c.host = t.hosts[n%len(t.hosts)]
 		c.fetchStatus("/one" + fake.HarmfulPath)
--- a/soak/play/testbed.go
+++ b/soak/play/testbed.go
@@ -39,10 +39,13 @@
 	applyBound = 3 * time.Second
 	// settleTime is how long a host must have had no fault before bounds apply to
 	// it.
-	settleTime      = 6 * time.Second
+	settleTime = 6 * time.Second
+	// shutdownTimeout is how long a host may take to exit after SIGTERM.
 	shutdownTimeout = 6 * time.Second
-	retryReserve    = 16
-	retryRatio      = 0.2
+	// retryReserve and retryRatio bound the retries and hedges of a service: a fixed
+	// number and a share of its requests. They are also in the hosts' settings.
+	retryReserve = 16
+	retryRatio   = 0.2
 )
 
 // host is one process with the history of its faults.
@@ -52,8 +55,8 @@
 
 	mu             sync.Mutex
 	cmd            *exec.Cmd
-	ended          chan struct{}
-	shouldRun      bool // no fault has ended the process
+	ended          chan struct{} // closed when the process has ended
+	shouldRun      bool          // no fault has ended the process
 	ready          bool
 	terminations   []interval // from SIGTERM to the end of the process
 	faults         []interval // all other faults
@@ -66,8 +69,8 @@
 type leaf struct {
 	*fake.Leaf
 	relay   *relay.Relay
-	public  string
-	drained time.Time
+	public  string    // address of the relay, which the store lists
+	drained time.Time // when its drain began; zero before that
 	closed  bool
 }
 
@@ -81,7 +84,7 @@
 	hosts     []*host
 	startedAt time.Time
 	results   results
-	wait      sync.WaitGroup
+	wait      sync.WaitGroup // for callers, probes, faults and processes
 	stop      chan struct{}
 
 	mu             sync.Mutex
@@ -108,6 +111,7 @@
 		return errors.Wrap(err, "make directory")
 	}
 	t.dir = dir
+	// Concurrent runs with different seeds use different IPs.
 	subnet := fmt.Sprintf("127.%d.%d", 64+os.Getpid()%100, t.Seed%200)
 	address, err := t.store.Start(subnet + ".1:0")
 	if err != nil {
@@ -146,7 +150,7 @@
 
 func shardName(i int) string { return fmt.Sprintf("shard-%d", i) }
 
-// addLeaf starts a leaf and registers it.
+// addLeaf starts a leaf behind a relay and registers it in the store.
 func (t *testbed) addLeaf(service, domain string) error {
 	t.mu.Lock()
 	t.lastLeafID++
@@ -170,7 +174,7 @@
 }
 
 // publishConfig writes the next version of the configuration. Each version adds
-// a route and removes the one that the last version added.
+// a route and removes the one that the previous version added.
 func (t *testbed) publishConfig() {
 	t.mu.Lock()
 	t.version++
@@ -184,10 +188,10 @@
 		names[i] = shardName(i)
 	}
 	body, err := fake.Config(version, []fake.Route{
-		{Name: "all", Host: hostName, Prefix: "/all/", Idempotent: true, Shards: names, TopK: topK, MinShare: minShare},
-		{Name: "one", Host: hostName, Prefix: "/one/", Idempotent: true, Service: "one"},
-		{Name: "set", Host: hostName, Prefix: "/set/", Service: "one"},
-		{Name: "extra", Host: hostName, Prefix: added, Idempotent: true, Service: "one"},
+		{Name: "all", Host: hostHeader, Prefix: "/all/", Idempotent: true, Shards: names, TopK: topK, MinShare: minShare},
+		{Name: "one", Host: hostHeader, Prefix: "/one/", Idempotent: true, Service: "one"},
+		{Name: "set", Host: hostHeader, Prefix: "/set/", Service: "one"},
+		{Name: "extra", Host: hostHeader, Prefix: added, Idempotent: true, Service: "one"},
 	})
 	if err != nil {
 		panic(err) // plain values always encode
@@ -195,17 +199,19 @@
 	t.store.Put(fake.KeyConfig, body)
 }
 
+// writeSettings writes the settings file of a host. Each failure domain has a
+// region of its own.
 func (t *testbed) writeSettings(h *host, store string) error {
 	regions := map[string]string{}
 	for i := range domainCount {
 		regions[domainName(i)] = "r-" + domainName(i)
 	}
-	var seeds []string
+	var gossipSeeds []string
 	for _, s := range t.hosts[:min(3, len(t.hosts))] {
-		seeds = append(seeds, s.ip)
+		gossipSeeds = append(gossipSeeds, s.ip)
 	}
 	body, err := fake.HostSettings{
-		Name: h.name, IP: h.ip, Domain: h.domain, Regions: regions, Seeds: seeds, StoreAddress: store,
+		Name: h.name, IP: h.ip, Domain: h.domain, Regions: regions, Seeds: gossipSeeds, StoreAddress: store,
 		ApplyBound: applyBound, RetryRatio: retryRatio, RetryReserve: retryReserve,
 	}.JSON()
 	if err != nil {
@@ -215,7 +221,8 @@
 	return errors.Wrap(os.WriteFile(h.settings, body, 0o600), "write settings")
 }
 
-// startProcess starts a host's process.
+// startProcess starts a host's process. An exit that no fault caused is a
+// violation.
 func (t *testbed) startProcess(h *host) error {
 	logFile, err := os.OpenFile(filepath.Join(t.dir, h.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -258,12 +265,15 @@
 	return h.ended
 }
 
+// addFault records an interval in which a fault affects the host.
 func (h *host) addFault(from, to time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.faults = append(h.faults, interval{from, to})
 }
 
+// addStale records an interval in which a fault keeps the host from receiving
+// changes.
 func (h *host) addStale(from, to time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
