--- a/bench/scene/faults.go
+++ b/bench/scene/faults.go
@@ -64,12 +64,12 @@
 func (r *Run) silent() {
 	r.settle(steadyLoad * 2 / 3)
 	r.advance(6 * clock.Second)
-	steady := r.World.Stats.Quantile(99.9)
+	steady := r.World.Stats.Percentile(99.9)
 	r.World.Silence(0.1)
 	r.advance(clock.Second)
 	r.World.Stats.Reset()
 	r.advance(6 * clock.Second)
-	r.record("p999-over-steady", r.World.Stats.Quantile(99.9)/steady)
+	r.record("p999-over-steady", r.World.Stats.Percentile(99.9)/steady)
 	r.record("ejected", float64(r.World.Stats.LeafEvents["closed: silent"]+r.World.Stats.LeafEvents["closed: unreachable"]))
 	r.recordCommon()
 }
--- a/bench/scene/overload.go
+++ b/bench/scene/overload.go
@@ -38,7 +38,7 @@
 	r.record("complete-over-capacity", float64(s.Complete)*1000/float64(span)/capacity)
 	r.record("extra-share-in-overload", s.ExtraShare())
 	r.record("refused-share-in-overload", s.RefusedShare())
-	r.record("p99-in-overload-ms", s.Quantile(99))
+	r.record("p99-in-overload-ms", s.Percentile(99))
 	end := r.World.Now()
 	r.advance(10 * clock.Second)
 	r.record("recovery-s", r.recoverySeconds(end))
--- a/bench/scene/scene.go
+++ b/bench/scene/scene.go
@@ -162,9 +162,9 @@
 // recordCommon records the figures that every scenario reports.
 func (r *Run) recordCommon() {
 	s := &r.World.Stats
-	r.record("p50-ms", s.Quantile(50))
-	r.record("p99-ms", s.Quantile(99))
-	r.record("p999-ms", s.Quantile(99.9))
+	r.record("p50-ms", s.Percentile(50))
+	r.record("p99-ms", s.Percentile(99))
+	r.record("p999-ms", s.Percentile(99.9))
 	r.record("complete-share", s.CompleteShare())
 	r.record("covered-share", s.CoveredShare())
 	r.record("extra-share", s.ExtraShare())
--- a/bench/scene/steady.go
+++ b/bench/scene/steady.go
@@ -13,10 +13,10 @@
 			r.recordCommon()
 			bound := clairvoyant(r.World, r.Deployment, steadyLoad, span)
 			r.record("clairvoyant-p99-ms", bound)
-			r.record("p99-over-clairvoyant", r.World.Stats.Quantile(99)/bound)
+			r.record("p99-over-clairvoyant", r.World.Stats.Percentile(99)/bound)
 			far := clairvoyantFar(r.World, r.Deployment, steadyLoad, span)
 			r.record("clairvoyant-far-p99-ms", far)
-			r.record("p99-over-clairvoyant-far", r.World.Stats.Quantile(99)/far)
+			r.record("p99-over-clairvoyant-far", r.World.Stats.Percentile(99)/far)
 		},
 	})
 }
--- a/bench/virt/host.go
+++ b/bench/virt/host.go
@@ -26,9 +26,9 @@
 	down        bool
 	leaving     bool
 	paused      bool
-	frozen      bool // paused longer than detectionTime: the peers dropped the links
-	backlog     []func()
-	linked      map[string]bool
+	frozen      bool            // paused longer than detectionTime: the peers closed their links
+	backlog     []func()        // what the host runs when it resumes
+	linked      map[string]bool // hosts with an open link
 }
 
 // boot starts the host's programs with empty state.
@@ -51,7 +51,7 @@
 // if it is down.
 func (h *Host) do(f func()) {
 	switch {
-	case h.down:
+	case h.down: // f is lost
 	case h.paused:
 		h.backlog = append(h.backlog, f)
 	default:
@@ -59,7 +59,7 @@
 	}
 }
 
-// Pause suspends the host, which cannot notice it. The peers drop their links
+// Pause suspends the host, which cannot notice it. The peers close their links
 // after detectionTime.
 func (h *Host) Pause() {
 	h.paused = true
@@ -71,6 +71,7 @@
 	})
 }
 
+// relinkAll makes all hosts bring their links in line with the state of this one.
 func (h *Host) relinkAll() {
 	for _, other := range h.World.Hosts {
 		other.do(other.relink)
@@ -88,7 +89,7 @@
 	h.World.Clock.After(1, h.relinkAll)
 }
 
-// Kill ends both programs at once; peers see the links close.
+// Kill ends both programs at once; peers and leaves see their connections close.
 func (h *Host) Kill() {
 	h.down = true
 	for _, f := range h.World.leafOrder {
@@ -124,6 +125,7 @@
 // Ready reports whether the balancer sends callers to this host.
 func (h *Host) Ready() bool { return !h.down && !h.leaving && !h.paused }
 
+// configure applies a configuration and the current host list to both engines.
 func (h *Host) configure(cfg *topo.Config) {
 	h.cfg = cfg
 	now := h.World.Now()
@@ -135,7 +137,8 @@
 	h.applySched(h.Sched.Configure(now, cfg, hosts))
 }
 
-// relink brings the links in line with the partitions and the peers' states.
+// relink opens and closes the host's links according to the partitions and the
+// peers' states, and informs both engines.
 func (h *Host) relink() {
 	now := h.World.Now()
 	for _, other := range h.World.Hosts {
@@ -166,6 +169,7 @@
 func (h *Host) tickSched() {
 	out, paused := h.Sched.Tick(h.World.Now())
 	if paused {
+		// The scheduler suspends admission until a peer has confirmed the configuration.
 		h.World.Clock.After(50, func() { h.do(func() { h.configure(h.World.Config); h.Sched.ResumeAdmission() }) })
 	}
 	h.applySched(out)
@@ -198,9 +202,10 @@
 				}
 			})
 		case fanout.Answered:
-			w.answered(h, a)
+			w.recordAnswer(h, a)
 		case fanout.ShareStrike:
 			h.shareStrike(a.Strike)
+			// A query that waits for the peers to know of the strike then continues.
 			if a.Query == 0 {
 				break
 			}
@@ -214,7 +219,7 @@
 		case fanout.Forward:
 			h.forward(a)
 		case fanout.UpdateAnswered:
-			w.updated(h, a)
+			w.handleUpdateResult(h, a)
 		}
 	}
 }
@@ -226,6 +231,7 @@
 	}
 }
 
+// mergeStrike merges a strike of another host into both engines.
 func (h *Host) mergeStrike(s deny.Strike) {
 	now := h.World.Now()
 	h.Fanout.MergeStrike(now, s)
@@ -243,6 +249,7 @@
 	update *fanout.SendUpdate
 }
 
+// receiveBatch submits the calls of a batch to the scheduler.
 func (h *Host) receiveBatch(from *Host, a fanout.SendBatch, budget clock.Milli) {
 	now := h.World.Now()
 	for _, c := range a.Calls {
@@ -254,6 +261,7 @@
 	}
 }
 
+// receiveUpdate submits an update call to the scheduler.
 func (h *Host) receiveUpdate(from *Host, a fanout.SendUpdate, budget clock.Milli) {
 	now := h.World.Now()
 	h.applySched(h.Sched.Submit(now, sched.Call{
@@ -263,7 +271,8 @@
 	}))
 }
 
-// forward sends an update to the host that minted its ID.
+// forward sends an update to the host that minted its ID and returns the result to
+// this host. It fails at once if the other host cannot be reached.
 func (h *Host) forward(a fanout.Forward) {
 	w := h.World
 	owner := w.host(a.Host)
@@ -325,6 +334,8 @@
 	}
 }
 
+// reply sends the outcome of a call to the entry that sent the call, unless the
+// entry has restarted by then.
 func (h *Host) reply(a sched.Reply) {
 	w := h.World
 	entry := w.Hosts[a.Key.Link]
--- a/bench/virt/leaf.go
+++ b/bench/virt/leaf.go
@@ -77,6 +77,7 @@
 	lastUse      clock.Milli
 }
 
+// newLeaf returns a warm leaf that holds version 1 of layout 1.
 func newLeaf(w *World, s topo.Server, l topo.Leaf, v deploy.Service) *Leaf {
 	f := &Leaf{
 		w: w, spec: l, server: s.Name, service: s.Service, domain: s.Domain, connectTime: v.ConnectTime,
@@ -95,16 +96,16 @@
 	if !f.warming {
 		return f.spec.Slots
 	}
-	age := f.w.Now() - f.coldSince
-	if age >= f.w.Model.WarmUp {
+	elapsed := f.w.Now() - f.coldSince
+	if elapsed >= f.w.Model.WarmUp {
 		f.warming, f.unseen = false, false
 		return f.spec.Slots
 	}
-	return max(1, int(clock.Milli(f.spec.Slots)*age/f.w.Model.WarmUp))
+	return max(1, int(clock.Milli(f.spec.Slots)*elapsed/f.w.Model.WarmUp))
 }
 
-// serviceFactor returns the factor on service times, which falls during the
-// warm-up.
+// serviceFactor returns the factor on service times. During the warm-up it falls
+// linearly from ColdFactor to 1; a straggler's own factor applies on top.
 func (f *Leaf) serviceFactor() float64 {
 	if !f.warming {
 		return f.stragglerFactor
@@ -113,14 +114,16 @@
 	return f.stragglerFactor * (1 + (f.w.Model.ColdFactor-1)*max(0, 1-share))
 }
 
+// status returns what each reply of the leaf reports.
 func (f *Leaf) status() sched.LeafStatus {
 	return sched.LeafStatus{Incarnation: f.incarnation, Draining: f.draining, Holds: f.holds}
 }
 
-// atLeaf calls then at the leaf after the network latency, with a connection
-// that it opens if it is new. The argument of then reports whether the
-// connection is open. A partition or a silent connection drops the request.
-func (f *Leaf) atLeaf(h *Host, id sched.ConnID, newConn bool, then func(opened bool)) {
+// callAtLeaf calls run at the leaf after the network latency. A new connection takes the
+// connect time and is refused if the leaf is down or has no connection left. run gets
+// false if the connection was refused or has closed. It is not called if the domains
+// are partitioned or the connection is silent.
+func (f *Leaf) callAtLeaf(h *Host, id sched.ConnID, newConn bool, run func(opened bool)) {
 	w := f.w
 	key := connKey{h.Index, h.incarnation, id}
 	wait := w.delay(h.Domain, f.domain)
@@ -133,7 +136,7 @@
 		}
 		if newConn {
 			if f.down || len(f.conns) >= f.spec.Connections {
-				then(false)
+				run(false)
 				return
 			}
 			f.conns[key] = true
@@ -141,18 +144,18 @@
 		}
 		alive, ok := f.conns[key]
 		if !ok {
-			then(false)
+			run(false)
 			return
 		}
 		if alive {
-			then(true)
+			run(true)
 		}
 	})
 }
 
-// atHost calls run at the host after the network latency, unless the connection
+// callAtHost calls run at the host after the network latency, unless the connection
 // is closed or silent by then.
-func (f *Leaf) atHost(h *Host, id sched.ConnID, run func()) {
+func (f *Leaf) callAtHost(h *Host, id sched.ConnID, run func()) {
 	incarnation := h.incarnation
 	f.w.Clock.After(f.w.delay(h.Domain, f.domain), func() {
 		if f.w.partitioned(h.Domain, f.domain) || h.incarnation != incarnation || !f.conns[connKey{h.Index, incarnation, id}] {
@@ -162,8 +165,10 @@
 	})
 }
 
+// closeConn closes a connection.
 func (f *Leaf) closeConn(k connKey) { delete(f.conns, k) }
 
+// hostDown closes the connections of a host whose programs have ended.
 func (f *Leaf) hostDown(h *Host) {
 	for k := range f.conns {
 		if k.host == h.Index && k.incarnation == h.incarnation {
@@ -179,7 +184,8 @@
 	}
 }
 
-// abort stops a running query; an update runs to its end.
+// abort stops a running query; an update runs to its end. The result is reported
+// like that of a health check.
 func (f *Leaf) abort(h *Host, a sched.Abort) {
 	attempt := attemptKey{h.Index, h.incarnation, a.Call.Key}
 	f.w.Clock.After(f.w.delay(h.Domain, f.domain), func() {
@@ -191,9 +197,10 @@
 	f.probe(h, a.Conn, a.NewConn)
 }
 
+// probe runs a health check of the leaf and reports the result to the scheduler.
 func (f *Leaf) probe(h *Host, id sched.ConnID, newConn bool) {
 	incarnation := h.incarnation
-	f.atLeaf(h, id, newConn, func(opened bool) {
+	f.callAtLeaf(h, id, newConn, func(opened bool) {
 		if !opened {
 			h.do(func() {
 				if h.incarnation == incarnation {
@@ -202,7 +209,7 @@
 			})
 			return
 		}
-		f.atHost(h, id, func() {
+		f.callAtHost(h, id, func() {
 			f.unseen = false
 			h.applySched(h.Sched.ProbeDone(f.w.Now(), f.spec.Name, id, f.status(), nil))
 		})
@@ -213,7 +220,7 @@
 func (f *Leaf) send(h *Host, s sched.Send) {
 	incarnation := h.incarnation
 	result := sched.Result{Leaf: f.spec.Name, Conn: s.Conn, Key: s.Call.Key}
-	f.atLeaf(h, s.Conn, s.NewConn, func(opened bool) {
+	f.callAtLeaf(h, s.Conn, s.NewConn, func(opened bool) {
 		if !opened {
 			h.do(func() {
 				if h.incarnation == incarnation {
@@ -228,25 +235,28 @@
 	})
 }
 
-func (f *Leaf) finish(h *Host, s sched.Send, r sched.Result, o query.Outcome) {
-	f.atHost(h, s.Conn, func() {
+// sendOutcome sends the outcome of a call to the host.
+func (f *Leaf) sendOutcome(h *Host, s sched.Send, r sched.Result, o query.Outcome) {
+	f.callAtHost(h, s.Conn, func() {
 		r.Outcome, r.Status = o, f.status()
 		h.applySched(h.Sched.CallDone(f.w.Now(), r))
 	})
 }
 
+// run runs a call, unless the leaf is draining, does not hold the shard in the
+// pinned snapshot or has no free slot.
 func (f *Leaf) run(h *Host, s sched.Send, r sched.Result) {
-	j, ok := s.Call.Request.(leafRequest)
+	request, ok := s.Call.Request.(leafRequest)
 	if !ok {
 		return
 	}
 	w := f.w
 	switch {
 	case f.draining:
-		f.finish(h, s, r, query.Outcome{Kind: query.NotRun, Reason: query.ReasonDraining})
+		f.sendOutcome(h, s, r, query.Outcome{Kind: query.NotRun, Reason: query.ReasonDraining})
 		return
-	case j.update == nil && !f.holdsShard(j.pin, j.shard):
-		f.finish(h, s, r, query.Outcome{Kind: query.NotRun, Reason: query.ReasonSnapshot})
+	case request.update == nil && !f.holdsShard(request.pin, request.shard):
+		f.sendOutcome(h, s, r, query.Outcome{Kind: query.NotRun, Reason: query.ReasonSnapshot})
 		return
 	case f.active >= f.capacity():
 		switch {
@@ -258,17 +268,17 @@
 		default:
 			f.excessCold++
 		}
-		f.finish(h, s, r, query.Outcome{Kind: query.Shed, Reason: query.ReasonShed})
+		f.sendOutcome(h, s, r, query.Outcome{Kind: query.Shed, Reason: query.ReasonShed})
 		return
 	}
 	f.active++
 	f.calls++
 	f.lastUse = w.Now()
 	w.Stats.recordCall(f)
-	if j.update != nil {
-		w.Executed[j.update.Update.ID.String()]++
+	if request.update != nil {
+		w.Executed[request.update.Update.ID.String()]++
 	}
-	if j.text == CrashText {
+	if request.text == CrashText {
 		w.Stats.Crashes[f.server] = append(w.Stats.Crashes[f.server], w.Now())
 		f.w.Crash(f.server)
 		return
@@ -277,28 +287,29 @@
 	attempt := attemptKey{h.Index, h.incarnation, s.Call.Key}
 	f.running[attempt] = func() {
 		f.active--
-		f.finish(h, s, r, query.Outcome{Kind: query.Unknown, Reason: query.ReasonLeafError})
+		f.sendOutcome(h, s, r, query.Outcome{Kind: query.Unknown, Reason: query.ReasonLeafError})
 	}
-	span := f.serviceTime(j)
-	if j.update == nil {
-		span = min(span, max(1, s.Call.Deadline-w.Now())) // a leaf stops at the deadline
+	duration := f.serviceTime(request)
+	if request.update == nil {
+		duration = min(duration, max(1, s.Call.Deadline-w.Now())) // a leaf stops at the deadline
 	}
-	w.Clock.After(span, func() {
+	w.Clock.After(duration, func() {
 		if _, still := f.running[attempt]; !still || incarnation != f.incarnation || f.down {
 			return
 		}
 		delete(f.running, attempt)
 		f.active--
-		if j.update != nil {
-			f.finish(h, s, r, query.Outcome{Kind: query.OK, Body: "done"})
+		if request.update != nil {
+			f.sendOutcome(h, s, r, query.Outcome{Kind: query.OK, Body: "done"})
 			return
 		}
-		f.finish(h, s, r, query.Outcome{Kind: query.OK, Rows: []query.Row{{
-			Key: rowKey(f.service, j.pin, j.shard), Score: 1, Text: j.text,
+		f.sendOutcome(h, s, r, query.Outcome{Kind: query.OK, Rows: []query.Row{{
+			Key: rowKey(f.service, request.pin, request.shard), Score: 1, Text: request.text,
 		}}})
 	})
 }
 
+// holdsShard reports whether the leaf holds a shard in a snapshot.
 func (f *Leaf) holdsShard(pin topo.SnapshotID, shard int) bool {
 	if held, ok := f.spec.Shard(pin.Layout); !ok || held != shard {
 		return false
@@ -313,8 +324,8 @@
 
 // serviceTime returns the service time of a call. A query's time on a shard does
 // not depend on the replica, so that all policies run the same work.
-func (f *Leaf) serviceTime(j leafRequest) clock.Milli {
-	base := ServiceTime(f.w.Model, f.w.Seed, uint64(j.entry.Index)<<40|j.query, j.shard)
+func (f *Leaf) serviceTime(request leafRequest) clock.Milli {
+	base := ServiceTime(f.w.Model, f.w.Seed, uint64(request.entry.Index)<<40|request.query, request.shard)
 	return max(1, clock.Milli(math.Round(base*f.serviceFactor())))
 }
 
@@ -441,10 +452,10 @@
 }
 
 // SetDraining makes a backend server drain, or ends its draining.
-func (w *World) SetDraining(server string, on bool) {
+func (w *World) SetDraining(server string, draining bool) {
 	for _, f := range w.leafOrder {
 		if f.server == server {
-			f.draining = on
+			f.draining = draining
 		}
 	}
 }
--- a/bench/virt/load.go
+++ b/bench/virt/load.go
@@ -13,15 +13,19 @@
 	Service string
 	// Rate is the number of queries per second.
 	Rate float64
-	// Texts is the number of different queries, asked with very uneven
-	// frequencies. With 0 every query is new.
-	Texts   int
+	// Texts is the number of different queries; a few of them are far more frequent
+	// than the others. With 0 every query is new.
+	Texts int
+	// Callers is the number of callers; each query comes from a random one.
 	Callers int
 	// Caller, if set, sends all queries.
 	Caller string
+	// Budget is the time budget of a query; 0 stands for deploy.Deadline.
 	Budget clock.Milli
-	From   clock.Milli
-	Until  clock.Milli
+	// From and Until bound the time in which queries are sent. Without Until the
+	// stream does not end.
+	From  clock.Milli
+	Until clock.Milli
 }
 
 // Capacity returns how many queries per second a service can answer, from the
@@ -49,13 +53,15 @@
 	w.Clock.At(l.From, func() { w.afterInterval(l.Rate, next) })
 }
 
-// afterInterval runs f after a time drawn from an exponential distribution.
-// Rounding to whole milliseconds keeps the mean: several arrivals may share one
-// millisecond.
+// afterInterval runs f after a random interval, drawn from an exponential
+// distribution with a mean of 1/rate seconds. Rounding to whole milliseconds keeps
+// the mean: several arrivals may share one millisecond.
 func (w *World) afterInterval(rate float64, f func()) {
 	w.Clock.After(clock.Milli(math.Floor(w.Random.ExpFloat64()*1000/rate+w.Random.Float64())), f)
 }
 
+// sendOne sends the n-th query of a stream to a random ready host. It sends none if
+// no host is ready.
 func (w *World) sendOne(l Load, n int) {
 	h := w.chooseHost()
 	if h == nil {
@@ -74,7 +80,8 @@
 	w.SendQuery(h, l.Service, text, caller, l.Budget, nil)
 }
 
-// chooseHost returns a random ready host, as the balancer does.
+// chooseHost returns a random ready host, as the balancer does, or nil if there is
+// none.
 func (w *World) chooseHost() *Host {
 	start := w.Random.IntN(len(w.Hosts))
 	for i := range w.Hosts {
--- a/bench/virt/property_test.go
+++ b/bench/virt/property_test.go
@@ -47,14 +47,14 @@
 	return w
 }
 
-// startLoad starts light load on all services.
+// startLoad starts load on all services, at a share of their capacity.
 func startLoad(w *World, share float64) {
 	for _, v := range w.Deployment.Services {
 		w.StartLoad(Load{Service: v.Name, Rate: share * w.Capacity(v), Texts: 200, Callers: 10})
 	}
 }
 
-// chaos is one randomly drawn run: a schedule of failures in a world under load.
+// chaos is a random schedule of failures in a world under load.
 type chaos struct {
 	t       *rapid.T
 	w       *World
@@ -68,14 +68,16 @@
 	results *[]query.Kind
 }
 
-func (c *chaos) host() *Host { return c.w.Hosts[rapid.IntRange(0, len(c.w.Hosts)-1).Draw(c.t, "host")] }
+func (c *chaos) drawHost() *Host {
+	return c.w.Hosts[rapid.IntRange(0, len(c.w.Hosts)-1).Draw(c.t, "host")]
+}
 
-func (c *chaos) server() string {
+func (c *chaos) drawServer() string {
 	all := c.w.Config.Inventory.Servers
 	return all[rapid.IntRange(0, len(all)-1).Draw(c.t, "server")].Name
 }
 
-func (c *chaos) domain() string {
+func (c *chaos) drawDomain() string {
 	return c.w.Deployment.Domains[rapid.IntRange(0, 2).Draw(c.t, "domain")].Name
 }
 
@@ -83,28 +85,29 @@
 func (c *chaos) step() {
 	w := c.w
 	switch rapid.IntRange(0, 15).Draw(c.t, "step") {
+	// 0 to 10 are failures, recoveries and changes; 11 to 13 send an update.
 	case 14, 15:
-		c.updatesAmidLoss()
+		c.sendUpdatesAmidFailure()
 	case 0:
-		c.host().Kill()
+		c.drawHost().Kill()
 		w.PublishHosts(500)
 	case 1:
-		if h := c.host(); h.down {
+		if h := c.drawHost(); h.down {
 			h.Restart()
 			w.PublishHosts(500)
 		}
 	case 2:
-		c.host().Pause()
+		c.drawHost().Pause()
 	case 3:
-		c.host().Resume()
+		c.drawHost().Resume()
 	case 4:
-		w.SetPartitioned(c.domain(), true)
+		w.SetPartitioned(c.drawDomain(), true)
 	case 5:
-		w.SetPartitioned(c.domain(), false)
+		w.SetPartitioned(c.drawDomain(), false)
 	case 6:
-		w.Crash(c.server())
+		w.Crash(c.drawServer())
 	case 7:
-		w.SetDraining(c.server(), rapid.Bool().Draw(c.t, "on"))
+		w.SetDraining(c.drawServer(), rapid.Bool().Draw(c.t, "on"))
 	case 8:
 		w.Silence(0.1)
 	case 9:
@@ -112,11 +115,11 @@
 	case 10:
 		var rules topo.Rules
 		if rapid.Bool().Draw(c.t, "out") {
-			rules.DomainsOut = []string{c.domain()}
+			rules.DomainsOut = []string{c.drawDomain()}
 		}
 		w.Publish(rules, 500)
 	default:
-		c.update()
+		c.sendUpdate()
 	}
 }
 
@@ -138,9 +141,9 @@
 	}
 }
 
-// update sends a new update, or resends an old one, through random hosts.
-func (c *chaos) update() {
-	h := c.host()
+// sendUpdate sends a new update, or resends an old one, through random hosts.
+func (c *chaos) sendUpdate() {
+	h := c.drawHost()
 	var s sentUpdate
 	if len(c.updates) > 0 && rapid.Bool().Draw(c.t, "again") {
 		s = c.updates[rapid.IntRange(0, len(c.updates)-1).Draw(c.t, "which")]
@@ -153,7 +156,7 @@
 		c.updates = append(c.updates, s)
 	}
 	for range rapid.IntRange(1, 2).Draw(c.t, "copies") {
-		through := c.host()
+		through := c.drawHost()
 		c.w.SendUpdate(through, s.id, "billing", s.body, 800, func(r fanout.UpdateResult) {
 			*s.results = append(*s.results, r.Kind)
 		})
@@ -182,30 +185,32 @@
 		for _, s := range c.updates {
 			c.checkUpdate(s)
 		}
-		if most := w.MaxConns(); most > 1 {
-			t.Fatalf("a leaf had %.2f times its connection limit", most)
+		if highest := w.MaxConns(); highest > 1 {
+			t.Fatalf("a leaf had %.2f times its connection limit", highest)
 		}
 	})
 }
 
-// updatesAmidLoss sends several updates and injects a failure while they are on
+// sendUpdatesAmidFailure sends several updates and injects a failure while they are on
 // the network or at their leaves.
-func (c *chaos) updatesAmidLoss() {
+func (c *chaos) sendUpdatesAmidFailure() {
 	for range 6 {
-		c.update()
+		c.sendUpdate()
 	}
-	c.w.Clock.Run(c.w.Now() + clock.Milli(rapid.IntRange(4, 16).Draw(c.t, "under way")))
+	c.w.Clock.Run(c.w.Now() + clock.Milli(rapid.IntRange(4, 16).Draw(c.t, "in flight")))
 	switch rapid.IntRange(0, 2).Draw(c.t, "loss") {
 	case 0:
-		c.host().Kill()
+		c.drawHost().Kill()
 		c.w.PublishHosts(500)
 	case 1:
-		c.w.Crash(c.server())
+		c.w.Crash(c.drawServer())
 	case 2:
 		c.w.Silence(0.5)
 	}
 }
 
+// checkUpdate checks that an update ran at most once, and that the results that its
+// callers got agree with whether it ran.
 func (c *chaos) checkUpdate(s sentUpdate) {
 	ran := c.w.Executed[s.id.String()]
 	if ran > 1 {
@@ -271,10 +276,10 @@
 		startLoad(w, 0.4)
 		w.Clock.Run(5 * clock.Second)
 		c := &chaos{t: t, w: w}
-		w.Crash(c.server())
-		w.Crash(c.server())
+		w.Crash(c.drawServer())
+		w.Crash(c.drawServer())
 		w.Clock.Run(w.Now() + restartDelay + clock.Milli(rapid.IntRange(0, 1500).Draw(t, "into the ramp")))
-		h := c.host()
+		h := c.drawHost()
 		switch rapid.IntRange(0, 3).Draw(t, "change") {
 		case 0:
 			h.Kill()
--- a/bench/virt/stats.go
+++ b/bench/virt/stats.go
@@ -17,7 +17,8 @@
 // errRefused is the error of a probe to a server that is down.
 var errRefused = errors.New("connection refused")
 
-// Second counts the events of one second.
+// Second counts the queries that were sent in one second, and the leaf calls that
+// started in it.
 type Second struct {
 	Queries  int
 	Complete int
@@ -35,25 +36,28 @@
 	Complete   int
 	Refused    map[query.Reason]int
 	Missing    map[query.Reason]int
-	Shards     int
-	Covered    int
-	FirstCalls int
-	ExtraCalls int
-	Faults     []string
-	LeafEvents map[string]int
-	Crashes    map[string][]clock.Milli
+	Shards     int                      // of all answered queries
+	Covered    int                      // shards that answers cover
+	FirstCalls int                      // the first leaf call of each shard
+	ExtraCalls int                      // retries and hedges
+	Faults     []string                 // violated safety properties
+	LeafEvents map[string]int           // event and cause -> events of the schedulers
+	Crashes    map[string][]clock.Milli // server -> times at which a query crashed it
 	Updates    map[query.Kind]int
 	// OthersLatency is the latency of all callers except GreedyCaller, in ms.
 	OthersLatency *hdrhistogram.Histogram
 	lastCall      map[string]clock.Milli // time of the last leaf call by failure domain
 	pending       map[uint64]pendingQuery
-	onForwarded   map[uint64]func(fanout.UpdateResult)
-	onUpdate      map[uint64]func(fanout.UpdateResult)
-	onAnswer      map[uint64]func(query.Answer)
+	// Callbacks by request ID. Those in onForwarded return the result of a forwarded
+	// update to the host that forwarded it.
+	onForwarded map[uint64]func(fanout.UpdateResult)
+	onUpdate    map[uint64]func(fanout.UpdateResult)
+	onAnswer    map[uint64]func(query.Answer)
 }
 
+// pendingQuery is a query that was sent and has no answer yet.
 type pendingQuery struct {
-	at      clock.Milli
+	sentAt  clock.Milli
 	service string
 	text    string
 	caller  string
@@ -79,6 +83,7 @@
 	s.pending, s.onForwarded, s.onUpdate, s.onAnswer, s.Faults = pending, onForwarded, onUpdate, onAnswer, faults
 }
 
+// second returns the counts of the second that contains a time.
 func (s *Stats) second(now clock.Milli) *Second {
 	i := int(now / clock.Second)
 	for len(s.Seconds) <= i {
@@ -87,17 +92,21 @@
 	return &s.Seconds[i]
 }
 
+// recordCall records a call that starts at a leaf.
 func (s *Stats) recordCall(f *Leaf) {
 	now := f.w.Now()
 	s.lastCall[f.domain] = now
 	s.second(now).Calls++
 }
 
-// LastWork returns the time of the last leaf call in a failure domain.
+// LastWork returns the time of the last leaf call in a failure domain, or 0 if
+// there was none.
 func (s *Stats) LastWork(domain string) clock.Milli { return s.lastCall[domain] }
 
-// Quantile returns a quantile of the latency at the callers, in ms.
-func (s *Stats) Quantile(q float64) float64 { return float64(s.Latency.ValueAtQuantile(q)) }
+// Percentile returns a percentile (0 to 100) of the latency at the callers, in ms.
+func (s *Stats) Percentile(percent float64) float64 {
+	return float64(s.Latency.ValueAtQuantile(percent))
+}
 
 // ExtraShare is the ratio of extra leaf calls, those beyond the first per shard,
 // to first calls.
@@ -119,7 +128,8 @@
 // Partial is the number of answers with missing shards.
 func (s *Stats) Partial() int { return s.Answered - s.Complete }
 
-// CoveredShare is the share of the shards that answers cover.
+// CoveredShare is the ratio of the shards that answers cover to all shards of the
+// answered queries.
 func (s *Stats) CoveredShare() float64 {
 	if s.Shards == 0 {
 		return 0
@@ -139,19 +149,21 @@
 	return float64(n) / float64(s.Queries)
 }
 
+// rowKey returns the key of the only row that a shard has.
 func rowKey(service string, pin topo.SnapshotID, shard int) string {
 	return fmt.Sprintf("%s/%s/%d", service, pin, shard)
 }
 
 // SendQuery sends a query from a caller to a host; it arrives after the
-// caller's latency.
+// caller's latency. The function done, if any, is called with the answer when the
+// host sends it.
 func (w *World) SendQuery(h *Host, service, text, caller string, budget clock.Milli, done func(query.Answer)) {
 	w.nextID++
 	id := w.nextID
 	now := w.Now()
 	w.Stats.Queries++
 	w.Stats.second(now).Queries++
-	w.Stats.pending[id] = pendingQuery{at: now, service: service, text: text, caller: caller}
+	w.Stats.pending[id] = pendingQuery{sentAt: now, service: service, text: text, caller: caller}
 	if done != nil {
 		w.Stats.onAnswer[id] = done
 	}
@@ -164,12 +176,13 @@
 	})
 }
 
-// answered records an answer and verifies it.
-func (w *World) answered(_ *Host, a fanout.Answered) {
+// recordAnswer records the answer to a pending query and, unless the query was refused,
+// verifies the rows.
+func (w *World) recordAnswer(_ *Host, a fanout.Answered) {
 	s := &w.Stats
 	q, ok := s.pending[a.Query]
 	if !ok {
-		w.fault(fmt.Sprintf("query %d is unknown or has been answered before", a.Query))
+		w.recordFault(fmt.Sprintf("query %d is unknown or has been answered before", a.Query))
 		return
 	}
 	delete(s.pending, a.Query)
@@ -180,7 +193,7 @@
 	now := w.Now() + w.Deployment.CallerLatency
 	// A query counts in the second in which it was sent; otherwise a slower query
 	// would look like a lost one.
-	sec := s.second(q.at)
+	sec := s.second(q.sentAt)
 	s.FirstCalls += a.Answer.Calls - a.Answer.Extra
 	s.ExtraCalls += a.Answer.Extra
 	if a.Answer.Refused != query.ReasonNone {
@@ -190,9 +203,9 @@
 	}
 	w.verify(q, a.Answer)
 	s.Answered++
-	_ = s.Latency.RecordValue(int64(max(1, now-q.at))) // the query's budget keeps it in range
+	_ = s.Latency.RecordValue(int64(max(1, now-q.sentAt))) // the query's budget keeps it in range
 	if q.caller != GreedyCaller {
-		_ = s.OthersLatency.RecordValue(int64(max(1, now-q.at)))
+		_ = s.OthersLatency.RecordValue(int64(max(1, now-q.sentAt)))
 	}
 	s.Shards += a.Answer.Coverage.Shards
 	s.Covered += a.Answer.Coverage.Answered
@@ -210,12 +223,12 @@
 // GreedyCaller is the name of the caller that sends far more than the others.
 const GreedyCaller = "greedy"
 
-// verify checks the rows of an answer: one row of each answered shard, from the
-// pinned snapshot and for this query, and none of a missing shard.
+// verify checks an answer: one row of each answered shard, from the pinned snapshot
+// and for this query, and none of a missing shard.
 func (w *World) verify(q pendingQuery, a query.Answer) {
 	c := a.Coverage
 	if c.Answered+len(c.Missing) != c.Shards {
-		w.fault(fmt.Sprintf("coverage does not add up: %+v", c))
+		w.recordFault(fmt.Sprintf("coverage does not add up: %+v", c))
 	}
 	missing := map[string]bool{}
 	for _, m := range c.Missing {
@@ -224,18 +237,18 @@
 	rows := 0
 	for _, r := range a.Rows {
 		if !strings.HasPrefix(r.Key, q.service+"/"+a.Pin.String()+"/") {
-			w.fault("row of another service or snapshot: " + r.Key + " in " + a.Pin.String())
+			w.recordFault("row of another service or snapshot: " + r.Key + " in " + a.Pin.String())
 		}
 		if r.Text != q.text {
-			w.fault("row of another query: " + r.Text)
+			w.recordFault("row of another query: " + r.Text)
 		}
 		if missing[r.Key] {
-			w.fault("row of a shard that is listed as missing: " + r.Key)
+			w.recordFault("row of a shard that is listed as missing: " + r.Key)
 		}
 		rows++
 	}
 	if rows != c.Answered {
-		w.fault(fmt.Sprintf("%d rows for %d answered shards", rows, c.Answered))
+		w.recordFault(fmt.Sprintf("%d rows for %d answered shards", rows, c.Answered))
 	}
 }
 
@@ -246,7 +259,7 @@
 func (w *World) PendingWithin(span clock.Milli) int {
 	n := 0
 	for _, q := range w.Stats.pending {
-		if w.Now()-q.at <= span {
+		if w.Now()-q.sentAt <= span {
 			n++
 		}
 	}
--- a/bench/virt/update.go
+++ b/bench/virt/update.go
@@ -6,7 +6,8 @@
 	"dandelionstile/share/fanout"
 )
 
-// Mint mints an update ID at a host, if the host is up.
+// Mint mints an update ID at a host. It reports false if the host is down or paused,
+// or cannot mint one.
 func (w *World) Mint(h *Host) (dedup.ID, bool) {
 	if h.down || h.paused {
 		return dedup.ID{}, false
@@ -34,7 +35,9 @@
 	})
 }
 
-func (w *World) updated(_ *Host, a fanout.UpdateAnswered) {
+// handleUpdateResult handles the result of an update: it goes to the host that forwarded the
+// update, if any, or else to the caller.
+func (w *World) handleUpdateResult(_ *Host, a fanout.UpdateAnswered) {
 	s := &w.Stats
 	if respond, ok := s.onForwarded[a.RequestID]; ok {
 		delete(s.onForwarded, a.RequestID)
--- a/bench/virt/world.go
+++ b/bench/virt/world.go
@@ -52,11 +52,11 @@
 	Config     *topo.Config
 	Hosts      []*Host
 	Leaves     map[string]*Leaf
-	leafOrder  []*Leaf
+	leafOrder  []*Leaf // in the order of the inventory, so that runs are reproducible
 	Stats      Stats
-	partitions map[domainPair]bool
+	partitions map[domainPair]bool // in both directions
 	nextID     uint64
-	// Executed counts the executions of each update.
+	// Executed counts the executions of each update, by ID.
 	Executed map[string]int
 }
 
@@ -109,8 +109,8 @@
 // Now returns the virtual time.
 func (w *World) Now() clock.Milli { return w.Clock.Now() }
 
-// fault records a violated safety property.
-func (w *World) fault(text string) {
+// recordFault records a violated safety property.
+func (w *World) recordFault(text string) {
 	w.Stats.Faults = append(w.Stats.Faults, text)
 	if w.Strict != nil {
 		w.Strict(text)
@@ -128,7 +128,8 @@
 	return list
 }
 
-// Publish applies rules on all hosts, on each after a random delay.
+// Publish publishes the next version of the configuration, with these rules. Each
+// host applies it after a random delay of at most maxDelay.
 func (w *World) Publish(rules topo.Rules, maxDelay clock.Milli) {
 	w.Config = w.Deployment.Config(w.Config.Version+1, rules)
 	cfg := w.Config
@@ -137,8 +138,8 @@
 	}
 }
 
-// PublishHosts applies the current host list on all hosts, on each after a
-// random delay.
+// PublishHosts makes each host apply the current host list after a random delay of
+// at most maxDelay.
 func (w *World) PublishHosts(maxDelay clock.Milli) {
 	for _, h := range w.Hosts {
 		w.Clock.After(w.randomDelay(maxDelay), func() { h.do(func() { h.configure(h.cfg) }) })
@@ -170,13 +171,13 @@
 	return ""
 }
 
-// SetPartitioned partitions a failure domain from all others, or heals it. The
-// hosts notice after detectionTime.
-func (w *World) SetPartitioned(domain string, on bool) {
+// SetPartitioned partitions a failure domain from all others, or ends the partition.
+// The hosts notice after detectionTime.
+func (w *World) SetPartitioned(domain string, partitioned bool) {
 	for _, d := range w.Deployment.Domains {
 		if d.Name != domain {
-			w.partitions[domainPair{d.Name, domain}] = on
-			w.partitions[domainPair{domain, d.Name}] = on
+			w.partitions[domainPair{d.Name, domain}] = partitioned
+			w.partitions[domainPair{domain, d.Name}] = partitioned
 		}
 	}
 	w.Clock.After(detectionTime, func() {
@@ -186,10 +187,11 @@
 	})
 }
 
+// partitioned reports whether a partition separates two failure domains.
 func (w *World) partitioned(a, b string) bool { return w.partitions[domainPair{a, b}] }
 
 // deliver runs f at a host after the network latency, unless the domains are
-// partitioned or the host is down by then.
+// partitioned or the host is down by then. A paused host runs f when it resumes.
 func (w *World) deliver(from string, to *Host, f func()) {
 	if w.partitioned(from, to.Domain) {
 		return
@@ -201,8 +203,8 @@
 	})
 }
 
-// Excess counts the requests beyond the capacity of leaves: of cold ones, of
-// cold ones before a reply showed it, and of warm ones.
+// Excess counts the requests beyond the capacity of leaves: of cold leaves once a
+// reply has shown that they are cold, of cold leaves before that, and of warm leaves.
 func (w *World) Excess() (cold, unseen, warm int) {
 	for _, f := range w.leafOrder {
 		cold += f.excessCold
