--- a/bench/deploy/deploy.go
+++ b/bench/deploy/deploy.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// ByName returns the deployment with a name.
+// ByName returns the deployment with a name, and whether there is one.
 func ByName(name string) (Deployment, bool) {
 	for _, d := range []Deployment{Himal(), Kumomaru()} {
 		if d.Name == name {
@@ -93,12 +93,13 @@
 
 // Times that apply to every service.
 const (
+	// WarmUp is the time that a cold leaf needs until it has all of its slots.
 	WarmUp   = 5 * clock.Second
 	Deadline = clock.Second
 )
 
-// Config builds the inventory. The replicas of a shard are in different failure
-// domains where possible.
+// Config builds a configuration with the deployment's inventory. The replicas of a
+// shard are in different failure domains where possible.
 func (d Deployment) Config(version uint64, rules topo.Rules) *topo.Config {
 	cfg := &topo.Config{Version: version, Rules: rules}
 	cfg.Inventory.Domains = d.Domains
@@ -128,7 +129,7 @@
 	return cfg
 }
 
-// HostList distributes the hosts over the failure domains.
+// HostList returns the hosts, distributed over the failure domains.
 func (d Deployment) HostList() []topo.Host {
 	hosts := make([]topo.Host, d.Hosts)
 	for i := range hosts {
@@ -137,7 +138,7 @@
 	return hosts
 }
 
-// Service returns the service with a name.
+// Service returns the service with a name, and whether there is one.
 func (d Deployment) Service(name string) (Service, bool) {
 	for _, s := range d.Services {
 		if s.Name == name {
--- a/bench/scene/clairvoyant.go
+++ b/bench/scene/clairvoyant.go
@@ -32,8 +32,10 @@
 	return x
 }
 
-// clairvoyant returns the 99th percentile of latency over all services, in ms.
-func clairvoyant(w *virt.World, d deploy.Deployment, share float64, span clock.Milli) float64 {
+// clairvoyantP99 returns the 99th percentile of latency over all services, in ms. The
+// load is a share of the capacity. The latency between host and leaf is 1 ms each
+// way.
+func clairvoyantP99(w *virt.World, d deploy.Deployment, load float64, duration clock.Milli) float64 {
 	all := hdrhistogram.New(1, 60000, 3)
 	for i, v := range d.Services {
 		slots := v.Instances * v.Leaves * v.Slots / v.Shards()
@@ -41,29 +43,29 @@
 		for s := range queues {
 			queues[s] = make(freeHeap, slots)
 		}
-		rate := share * w.Capacity(v) / 1000
-		at, n := 0.0, uint64(0)
-		for at < float64(span) {
+		rate := load * w.Capacity(v) / 1000
+		arrival, n := 0.0, uint64(0)
+		for arrival < float64(duration) {
 			n++
-			at += interarrival(w, rate)
-			end := at
+			arrival += interarrival(w, rate)
+			end := arrival
 			for s := range queues {
-				begin := max(at, heap.Pop(&queues[s]).(float64))
+				begin := max(arrival, heap.Pop(&queues[s]).(float64))
 				done := begin + max(1, virt.ServiceTime(w.Model, w.Seed+uint64(i), n, s))
 				heap.Push(&queues[s], done)
 				end = max(end, done)
 			}
 			// The latency between caller and host and between host and leaf, both ways.
-			_ = all.RecordValue(int64(end - at + float64(2*d.CallerLatency) + 2)) // bounded by the span
+			_ = all.RecordValue(int64(end - arrival + float64(2*d.CallerLatency) + 2)) // bounded by the duration
 		}
 	}
 	return float64(all.ValueAtQuantile(99))
 }
 
-// clairvoyantFar includes the latency between regions: a query enters at a
-// random host, and reaches a replica in another region after the regional
-// latency. Each shard goes to the slot that answers first.
-func clairvoyantFar(w *virt.World, d deploy.Deployment, share float64, span clock.Milli) float64 {
+// clairvoyantFarP99 is like clairvoyant, but includes the latency between regions: a
+// query enters at a random host, and reaches a replica in another region after the
+// regional latency. Each shard goes to the slot that answers first.
+func clairvoyantFarP99(w *virt.World, d deploy.Deployment, load float64, duration clock.Milli) float64 {
 	all := hdrhistogram.New(1, 60000, 3)
 	for i, v := range d.Services {
 		slots := make([][]slot, v.Shards())
@@ -78,38 +80,40 @@
 				}
 			}
 		}
-		rate := share * w.Capacity(v) / 1000
-		at, n := 0.0, uint64(0)
-		for at < float64(span) {
+		rate := load * w.Capacity(v) / 1000
+		arrival, n := 0.0, uint64(0)
+		for arrival < float64(duration) {
 			n++
-			at += interarrival(w, rate)
+			arrival += interarrival(w, rate)
 			from := w.Hosts[w.Random.IntN(len(w.Hosts))].Domain
-			end := at
+			end := arrival
 			for s := range slots {
 				work := max(1, virt.ServiceTime(w.Model, w.Seed+uint64(i), n, s))
-				end = max(end, assignEarliest(slots[s], from, at, work, d))
+				end = max(end, assignEarliest(slots[s], from, arrival, work, d))
 			}
-			_ = all.RecordValue(int64(end - at + float64(2*d.CallerLatency))) // bounded by the span
+			_ = all.RecordValue(int64(end - arrival + float64(2*d.CallerLatency))) // bounded by the duration
 		}
 	}
 	return float64(all.ValueAtQuantile(99))
 }
 
+// slot is a slot of a leaf, with the time at which it becomes free.
 type slot struct {
 	domain string
 	freeAt float64
 }
 
-// assignEarliest assigns the work to the slot that answers first and returns
-// the time of the answer.
-func assignEarliest(slots []slot, from string, at, work float64, d deploy.Deployment) float64 {
+// assignEarliest assigns the work of a query that arrives at a host in the domain
+// from to the slot that answers first, and returns the time of the answer. All
+// times are in ms.
+func assignEarliest(slots []slot, from string, arrival, work float64, d deploy.Deployment) float64 {
 	best, finish := 0, 0.0
 	for i := range slots {
 		latency := 1.0
 		if slots[i].domain != from {
 			latency = float64(d.RegionLatency)
 		}
-		end := max(at+latency, slots[i].freeAt) + work + latency
+		end := max(arrival+latency, slots[i].freeAt) + work + latency
 		if i == 0 || end < finish {
 			best, finish = i, end
 		}
@@ -122,4 +126,5 @@
 	return finish
 }
 
+// interarrival returns a random time until the next query, in ms, for a rate per ms.
 func interarrival(w *virt.World, rate float64) float64 { return w.Random.ExpFloat64() / rate }
--- a/bench/scene/cold.go
+++ b/bench/scene/cold.go
@@ -9,7 +9,7 @@
 	register(Scenario{
 		Name: "cold-server",
 		Goal: "one backend server restarts cold: no requests beyond its capacity, full service within 1.5 of its ramp",
-		run:  func(r *Run) { r.coldStart(r.World.Config.Inventory.Servers[0].Name) },
+		run:  func(r *Run) { r.runColdStart(r.World.Config.Inventory.Servers[0].Name) },
 	})
 	register(Scenario{
 		Name: "cold-domain",
@@ -21,7 +21,7 @@
 					names = append(names, s.Name)
 				}
 			}
-			r.coldStart(names...)
+			r.runColdStart(names...)
 		},
 	})
 	register(Scenario{
@@ -40,15 +40,15 @@
 	})
 }
 
-// coldStart crashes servers and measures until they serve full load again.
-func (r *Run) coldStart(names ...string) {
+// runColdStart crashes servers and measures until they serve full load again.
+func (r *Run) runColdStart(names ...string) {
 	r.settle(steadyLoad * 2 / 3)
 	r.advance(3 * clock.Second)
 	before := r.callsPerSecond(r.World.Now()-3*clock.Second, 3)
 	for _, n := range names {
 		r.World.Crash(n)
 	}
-	restartedAt := r.World.Now() + 2*clock.Second // the servers restart
+	restartedAt := r.World.Now() + 2*clock.Second // a crashed server restarts after 2 s
 	r.advance(2*clock.Second + 2*deploy.WarmUp)
 	r.record("steady-calls-per-s", before)
 	r.record("full-after-over-ramp", r.recoveryOverRamp(restartedAt, before))
@@ -56,7 +56,8 @@
 	r.recordCommon()
 }
 
-// callsPerSecond returns the mean of leaf calls per second over n seconds.
+// callsPerSecond returns the mean number of leaf calls per second, over the n
+// seconds that follow a time.
 func (r *Run) callsPerSecond(since clock.Milli, n int) float64 {
 	sum := 0
 	for i := range n {
@@ -65,13 +66,14 @@
 	return float64(sum) / float64(n)
 }
 
-// recoveryOverRamp returns the recovery time after a time as a multiple of the
-// ramp.
+// recoveryOverRamp returns the time that recovery took, counted from a time, as a
+// multiple of the ramp.
 func (r *Run) recoveryOverRamp(since clock.Milli, _ float64) float64 {
 	return r.recoverySeconds(since) * float64(clock.Second) / float64(deploy.WarmUp)
 }
 
-// worstCompleteShare returns the lowest share of complete answers in any second.
+// worstCompleteShare returns the lowest share of complete answers in any second. The
+// last two seconds don't count, since their queries may still be in flight.
 func (r *Run) worstCompleteShare() float64 {
 	worst := 1.0
 	for i, s := range r.World.Stats.Seconds {
--- a/bench/scene/domains.go
+++ b/bench/scene/domains.go
@@ -14,16 +14,18 @@
 	register(Scenario{
 		Name: "domain-out",
 		Goal: "a failure domain is taken out and put back: no new work 3 s after the rule, the remaining domains serve the queries, peak load at most 1.2 of steady on its return",
-		run:  func(r *Run) { r.domainOut() },
+		run:  func(r *Run) { r.runDomainOut() },
 	})
 	register(Scenario{
 		Name: "domain-cut",
 		Goal: "a failure domain is partitioned and healed: each side serves what it can, with correct coverage and no load peak at the heal",
-		run:  func(r *Run) { r.domainCut() },
+		run:  func(r *Run) { r.runDomainCut() },
 	})
 }
 
-func (r *Run) domainOut() {
+// runDomainOut takes a failure domain out of service and back, and records the load
+// during its return relative to the steady load.
+func (r *Run) runDomainOut() {
 	const load = 0.4
 	r.settle(load)
 	r.advance(4 * clock.Second)
@@ -43,7 +45,7 @@
 	r.recordCommon()
 }
 
-// peakCalls returns the most leaf calls in any second since a time.
+// peakCalls returns the largest number of leaf calls in one second since a time.
 func (r *Run) peakCalls(since clock.Milli) float64 {
 	highest := 0
 	for i, s := range r.World.Stats.Seconds {
@@ -54,7 +56,8 @@
 	return float64(highest)
 }
 
-func (r *Run) domainCut() {
+// runDomainCut partitions a failure domain from the others and heals the partition.
+func (r *Run) runDomainCut() {
 	const load = 0.3
 	r.settle(load)
 	r.advance(4 * clock.Second)
@@ -64,6 +67,7 @@
 	s := &r.World.Stats
 	answered := 0
 	queries := 0
+	// The last 8 s of the cut; the hosts notice it after 2 s.
 	for _, sec := range s.Seconds[int((r.World.Now()-8*clock.Second)/clock.Second):int(r.World.Now()/clock.Second)] {
 		answered += sec.Complete + sec.Partial
 		queries += sec.Queries
--- a/bench/scene/faults.go
+++ b/bench/scene/faults.go
@@ -11,31 +11,33 @@
 	register(Scenario{
 		Name: "crash-request",
 		Goal: "a request that crashes each server that runs it, resent endlessly through all hosts: at most 2 servers, others complete to 99 %",
-		run:  func(r *Run) { r.crashRequest() },
+		run:  func(r *Run) { r.runCrashRequest() },
 	})
 	register(Scenario{
 		Name: "silent",
 		Goal: "10 % of the connections go silent at once: p99.9 at most 2 of steady after 1 s, no healthy server ejected",
-		run:  func(r *Run) { r.silent() },
+		run:  func(r *Run) { r.runSilent() },
 	})
 	register(Scenario{
 		Name: "greedy",
 		Goal: "one caller sends 10 times its share: the others' p99 at most 1.2 of steady",
-		run:  func(r *Run) { r.greedy() },
+		run:  func(r *Run) { r.runGreedy() },
 	})
 	register(Scenario{
 		Name: "pause",
 		Goal: "a host pauses for 30 s and resumes: no stale work, no answer to the wrong caller",
-		run:  func(r *Run) { r.pause() },
+		run:  func(r *Run) { r.runPause() },
 	})
 	register(Scenario{
 		Name: "rolling",
 		Goal: "all hosts are replaced one by one: no query lost, connections per leaf never above the limit",
-		run:  func(r *Run) { r.rolling() },
+		run:  func(r *Run) { r.runRolling() },
 	})
 }
 
-func (r *Run) crashRequest() {
+// runCrashRequest sends a query that crashes servers, through all hosts in turn, and
+// again 20 ms after each answer.
+func (r *Run) runCrashRequest() {
 	r.settle(0.3)
 	service := r.Deployment.Services[0].Name
 	n := 0
@@ -56,12 +58,14 @@
 	r.record("servers-crashed", float64(servers))
 	r.record("resends", float64(n))
 	s := &r.World.Stats
-	others := s.Queries - n
+	others := s.Queries - n // without the resent query
 	r.record("others-complete-share", float64(s.Complete)/float64(others))
 	r.recordCommon()
 }
 
-func (r *Run) silent() {
+// runSilent makes a share of all connections silent and compares the latency, from
+// one second later on, with that before.
+func (r *Run) runSilent() {
 	r.settle(steadyLoad * 2 / 3)
 	r.advance(6 * clock.Second)
 	steady := r.World.Stats.Percentile(99.9)
@@ -74,12 +78,15 @@
 	r.recordCommon()
 }
 
-func (r *Run) greedy() {
+// runGreedy adds a caller to the steady load and compares the latency of the others
+// with that before.
+func (r *Run) runGreedy() {
 	r.settle(steadyLoad * 2 / 3)
 	r.advance(6 * clock.Second)
 	steady := float64(r.World.Stats.OthersLatency.ValueAtQuantile(99))
 	r.World.Stats.Reset()
 	for _, v := range r.Deployment.Services {
+		// Four times ten callers' shares: as much as all 40 callers send together.
 		rate := 10 * steadyLoad * 2 / 3 * r.World.Capacity(v) / callerCount
 		r.World.StartLoad(virt.Load{Service: v.Name, Rate: rate * 4, Texts: textCount, Caller: virt.GreedyCaller})
 	}
@@ -88,7 +95,9 @@
 	r.recordCommon()
 }
 
-func (r *Run) pause() {
+// runPause suspends a host for 30 s and records the queries that then have no answer
+// although their deadline has passed.
+func (r *Run) runPause() {
 	r.settle(0.4)
 	r.World.Hosts[0].Pause()
 	r.advance(30 * clock.Second)
@@ -98,7 +107,9 @@
 	r.recordCommon()
 }
 
-func (r *Run) rolling() {
+// runRolling shuts down and restarts one host after the other, and records the
+// queries that have no answer although their deadline has passed.
+func (r *Run) runRolling() {
 	r.settle(0.4)
 	for _, h := range r.World.Hosts {
 		h.Leave(func() {
@@ -117,5 +128,5 @@
 	r.recordCommon()
 }
 
-// inFlight returns the number of queries that are younger than their deadline.
+// inFlight returns the number of unanswered queries whose deadline has not passed.
 func (r *Run) inFlight() int { return r.World.PendingWithin(deploy.Deadline) }
--- a/bench/scene/overload.go
+++ b/bench/scene/overload.go
@@ -13,14 +13,14 @@
 		register(Scenario{
 			Name: o.name,
 			Goal: "answered work at least 90 % of capacity, extra load at most 1 %, normal again within 2 s of its end",
-			run:  func(r *Run) { r.overload(o.factor) },
+			run:  func(r *Run) { r.runOverload(o.factor) },
 		})
 	}
 }
 
-// overload sends more than the capacity for a while, on top of light load that
+// runOverload sends factor times the capacity for 8 s, including a light load that
 // continues after it.
-func (r *Run) overload(factor float64) {
+func (r *Run) runOverload(factor float64) {
 	const light, span = 0.5, 8 * clock.Second
 	r.settle(light)
 	begin := r.World.Now()
@@ -46,7 +46,8 @@
 }
 
 // recoverySeconds returns how many seconds after a time it took until every
-// later second answered at least 97 % of its queries completely.
+// later second answered at least 97 % of its queries completely. The last two
+// seconds don't count, since their queries may still be in flight.
 func (r *Run) recoverySeconds(since clock.Milli) float64 {
 	seconds := r.World.Stats.Seconds
 	first := int(since / clock.Second)
--- a/bench/scene/scene.go
+++ b/bench/scene/scene.go
@@ -32,7 +32,7 @@
 	Notes string
 }
 
-// Get returns a figure.
+// Get returns the value of a figure, and whether the run recorded it.
 func (r Result) Get(name string) (float64, bool) {
 	for _, f := range r.Figures {
 		if f.Name == name {
@@ -137,21 +137,23 @@
 	callerCount = 40
 )
 
-// load starts a stream of queries to every service at a share of its capacity.
-func (r *Run) load(share float64) {
+// startLoad starts an endless stream of queries to every service, at a share of its
+// capacity.
+func (r *Run) startLoad(share float64) {
 	for _, v := range r.Deployment.Services {
 		r.World.StartLoad(virt.Load{Service: v.Name, Rate: share * r.World.Capacity(v), Texts: textCount, Callers: callerCount})
 	}
 }
 
-// settle runs the start-up phase, under light load until its last two seconds,
-// and resets the measurements.
+// settle runs the start-up phase, under a load of 10 % of the capacity until its
+// last two seconds, and resets the measurements. From then on the load is the
+// given share of the capacity.
 func (r *Run) settle(share float64) {
 	for _, v := range r.Deployment.Services {
 		r.World.StartLoad(virt.Load{Service: v.Name, Rate: 0.1 * r.World.Capacity(v), Texts: textCount, Callers: callerCount, Until: settleTime - 2*clock.Second})
 	}
 	r.World.Clock.Run(settleTime - 2*clock.Second)
-	r.load(share)
+	r.startLoad(share)
 	r.World.Clock.Run(settleTime)
 	r.World.Stats.Reset()
 }
--- a/bench/scene/steady.go
+++ b/bench/scene/steady.go
@@ -11,10 +11,10 @@
 			const span = 15 * clock.Second
 			r.advance(span)
 			r.recordCommon()
-			bound := clairvoyant(r.World, r.Deployment, steadyLoad, span)
+			bound := clairvoyantP99(r.World, r.Deployment, steadyLoad, span)
 			r.record("clairvoyant-p99-ms", bound)
 			r.record("p99-over-clairvoyant", r.World.Stats.Percentile(99)/bound)
-			far := clairvoyantFar(r.World, r.Deployment, steadyLoad, span)
+			far := clairvoyantFarP99(r.World, r.Deployment, steadyLoad, span)
 			r.record("clairvoyant-far-p99-ms", far)
 			r.record("p99-over-clairvoyant-far", r.World.Stats.Percentile(99)/far)
 		},
