--- a/bench/cmds/check.go
+++ b/bench/cmds/check.go
@@ -30,6 +30,7 @@
 	OverBaseline *float64 `yaml:"most-over-baseline"`
 }
 
+// fileBounds is a file of bounds, with the seed of the runs.
 type fileBounds struct {
 	Seed   uint64      `yaml:"seed" validate:"required"`
 	Bounds []fileBound `yaml:"bounds" validate:"required,min=1,dive"`
@@ -38,7 +39,8 @@
 // Help returns the description of the command.
 func (*check) Help() string { return "run the scenarios that have bounds and check them" }
 
-// Run runs the scenarios and prints every figure that is out of bounds.
+// Run runs the scenarios and prints every figure that is out of bounds and every
+// violated safety property. It returns ErrBound if there is one.
 func (c *check) Run() error {
 	body, err := os.ReadFile(c.Bounds)
 	if err != nil {
@@ -48,7 +50,7 @@
 	if _, err := conf.Decode(c.Bounds, body, &f); err != nil {
 		return err
 	}
-	results, err := f.run()
+	results, err := f.runScenarios()
 	if err != nil {
 		return err
 	}
@@ -74,8 +76,8 @@
 	return nil
 }
 
-// run executes each run that a bound needs, once.
-func (f fileBounds) run() ([]scene.Result, error) {
+// runScenarios executes each run that a bound needs, once.
+func (f fileBounds) runScenarios() ([]scene.Result, error) {
 	type key struct{ scenario, deployment, policy string }
 	seen := map[key]bool{}
 	var tasks []task
@@ -98,6 +100,8 @@
 	return execute(tasks), nil
 }
 
+// check prints the product's figures that are out of the bound and returns their
+// number.
 func (b fileBound) check(results []scene.Result) int {
 	violations := 0
 	for _, r := range results {
@@ -114,7 +118,7 @@
 		case b.Least != nil && v < *b.Least:
 			problem = fmt.Sprintf("is under %g", *b.Least)
 		case b.OverBaseline != nil:
-			if base := baselineOf(results, r, b.Figure); v > *b.OverBaseline*base {
+			if base := baselineFigure(results, r, b.Figure); v > *b.OverBaseline*base {
 				problem = fmt.Sprintf("is over %g of the baseline's %g", *b.OverBaseline, base)
 			}
 		}
@@ -126,7 +130,9 @@
 	return violations
 }
 
-func baselineOf(results []scene.Result, r scene.Result, figure string) float64 {
+// baselineFigure returns the baseline's figure for the scenario and deployment of r, or
+// 0 if there is none.
+func baselineFigure(results []scene.Result, r scene.Result, figure string) float64 {
 	for _, o := range results {
 		if o.Scenario == r.Scenario && o.Deployment == r.Deployment && o.Policy == "baseline" {
 			v, _ := o.Get(figure)
--- a/bench/cmds/cmds.go
+++ b/bench/cmds/cmds.go
@@ -38,13 +38,13 @@
 func Main() int {
 	args := os.Args[1:]
 	if len(args) == 0 || strings.HasPrefix(args[0], "-") {
-		usage()
+		printUsage()
 		return exitUsage
 	}
 	c, ok := commands[args[0]]
 	if !ok {
 		fmt.Fprintf(os.Stderr, "bench: unknown command %q\n", args[0])
-		usage()
+		printUsage()
 		return exitUsage
 	}
 	p, err := arg.NewParser(arg.Config{Program: "bench " + args[0]}, c)
@@ -60,7 +60,8 @@
 	return exitOK
 }
 
-func usage() {
+// printUsage prints the list of commands.
+func printUsage() {
 	names := make([]string, 0, len(commands))
 	for n := range commands {
 		names = append(names, n)
--- a/bench/cmds/compare.go
+++ b/bench/cmds/compare.go
@@ -32,14 +32,16 @@
 	for _, b := range before {
 		for _, a := range after {
 			if a.Scenario == b.Scenario && a.Deployment == b.Deployment && a.Policy == b.Policy {
-				c.show(b, a)
+				c.printChanges(b, a)
 			}
 		}
 	}
 	return nil
 }
 
-func (c *compare) show(before, after scene.Result) {
+// printChanges prints the figures that changed by at least MinChange. A figure that was 0 is
+// printed whenever it changed.
+func (c *compare) printChanges(before, after scene.Result) {
 	for _, f := range before.Figures {
 		v, ok := after.Get(f.Name)
 		if !ok || f.Value == v {
--- a/bench/cmds/load.go
+++ b/bench/cmds/load.go
@@ -36,12 +36,12 @@
 // tally counts the results.
 type tally struct {
 	mu       sync.Mutex
-	latency  *hdrhistogram.Histogram
+	latency  *hdrhistogram.Histogram // in units of 0.1 ms
 	complete int
 	partial  int
-	extra    int
+	extra    int // leaf calls beyond the first per shard
 	failed   int
-	refused  map[string]int
+	refused  map[string]int // by reason
 }
 
 // loadAnswer holds the fields that are read of an answer or refusal.
@@ -58,7 +58,7 @@
 func (c *load) Run() error {
 	for _, e := range c.Entries {
 		if len(e) < 4 || e[:4] != "127." {
-			return errors.Newf("%s is not a loopback address", e)
+			return errors.Newf("entry %s is not a loopback address (127.x.x.x)", e)
 		}
 	}
 	if c.Rate < 1 || c.Rate > maxRate || c.Span > maxSpan || c.Workers < 1 {
@@ -73,12 +73,12 @@
 	due := make(chan int, maxRate)
 	var wg sync.WaitGroup
 	for w := range c.Workers {
-		wg.Go(func() { c.work(engine, c.Entries[w%len(c.Entries)], due, t) })
+		wg.Go(func() { c.sendQueries(engine, c.Entries[w%len(c.Entries)], due, t) })
 	}
 	c.feed(due)
 	close(due)
 	wg.Wait()
-	c.print(t)
+	c.printResults(t)
 	return nil
 }
 
@@ -101,39 +101,43 @@
 	}
 }
 
-func (c *load) work(engine *fetch.Engine, addr string, due <-chan int, t *tally) {
+// sendQueries sends the queries that are due over one connection, one at a time. It opens
+// a new connection after an error.
+func (c *load) sendQueries(engine *fetch.Engine, addr string, due <-chan int, t *tally) {
 	conn := &fetch.Conn{Engine: engine, Address: addr}
 	defer func() { conn.Close() }()
 	for n := range due {
 		body := fmt.Sprintf(`{"service":%q,"text":"text %d","limit":10,"budget-ms":%d}`, c.Service, n%max(1, c.Texts), c.BudgetMS)
 		r, err := fetch.Request(http.MethodPost, addr, "/v1/query", []byte(body))
 		if err != nil {
-			t.fail()
+			t.countFailure()
 			continue
 		}
 		sent := time.Now()
 		done := make(chan error, 1)
 		conn.Do(r, func(reply fetch.Reply, err error) {
 			if err == nil {
-				t.count(reply, time.Since(sent))
+				t.countReply(reply, time.Since(sent))
 			}
 			done <- err
 		})
 		if <-done != nil {
-			t.fail()
+			t.countFailure()
 			go conn.Close()
 			conn = &fetch.Conn{Engine: engine, Address: addr}
 		}
 	}
 }
 
-func (t *tally) fail() {
+// countFailure counts a query without an answer.
+func (t *tally) countFailure() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.failed++
 }
 
-func (t *tally) count(reply fetch.Reply, took time.Duration) {
+// countReply counts a reply by its result.
+func (t *tally) countReply(reply fetch.Reply, elapsed time.Duration) {
 	var a loadAnswer
 	err := json.Unmarshal(reply.Body, &a)
 	t.mu.Lock()
@@ -144,7 +148,7 @@
 	case reply.Status != http.StatusOK:
 		t.refused[a.Reason]++
 	default:
-		_ = t.latency.RecordValue(min(took.Microseconds()/100, 600000)) // in range
+		_ = t.latency.RecordValue(min(elapsed.Microseconds()/100, 600000)) // in range
 		t.extra += a.Extra
 		if a.Complete {
 			t.complete++
@@ -154,7 +158,8 @@
 	}
 }
 
-func (c *load) print(t *tally) {
+// printResults prints the counts and the latency.
+func (c *load) printResults(t *tally) {
 	ms := func(q float64) float64 { return float64(t.latency.ValueAtQuantile(q)) / 10 }
 	fmt.Printf("complete %d, partial %d, failed %d, extra leaf calls %d\n", t.complete, t.partial, t.failed, t.extra)
 	fmt.Printf("p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms\n", ms(50), ms(99), ms(99.9))
--- a/bench/cmds/plot.go
+++ b/bench/cmds/plot.go
@@ -45,15 +45,15 @@
 		return err
 	}
 	for _, d := range []string{"himal", "kumomaru"} {
-		if err := c.bars(results, d); err != nil {
+		if err := c.plotBars(results, d); err != nil {
 			return err
 		}
 	}
-	return c.curve()
+	return c.plotCurve()
 }
 
-// bars plots the 99th percentiles of the product and the baseline.
-func (c *plotCommand) bars(results []scene.Result, deployment string) error {
+// plotBars plots the 99th percentiles of the product and the baseline.
+func (c *plotCommand) plotBars(results []scene.Result, deployment string) error {
 	var names []string
 	values := map[string]plotter.Values{}
 	for _, r := range results {
@@ -86,9 +86,9 @@
 	return errors.Wrap(p.Save(width, height, filepath.Join(c.Out, "p99-"+deployment+".png")), "save plot")
 }
 
-// curve runs stragglers on kumomaru with several patience settings and plots the
+// plotCurve runs stragglers on kumomaru with several patience settings and plots the
 // results.
-func (c *plotCommand) curve() error {
+func (c *plotCommand) plotCurve() error {
 	s, _ := scene.ByName("stragglers")
 	var tasks []task
 	patience := []int{10, 20, 30, 40, 60, 80, 100}
@@ -102,12 +102,12 @@
 	results := execute(tasks)
 	var tail, incomplete, extra plotter.XYs
 	for i, r := range results {
-		p99, _ := r.Get("p999-ms")
+		p999, _ := r.Get("p999-ms")
 		complete, _ := r.Get("complete-share")
 		extraShare, _ := r.Get("extra-share")
-		fmt.Printf("patience %3d %%: p99.9 %4.0f ms, complete %.4f, extra %.4f\n", patience[i], p99, complete, extraShare)
+		fmt.Printf("patience %3d %%: p99.9 %4.0f ms, complete %.4f, extra %.4f\n", patience[i], p999, complete, extraShare)
 		x := float64(patience[i])
-		tail = append(tail, plotter.XY{X: x, Y: p99 / 1000})
+		tail = append(tail, plotter.XY{X: x, Y: p999 / 1000})
 		incomplete = append(incomplete, plotter.XY{X: x, Y: 100 * (1 - complete)})
 		extra = append(extra, plotter.XY{X: x, Y: 100 * extraShare})
 	}
--- a/bench/cmds/results.go
+++ b/bench/cmds/results.go
@@ -34,6 +34,7 @@
 	Results []fileResult `yaml:"results"`
 }
 
+// writeResults writes results to a file, with the version of this program.
 func writeResults(path string, results []scene.Result) error {
 	f := fileResults{Version: daemon.Version}
 	for _, r := range results {
@@ -50,6 +51,7 @@
 	return errors.Wrap(os.WriteFile(path, body, 0o644), "write results")
 }
 
+// readResults reads a file that writeResults wrote.
 func readResults(path string) ([]scene.Result, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
--- a/bench/cmds/run.go
+++ b/bench/cmds/run.go
@@ -47,6 +47,7 @@
 	return nil
 }
 
+// tasks returns the runs that the arguments select.
 func (c *run) tasks() ([]task, error) {
 	if len(c.Deployments) == 0 {
 		c.Deployments = []string{"himal", "kumomaru"}
@@ -68,7 +69,7 @@
 		for _, deployment := range c.Deployments {
 			d, ok := deploy.ByName(deployment)
 			if !ok {
-				return nil, errors.Newf("unknown deployment %q", deployment)
+				return nil, errors.Newf("unknown deployment %q; want himal or kumomaru", deployment)
 			}
 			for _, p := range append(scene.Policies(), scene.Variants()...) {
 				if slices.Contains(c.Policies, p.Name) {
@@ -78,7 +79,7 @@
 		}
 	}
 	if len(tasks) == 0 {
-		return nil, errors.Newf("no known policy among %v", c.Policies)
+		return nil, errors.Newf("none of the policies %v is known; want product, baseline or a variant", c.Policies)
 	}
 	return tasks, nil
 }
