--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -61,10 +61,12 @@
 	firstConfig    *syncer.Set
 	hostSets       map[string]*syncer.Set
 	pendingWatches []pendingWatch
-	partitions     map[[2]string]bool
-	changed        int
+	partitions     map[[2]string]bool // pairs of failure domains, in both orders
+	changed        int                // parts that the latest version changed
 }
 
+// pendingWatch is a watch that waits for a change of its key. done becomes true once
+// it has been answered or has timed out.
 type pendingWatch struct {
 	node  *Node
 	after uint64
@@ -78,15 +80,15 @@
 	Name   string
 	Domain string
 	Engine *syncer.Engine
-	links  map[string]bool
+	links  map[string]bool // names of the peers
 	// Bytes counts the bytes sent and received.
 	Bytes  int
 	Down   bool
 	Frozen bool
 	// Isolated cuts the host off from the platform.
 	Isolated  bool
-	backlog   []func()
-	highest   syncer.Stamp
+	backlog   []func()     // what the host runs after the thaw
+	inForce   syncer.Stamp // the version of the configuration that is in force
 	adoptedAt map[uint64]clock.Milli
 }
 
@@ -125,9 +127,11 @@
 	}
 }
 
+// boot gives the host an engine with empty state. The hosts of a failure domain
+// are ranked by hash, and the first in rank watch the platform.
 func (n *Node) boot(list []topo.Host) {
 	n.Engine = &syncer.Engine{WatchKeys: []string{configKey, "hosts/" + n.Domain}, Rank: -1}
-	n.highest = syncer.Stamp{}
+	n.inForce = syncer.Stamp{}
 	var domain []topo.Host
 	for _, h := range list {
 		if h.Domain == n.Domain {
@@ -164,6 +168,7 @@
 	return f.Nodes[i]
 }
 
+// makeConfig returns a configuration whose parts contain only zeros.
 func (f *Fleet) makeConfig(version uint64) *syncer.Set {
 	items := make([]syncer.Item, f.Parts)
 	for i := range items {
@@ -192,7 +197,7 @@
 // it is down.
 func (n *Node) do(f func()) {
 	switch {
-	case n.Down:
+	case n.Down: // f is lost
 	case n.Frozen:
 		n.backlog = append(n.backlog, f)
 	default:
@@ -210,7 +215,7 @@
 	}
 }
 
-// Restart restarts a host with empty state.
+// Restart restarts a host with empty state. The peers see its links close.
 func (n *Node) Restart() {
 	var list []topo.Host
 	for _, o := range n.fleet.Nodes {
@@ -223,6 +228,7 @@
 	}
 }
 
+// peers returns the names of the peers, in order, so that runs are reproducible.
 func (n *Node) peers() []string {
 	names := make([]string, 0, len(n.links))
 	for p := range n.links {
@@ -232,20 +238,22 @@
 	return names
 }
 
+// heartbeat sends a heartbeat and a ping to all peers.
 func (n *Node) heartbeat() {
 	now := n.fleet.Clock.Now()
-	age, known := n.Engine.PlatformAge(now)
+	platformAge, platformAgeKnown := n.Engine.PlatformAge(now)
 	digest := n.Engine.Digest()
 	for _, p := range n.peers() {
 		n.send(p, heartbeatBytes+pingBytes, func(to *Node) {
-			to.apply(to.Engine.HandleHeartbeat(n.fleet.Clock.Now(), n.Name, digest, age, known))
+			to.apply(to.Engine.HandleHeartbeat(n.fleet.Clock.Now(), n.Name, digest, platformAge, platformAgeKnown))
 		})
 	}
 }
 
-// SetPartitioned partitions two failure domains from each other, or heals them.
-func (f *Fleet) SetPartitioned(a, b string, on bool) {
-	f.partitions[[2]string{a, b}], f.partitions[[2]string{b, a}] = on, on
+// SetPartitioned partitions two failure domains from each other, or ends the
+// partition. The hosts notice a partition after linkTimeout.
+func (f *Fleet) SetPartitioned(a, b string, partitioned bool) {
+	f.partitions[[2]string{a, b}], f.partitions[[2]string{b, a}] = partitioned, partitioned
 	f.Clock.After(linkTimeout, func() {
 		for _, n := range f.Nodes {
 			for _, p := range n.peers() {
@@ -257,11 +265,12 @@
 	})
 }
 
-// send delivers a message to a peer after a delay that is partly random, so that
-// messages may overtake each other.
-func (n *Node) send(peer string, bytes int, f func(to *Node)) {
+// send sends a message of a size to a peer, which handles it after a delay that is
+// partly random, so that messages may overtake each other. A message to a host that
+// is partitioned or down is lost.
+func (n *Node) send(peer string, size int, handle func(to *Node)) {
 	to := n.fleet.Node(peer)
-	n.Bytes += bytes
+	n.Bytes += size
 	if n.fleet.partitions[[2]string{n.Domain, to.Domain}] || to.Down {
 		return
 	}
@@ -270,11 +279,12 @@
 		delay = 20 + clock.Milli(n.fleet.Random.IntN(20))
 	}
 	n.fleet.Clock.After(delay, func() {
-		to.Bytes += bytes
-		to.do(func() { f(to) })
+		to.Bytes += size
+		to.do(func() { handle(to) })
 	})
 }
 
+// apply executes the actions of the host's engine.
 func (n *Node) apply(actions []syncer.Action) {
 	f := n.fleet
 	for _, a := range actions {
@@ -286,28 +296,30 @@
 		case syncer.SendStamps:
 			n.send(a.Peer, headerBytes+stampBytes*len(a.Stamps), func(to *Node) { to.apply(to.Engine.HandleStamps(f.Clock.Now(), n.Name, a.Stamps)) })
 		case syncer.ReadPlatform:
-			n.read(a)
+			n.readPlatform(a)
 		case syncer.Adopt:
 			n.adopt(a)
-		case syncer.Reject:
+		case syncer.Reject: // the previous version stays in force
 		}
 	}
 }
 
+// adopt records the version of the configuration that is now in force, and a
+// regression if it is lower than the previous one.
 func (n *Node) adopt(a syncer.Adopt) {
 	if a.Key != configKey {
 		return
 	}
-	if a.Stamp.Less(n.highest) {
-		n.fleet.Regressions = append(n.fleet.Regressions, fmt.Sprintf("%s from %v to %v", n.Name, n.highest, a.Stamp))
+	if a.Stamp.Less(n.inForce) {
+		n.fleet.Regressions = append(n.fleet.Regressions, fmt.Sprintf("%s from %v to %v", n.Name, n.inForce, a.Stamp))
 	}
-	n.highest = a.Stamp
+	n.inForce = a.Stamp
 	n.adoptedAt[a.Stamp.Version] = n.fleet.Clock.Now()
 }
 
-// read executes a read of the fake platform. Each changed part costs one more
-// read.
-func (n *Node) read(a syncer.ReadPlatform) {
+// readPlatform executes a read of the fake platform. A watch is answered by the next
+// version, or by an empty result after watchTimeout.
+func (n *Node) readPlatform(a syncer.ReadPlatform) {
 	f := n.fleet
 	f.Reads++
 	if n.Isolated || f.PlatformDown {
@@ -331,6 +343,7 @@
 	f.answerRead(n, a.Key, set)
 }
 
+// platformValue returns what the platform returns for a key.
 func (f *Fleet) platformValue(key string) *syncer.Set {
 	if key == configKey {
 		if f.PlatformStale {
@@ -341,16 +354,19 @@
 	return f.hostSets[key]
 }
 
+// answerRead answers a read. A host that has a configuration then reads the changed
+// parts, one read each.
 func (f *Fleet) answerRead(n *Node, key string, set *syncer.Set) {
 	if key == configKey && n.Engine.Set(configKey) != nil {
-		f.Reads += max(1, f.changed) // one per changed part
+		f.Reads += max(1, f.changed)
 	}
 	f.Clock.After(readLatency, func() {
 		n.do(func() { n.apply(n.Engine.HandleRead(f.Clock.Now(), syncer.ReadResult{Key: key, Set: set})) })
 	})
 }
 
-// Publish changes one part and increments the version.
+// Publish changes one part of the configuration, answers the watches of the
+// configuration and returns the new version.
 func (f *Fleet) Publish() uint64 {
 	items := f.config.Sorted()
 	i := f.Random.IntN(len(items))
@@ -385,8 +401,8 @@
 	return true
 }
 
-// RunUntil runs until a condition holds, or for the limit, and returns the time
-// that passed.
+// RunUntil runs until a condition holds, or for the limit, and returns the elapsed
+// time.
 func (f *Fleet) RunUntil(limit clock.Milli, cond func() bool) clock.Milli {
 	begin := f.Clock.Now()
 	for f.Clock.Now()-begin < limit {
--- a/bench/fleet/fleet_test.go
+++ b/bench/fleet/fleet_test.go
@@ -8,6 +8,8 @@
 	"dandelionstile/share/clock"
 )
 
+// start starts a fleet in three failure domains and waits until all hosts have the
+// first version.
 func start(hosts int) *Fleet {
 	f := &Fleet{Hosts: hosts, Domains: 3, Parts: 20, PartBytes: 400, Seed: 1}
 	f.Start()
@@ -16,8 +18,8 @@
 }
 
 // Guards against platform reads that grow in proportion to the fleet, which
-// happens if every host watches the platform itself; each change multiplies
-// them.
+// happens if every host watches the platform itself: each change is then read by
+// every host.
 func TestReadsGrowMoreSlowlyThanTheFleet(t *testing.T) {
 	const minute = clock.Minute
 	rate := map[int]float64{}
@@ -45,8 +47,8 @@
 		n.Isolated = n.Domain == "d00"
 	}
 	v := f.Publish()
-	took := f.RunUntil(10*clock.Second, func() bool { return f.AllHave(v) })
-	assert.Assert(t, took <= 3*clock.Second, "took %d ms", took)
+	elapsed := f.RunUntil(10*clock.Second, func() bool { return f.AllHave(v) })
+	assert.Assert(t, elapsed <= 3*clock.Second, "took %d ms", elapsed)
 }
 
 // Both watchers of a failure domain freeze before a change is published. The
@@ -58,8 +60,8 @@
 	}
 	f.Clock.Run(f.Clock.Now() + 10*clock.Second)
 	v := f.Publish()
-	took := f.RunUntil(20*clock.Second, func() bool { return f.AllHave(v) })
-	assert.Assert(t, f.AllHave(v), "not in force after %d ms", took)
+	elapsed := f.RunUntil(20*clock.Second, func() bool { return f.AllHave(v) })
+	assert.Assert(t, f.AllHave(v), "not in force after %d ms", elapsed)
 	for _, n := range f.Nodes {
 		n.Thaw()
 	}
@@ -93,8 +95,8 @@
 	f.RunUntil(5*clock.Second, func() bool { return f.AllHave(v) })
 	f.PlatformDown = true
 	f.Nodes[3].Restart()
-	took := f.RunUntil(10*clock.Second, func() bool { return f.AllHave(v) })
-	assert.Assert(t, took <= 3*clock.Second, "took %d ms", took)
+	elapsed := f.RunUntil(10*clock.Second, func() bool { return f.AllHave(v) })
+	assert.Assert(t, elapsed <= 3*clock.Second, "took %d ms", elapsed)
 }
 
 // The platform is cut off from one partition of the fleet and publishes two
@@ -113,7 +115,7 @@
 	assert.Assert(t, !f.AllHave(v))
 	f.SetPartitioned("d00", "d01", false)
 	f.SetPartitioned("d00", "d02", false)
-	took := f.RunUntil(10*clock.Second, func() bool { return f.AllHave(v) })
-	assert.Assert(t, took <= 3*clock.Second, "took %d ms", took)
+	elapsed := f.RunUntil(10*clock.Second, func() bool { return f.AllHave(v) })
+	assert.Assert(t, elapsed <= 3*clock.Second, "took %d ms", elapsed)
 	assert.Equal(t, len(f.Regressions), 0)
 }
