--- a/fakes/leaf/control.go
+++ b/fakes/leaf/control.go
@@ -12,7 +12,9 @@
 	Servers map[string]*Server
 }
 
-// Command is the body of a control request.
+// Command is the body of a control request. It applies to the named server, or to
+// all if none is named. Which of the other fields count depends on the action;
+// Factor is also the share of connections to silence.
 type Command struct {
 	Server    string   `json:"server"`
 	Leaf      string   `json:"leaf"`
@@ -37,6 +39,8 @@
 	return mux
 }
 
+// handleCommand applies a command to each server that it is for. It replies 400 to a
+// body or an action that is invalid.
 func (c Control) handleCommand(w http.ResponseWriter, r *http.Request) {
 	var cmd Command
 	if err := json.NewDecoder(r.Body).Decode(&cmd); err != nil {
@@ -54,6 +58,8 @@
 	}
 }
 
+// applyCommand applies a command to a server, and reports whether there is such an
+// action. It ignores snapshots that it can't parse.
 func applyCommand(s *Server, cmd Command) bool {
 	switch cmd.Action {
 	case "crash":
--- a/fakes/leaf/leaf.go
+++ b/fakes/leaf/leaf.go
@@ -55,11 +55,11 @@
 // Leaf is the state of one leaf.
 type Leaf struct {
 	spec      topo.Leaf
-	active    int
-	conns     map[string]bool
-	coldSince time.Time // start of the warm-up; zero when warm
+	active    int             // requests that are running
+	conns     map[string]bool // remote addresses of the open connections
+	coldSince time.Time       // start of the warm-up; zero when warm
 	slowdown  float64
-	fault     Fault
+	fault     Fault // of its replies to queries
 	snapshots []topo.SnapshotID
 
 	// Calls counts the requests that started, Excess and Shed those rejected
@@ -90,7 +90,7 @@
 	cancels      map[string]chan struct{} // by attempt; closed to cancel it
 	listener     *listener
 	restartTimer *time.Timer
-	closed       bool
+	closed       bool // Close was called: no restart
 	crashes      int
 	cancelled    int
 }
@@ -128,17 +128,18 @@
 	return fmt.Sprintf("%s/%s/%d/%d", service, id, shard, row)
 }
 
-// capacity returns how many requests a leaf can run at once.
+// capacity returns how many requests a leaf can run at once. It ends the warm-up
+// when its time is over. mu must be held.
 func (s *Server) capacity(f *Leaf) int {
 	if f.coldSince.IsZero() {
 		return f.spec.Slots
 	}
-	age := time.Since(f.coldSince)
-	if age >= s.model.WarmUp {
+	elapsed := time.Since(f.coldSince)
+	if elapsed >= s.model.WarmUp {
 		f.coldSince = time.Time{}
 		return f.spec.Slots
 	}
-	return max(1, int(float64(f.spec.Slots)*float64(age)/float64(s.model.WarmUp)))
+	return max(1, int(float64(f.spec.Slots)*float64(elapsed)/float64(s.model.WarmUp)))
 }
 
 // MakeCold restarts the warm-up of all leaves without a new incarnation.
@@ -150,7 +151,7 @@
 	}
 }
 
-// SetSlowdown multiplies the service time of a leaf by a factor.
+// SetSlowdown sets the factor by which the service time of a leaf is multiplied.
 func (s *Server) SetSlowdown(leaf string, factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,7 +160,8 @@
 	}
 }
 
-// SetFault makes a leaf send wrong replies.
+// SetFault makes a leaf send wrong replies to queries, or right ones again with
+// FaultNone.
 func (s *Server) SetFault(leaf string, fault Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,10 +186,10 @@
 }
 
 // Drain starts or ends draining the server.
-func (s *Server) Drain(on bool) {
+func (s *Server) Drain(draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.draining = on
+	s.draining = draining
 	s.drainSince = time.Now()
 }
 
@@ -263,6 +265,8 @@
 	s.crash()
 }
 
+// crash stops the server abruptly, unless it is already down, and schedules its
+// restart. mu must be held.
 func (s *Server) crash() {
 	if s.down || s.closed {
 		return
@@ -275,6 +279,8 @@
 	s.restartTimer = time.AfterFunc(s.model.RestartDelay, s.restart)
 }
 
+// restart starts the server again, cold and under a new incarnation. It retries for
+// about a second if it can't listen.
 func (s *Server) restart() {
 	s.mu.Lock()
 	if s.closed {
@@ -300,6 +306,7 @@
 	}
 }
 
+// holdsSnapshot reports whether a leaf holds a snapshot.
 func (s *Server) holdsSnapshot(f *Leaf, id topo.SnapshotID) bool {
 	for _, held := range f.snapshots {
 		if held == id {
@@ -309,6 +316,7 @@
 	return false
 }
 
+// snapshotList returns the value of the header Leaf-Snapshots.
 func (f *Leaf) snapshotList() string {
 	text := make([]string, len(f.snapshots))
 	for i, id := range f.snapshots {
--- a/fakes/leaf/opaque.go
+++ b/fakes/leaf/opaque.go
@@ -16,7 +16,7 @@
 // opaqueRecords is the number of records in an opaque reply.
 const opaqueRecords = 4
 
-// Records returns the body of a server's reply to an opaque request.
+// Records returns the body of a server's reply to an opaque request for a path.
 func Records(server, target string) []byte {
 	var body []byte
 	for i := range opaqueRecords {
@@ -26,7 +26,8 @@
 	return body
 }
 
-// handleOpaque answers a routed request in the product's default dialect.
+// handleOpaque answers a routed request in the product's default dialect. It replies
+// that the request did not run if another leaf was expected.
 func (s *Server) handleOpaque(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(httpc.DefaultDialect.RequestID)
 	w.Header().Set(httpc.DefaultDialect.RequestID, id)
@@ -43,7 +44,7 @@
 	_, _ = w.Write(Records(s.spec.Name, r.URL.Path)) // the client may have disconnected
 }
 
-// handleHealth reports the server as healthy.
+// handleHealth answers a health check of a routed service: the server is healthy.
 func (s *Server) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(httpc.DefaultDialect.LeafID, s.spec.Name)
 	w.WriteHeader(http.StatusOK)
--- a/fakes/leaf/serve.go
+++ b/fakes/leaf/serve.go
@@ -12,6 +12,7 @@
 	"dandelionstile/share/topo"
 )
 
+// connKey is the context key of the remote address of a request's connection.
 type connKey struct{}
 
 // listener is the listening socket of one incarnation, with its connections.
@@ -83,7 +84,8 @@
 	return nil
 }
 
-// trackConn records which connections of a listener are open.
+// trackConn records which connections of a listener are open. A closed connection no
+// longer counts against the limits of the leaves.
 func (s *Server) trackConn(l *listener, c net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	switch state {
@@ -104,9 +106,9 @@
 }
 
 // acceptRequest returns the leaf that a request is for. It registers the
-// connection and delays the first request on it. Requests on unresponsive
-// connections block, and new connections over the limit are closed. It replies
-// itself and returns nil if there is no such leaf.
+// connection and delays the first request on it. A request on an unresponsive
+// connection blocks until the client disconnects, and a new connection over the limit
+// is closed. If there is no such leaf, it replies itself and returns nil.
 func (s *Server) acceptRequest(w http.ResponseWriter, r *http.Request) *Leaf {
 	conn, _ := r.Context().Value(connKey{}).(string)
 	s.mu.Lock()
@@ -137,24 +139,27 @@
 }
 
 // setLeafHeaders sets the headers of every reply. Leaf-State follows a change of
-// draining after StateLag.
+// draining after StateLag. mu must be held.
 func (s *Server) setLeafHeaders(w http.ResponseWriter, f *Leaf) {
 	h := w.Header()
 	h.Set("Leaf-Incarnation", strconv.FormatUint(s.incarnation, 10))
 	h.Set("Leaf-Snapshots", f.snapshotList())
 	state := "ready"
+	// Until StateLag has passed, the state is the one before the last change.
 	if s.draining == (time.Since(s.drainSince) >= s.model.StateLag) {
 		state = "draining"
 	}
 	h.Set("Leaf-State", state)
 }
 
+// handleState answers a health check: the state is in the headers.
 func (s *Server) handleState(w http.ResponseWriter, r *http.Request) {
 	if s.acceptRequest(w, r) != nil {
 		w.WriteHeader(http.StatusOK)
 	}
 }
 
+// handleCancel cancels an attempt if it is still running.
 func (s *Server) handleCancel(w http.ResponseWriter, r *http.Request) {
 	if s.acceptRequest(w, r) == nil {
 		return
@@ -169,12 +174,15 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// wireRow is a row in a reply.
 type wireRow struct {
 	Key   string  `json:"key"`
 	Score float64 `json:"score"`
 	Text  string  `json:"text"`
 }
 
+// wireReply is the body of a reply to a query or, with Attempt and Body, to an
+// update.
 type wireReply struct {
 	Attempt  string    `json:"attempt"`
 	Snapshot string    `json:"snapshot"`
@@ -183,6 +191,7 @@
 	Body     string    `json:"body"`
 }
 
+// wireRequest is the body of a query or of an update.
 type wireRequest struct {
 	Attempt   string `json:"attempt"`
 	Service   string `json:"service"`
@@ -244,6 +253,8 @@
 	return s.incarnation
 }
 
+// handleQuery runs a query. It replies 409 if the leaf does not hold the shard in the
+// snapshot. It ends at the deadline at the latest.
 func (s *Server) handleQuery(w http.ResponseWriter, r *http.Request) {
 	f := s.acceptRequest(w, r)
 	if f == nil {
@@ -277,14 +288,15 @@
 		duration = min(duration, time.Duration(q.Deadline)*time.Millisecond)
 	}
 	if !s.wait(r, stop, duration) {
-		w.WriteHeader(499)
+		w.WriteHeader(499) // cancelled
 		return
 	}
 	s.writeReply(w, f, q, id)
 }
 
 // wait blocks for the duration of a request. It reports whether the request
-// completed rather than being cancelled.
+// completed rather than being cancelled. If the client disconnects, it ends the
+// handler.
 func (s *Server) wait(r *http.Request, stop chan struct{}, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -298,6 +310,7 @@
 	}
 }
 
+// writeReply replies to a query with the rows of the shard, or with the leaf's fault.
 func (s *Server) writeReply(w http.ResponseWriter, f *Leaf, q wireRequest, id topo.SnapshotID) {
 	s.mu.Lock()
 	fault := f.fault
@@ -335,6 +348,7 @@
 	_, _ = w.Write(body)
 }
 
+// handleUpdate counts and runs an update.
 func (s *Server) handleUpdate(w http.ResponseWriter, r *http.Request) {
 	f := s.acceptRequest(w, r)
 	if f == nil {
