--- a/fakes/lab/client.go
+++ b/fakes/lab/client.go
@@ -64,7 +64,8 @@
 // ErrNoAnswer marks errors where the host sent no complete reply.
 var ErrNoAnswer = errors.New("no answer")
 
-// Post sends a JSON body and decodes the reply.
+// Post sends a JSON body and decodes the reply, whatever its status. The error is
+// marked with ErrNoAnswer if there is no complete reply.
 func (c *Client) Post(addr, path string, body any) (Answer, error) {
 	var a Answer
 	b, err := json.Marshal(body)
@@ -98,7 +99,7 @@
 	Budget  int64  `json:"budget-ms"`
 }
 
-// Query asks for all rows of a service.
+// Query sends a query for all rows of a service.
 func (c *Client) Query(addr, service, text string, budget time.Duration) (Answer, error) {
 	return c.Post(addr, "/v1/query", queryBody{Service: service, Text: text, Limit: 1000, Budget: budget.Milliseconds()})
 }
@@ -107,7 +108,7 @@
 	Count int `json:"count"`
 }
 
-// IDs requests ids for updates.
+// IDs requests n ids for updates.
 func (c *Client) IDs(addr string, n int) ([]string, error) {
 	a, err := c.Post(addr, "/v1/ids", idsBody{n})
 	if err != nil {
@@ -198,7 +199,8 @@
 	return reply.StatusCode == http.StatusOK
 }
 
-// Await polls until a condition holds. The error names the condition.
+// Await polls a condition until it holds. After the timeout it returns an error with
+// the condition's description.
 func Await(timeout time.Duration, condition string, cond func() bool) error {
 	deadline := time.Now().Add(timeout)
 	for !cond() {
--- a/fakes/lab/lab.go
+++ b/fakes/lab/lab.go
@@ -160,7 +160,8 @@
 	l.Platform.PutConfig(l.Version, l.Layout.Parts(l.Specs, rules))
 }
 
-// PublishHosts publishes the host lists, without removed hosts.
+// PublishHosts publishes the host lists, without removed hosts. Their version is the
+// current time, so that it increases.
 func (l *Lab) PublishHosts() {
 	version := uint64(time.Now().UnixNano())
 	for _, d := range l.Layout.Domains {
@@ -186,7 +187,8 @@
 	return err
 }
 
-// startProgram writes a settings file and starts a program with it.
+// startProgram writes a settings file and starts a program with it. The parameters
+// links, admin and callers are addresses; only an entry has one for callers.
 func (l *Lab) startProgram(h *Host, program, links, admin, callers string) (*Process, error) {
 	text := fmt.Sprintf("host: {name: %s, failure-domain: %s}\nlisten:\n  links: %s\n  admin: %s\n", h.Name, h.Domain, links, admin)
 	if callers != "" {
@@ -231,16 +233,17 @@
 }
 
 // Freeze suspends both programs of a host with SIGSTOP, or resumes them.
-func (h *Host) Freeze(on bool) {
+func (h *Host) Freeze(frozen bool) {
 	s := syscall.SIGCONT
-	if on {
+	if frozen {
 		s = syscall.SIGSTOP
 	}
 	h.Entry.Signal(s)
 	h.Aggregator.Signal(s)
 }
 
-// SetDomainLinks sets the state of the relays between two failure domains.
+// SetDomainLinks sets the state of the relays between two failure domains. The lab
+// must use relays.
 func (l *Lab) SetDomainLinks(a, b string, s relay.State) {
 	for _, from := range l.Hosts {
 		for _, to := range l.Hosts {
--- a/fakes/lab/lab_test.go
+++ b/fakes/lab/lab_test.go
@@ -52,6 +52,9 @@
 // slow machine gives no partial answers.
 const budget = 5 * time.Second
 
+// startLab starts a lab with short service and warm-up times, after the function
+// change, if any, has changed it, and waits until all hosts are ready. The lab is
+// closed at the end of the test, and a program that failed fails the test.
 func startLab(t *testing.T, change func(*Lab)) (*Lab, *Client) {
 	t.Helper()
 	t.Parallel()
@@ -195,6 +198,7 @@
 			assert.Equal(t, ran[id], 1, "update %s was confirmed", id)
 		}
 	}
+	// Half of the 3 rounds of 20 updates.
 	assert.Assert(t, len(confirmed) >= 30, "%d confirmed", len(confirmed))
 }
 
@@ -229,6 +233,7 @@
 		if spec.Domain != domain {
 			continue
 		}
+		// The rule was published 5 s ago, and 3 s are allowed until it is in force.
 		last := time.Duration(l.Servers[spec.Name].Stats().LastUse) * time.Millisecond
 		assert.Assert(t, last < 0 || last >= 2*time.Second,
 			"%s got work %s ago, more than 3 s after it was taken out of service", spec.Name, last)
@@ -263,8 +268,9 @@
 	assert.Equal(t, d.failed.Load(), int64(0))
 }
 
-// The platform stays down while a host without stored state is restarted. The
-// host must get the configuration from its peers, and queries must continue.
+// Guards against hosts that need the platform to start. It stays down while a host
+// without stored state is restarted. The host must get the configuration from its
+// peers, and queries must continue.
 func TestPlatformOutage(t *testing.T) {
 	l, c := startLab(t, nil)
 	l.Publish("carry:\n  - {server: returns-desk-0, slots: 2}\n")
@@ -354,9 +360,9 @@
 	assert.Equal(t, d.failed.Load(), int64(0))
 }
 
-// Leaves reply with another attempt's id, half a body, no body, no shards,
-// another snapshot, or an error. Such replies must not enter an answer; other
-// replicas must be asked instead.
+// Guards against an answer with the content of a wrong reply. Leaves reply with
+// another attempt's id, half a body, no body, no shards, another snapshot, or an
+// error; other replicas must be asked instead.
 func TestWrongRepliesEnterNoAnswer(t *testing.T) {
 	l, _ := startLab(t, nil)
 	d := startLoad(t, l, 4)
@@ -409,8 +415,9 @@
 	assert.Assert(t, crashes() <= 2, "%d servers crashed", crashes())
 }
 
-// All open connections to the leaves become unresponsive while new ones work.
-// Queries must use new connections, and no healthy server may be excluded.
+// Guards against queries that wait for unresponsive connections. All connections to the
+// leaves stop responding while new ones work. Queries must use new connections,
+// and no healthy server may be excluded.
 func TestSilentConnections(t *testing.T) {
 	l, c := startLab(t, nil)
 	d := startLoad(t, l, 3)
@@ -435,7 +442,7 @@
 		l.SetDomainLinks(isolated, other, relay.Silent)
 	}
 	assert.NilError(t, Await(waitTimeout, "both sides answer again", func() bool {
-		for _, h := range []*Host{l.Hosts[0], l.Hosts[1]} {
+		for _, h := range []*Host{l.Hosts[0], l.Hosts[1]} { // one host on each side
 			a, err := c.Query(h.CallerAddress, "subscriber-app", "cut", budget)
 			if err != nil || a.Status != http.StatusOK || a.Check("subscriber-app", "cut") != nil {
 				return false
@@ -444,6 +451,8 @@
 		return true
 	}))
 	for _, other := range l.Layout.Domains[1:] {
+		// A silenced connection stays silent; blocking closes it, so that a new one can
+		// be opened.
 		l.SetDomainLinks(isolated, other, relay.Blocked)
 		l.SetDomainLinks(isolated, other, relay.Open)
 	}
@@ -453,6 +462,7 @@
 
 type platformMode = plat.Mode
 
+// setMode replaces the platform's failures by those that change sets.
 func setMode(l *Lab, change func(*platformMode)) {
 	var m platformMode
 	change(&m)
--- a/fakes/lab/layout.go
+++ b/fakes/lab/layout.go
@@ -101,6 +101,7 @@
 	return parts
 }
 
+// serversYAML encodes the servers of a service.
 func serversYAML(service string, servers []topo.Server) string {
 	var b strings.Builder
 	b.WriteString("servers:\n")
--- a/fakes/lab/leave_test.go
+++ b/fakes/lab/leave_test.go
@@ -10,10 +10,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A caller disconnects while the leaves work on its query for 300 ms. The
-// cancellation must reach the leaves through entry and aggregators well before
-// they would have finished.
-func TestLeafsStopWhenTheCallerLeaves(t *testing.T) {
+// Guards against leaves that continue a cancelled query. A caller disconnects 80 ms after it
+// sent a query that takes the leaves 300 ms. The cancellation must reach them through
+// entry and aggregators within 150 ms, well before they would have finished.
+func TestLeavesStopWhenTheCallerDisconnects(t *testing.T) {
 	l, c := startLab(t, func(l *Lab) { l.Model.ServiceTime = 300 * time.Millisecond })
 	cancelled := func() int {
 		n := 0
--- a/fakes/lab/load_test.go
+++ b/fakes/lab/load_test.go
@@ -23,8 +23,8 @@
 	refused  atomic.Int64
 	failed   atomic.Int64
 	mu       sync.Mutex
-	reasons  map[string]int
-	ready    map[string]readiness
+	reasons  map[string]int       // host and reason of all answers that weren't complete
+	ready    map[string]readiness // by host name
 }
 
 // readiness is the result of the balancer's last readiness check of a host.
@@ -51,6 +51,8 @@
 	return now.ready
 }
 
+// startLoad starts workers that each send one query after the other, to all hosts in
+// turn.
 func startLoad(t *testing.T, l *Lab, workers int) *load {
 	d := &load{t: t, l: l, stop: make(chan struct{}), reasons: map[string]int{}, ready: map[string]readiness{}}
 	for w := range workers {
@@ -70,7 +72,7 @@
 	return d
 }
 
-// sendQuery sends a query to a host if the balancer would.
+// sendQuery sends a query to a host if the balancer would, and counts the result.
 func (d *load) sendQuery(c *Client, h *Host, n int) {
 	if h.removed || !d.balancerSends(c, h) {
 		time.Sleep(time.Millisecond)
@@ -99,6 +101,7 @@
 	}
 }
 
+// countReason counts why a query has no complete answer.
 func (d *load) countReason(reason string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/fakes/lab/routes_test.go
+++ b/fakes/lab/routes_test.go
@@ -31,6 +31,7 @@
 	missing string
 }
 
+// askRoute sends a request with an ID to an entry's address for routes.
 func askRoute(t *testing.T, address, path, id string) routedAnswer {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -61,7 +62,8 @@
 	return list
 }
 
-// topRecords returns the records that a merged answer of these servers must have.
+// topRecords returns the greatest records of these servers, which a merged answer must
+// consist of.
 func topRecords(servers []string, path string, top int) []byte {
 	var records [][]byte
 	for _, s := range servers {
@@ -118,6 +120,7 @@
 	assert.Equal(t, askRoute(t, l.Hosts[1].RouteAddress, "/find/x", "x").status, http.StatusNotFound)
 }
 
+// domainOf returns the failure domain of a server.
 func (l *Lab) domainOf(server string) string {
 	for _, s := range l.Specs {
 		if s.Name == server {
