--- a/fakes/backend.go
+++ b/fakes/backend.go
@@ -13,7 +13,8 @@
 	"dandelionstile/share/topo"
 )
 
-// backendCommand serves the backend servers of an inventory at their addresses.
+// backendCommand serves the backend servers of an inventory at their addresses until
+// it gets a signal.
 type backendCommand struct {
 	Control   string        `arg:"--control" default:"127.0.0.1:6001" help:"address of the control endpoint that injects failures"`
 	Only      []string      `arg:"--only,separate" placeholder:"SERVER" help:"serve only these"`
@@ -58,5 +59,5 @@
 	return server.Close()
 }
 
-// splitPair splits KEY=VALUE.
+// splitPair splits KEY=VALUE, and reports whether there is an equals sign.
 func splitPair(s string) (before, after string, ok bool) { return strings.Cut(s, "=") }
--- a/fakes/demo/demo.go
+++ b/fakes/demo/demo.go
@@ -91,9 +91,10 @@
 		return err
 	}
 	d.runRound("all running again")
-	return d.report()
+	return d.printReport()
 }
 
+// printHeading prints the heading of a section.
 func (d *Demo) printHeading(format string, args ...any) { d.print("== "+format+"\n", args...) }
 
 // print writes to Out. Errors are ignored, since the demo also checks answers
@@ -138,6 +139,7 @@
 	}
 }
 
+// sendQuery sends a query through a host, checks the answer and counts the result.
 func (d *Demo) sendQuery(h *lab.Host, service, text string) {
 	a, err := d.client.Query(h.CallerAddress, service, text, budget)
 	line := ""
@@ -206,10 +208,11 @@
 	return h
 }
 
-// report prints the closing table. It compares the confirmed updates with the
+// printReport prints the closing table. It compares the confirmed updates with the
 // executions on the servers: none may run twice, and each confirmed one must
-// have run once.
-func (d *Demo) report() error {
+// have run once. It returns ErrWrongAnswers if an answer or an update was wrong, or no
+// answer was complete.
+func (d *Demo) printReport() error {
 	ran := map[string]int{}
 	excess := 0
 	for _, s := range d.lab.Servers {
--- a/fakes/plat/plat.go
+++ b/fakes/plat/plat.go
@@ -45,6 +45,7 @@
 	wg      sync.WaitGroup
 }
 
+// init makes the maps of a zero Platform. mu must be held.
 func (p *Platform) init() {
 	if p.latest == nil {
 		p.latest = map[string]Value{}
@@ -67,7 +68,8 @@
 	p.changed = make(chan struct{})
 }
 
-// PutConfig publishes a configuration: its parts, then the manifest.
+// PutConfig publishes a configuration: its parts, then the manifest. The key of a part
+// has its hash, so that a part has a single version.
 func (p *Platform) PutConfig(version uint64, parts []topo.Part) {
 	for _, part := range parts {
 		p.Put("part/"+part.Hash(), Value{Version: 1, Body: part.Body})
@@ -127,7 +129,7 @@
 	return ln.Addr().String(), nil
 }
 
-// Close stops the server and waits.
+// Close closes the server and waits until its requests have ended.
 func (p *Platform) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
@@ -151,7 +153,7 @@
 }
 
 // handleRead returns a value. With the parameter after, it waits up to wait-ms
-// for a version other than that one.
+// for a version other than that one, and replies 304 if there is none.
 func (p *Platform) handleRead(w http.ResponseWriter, r *http.Request) {
 	source, _, _ := net.SplitHostPort(r.RemoteAddr)
 	p.mu.Lock()
@@ -196,6 +198,7 @@
 	}
 }
 
+// handlePut publishes a value; its version is in the header Version.
 func (p *Platform) handlePut(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, topo.MaxPartBytes+1))
 	if err != nil || len(body) > topo.MaxPartBytes {
@@ -210,6 +213,7 @@
 	p.Put(r.PathValue("key"), Value{Version: version, Body: body})
 }
 
+// handleMode replaces the simulated failures.
 func (p *Platform) handleMode(w http.ResponseWriter, r *http.Request) {
 	var m Mode
 	if err := json.NewDecoder(r.Body).Decode(&m); err != nil {
--- a/fakes/platform.go
+++ b/fakes/platform.go
@@ -11,7 +11,8 @@
 	"dandelionstile/share/topo"
 )
 
-// platformCommand serves a configuration and host lists from files.
+// platformCommand serves a configuration and host lists from files until it gets a
+// signal.
 type platformCommand struct {
 	Address string   `arg:"--address" default:"127.0.0.1:6000" help:"IP and port"`
 	Version uint64   `arg:"--version-number" default:"1" help:"version of the configuration"`
@@ -44,6 +45,7 @@
 	return p.Close()
 }
 
+// putHosts publishes the host lists in the files of the flag --hosts.
 func (c *platformCommand) putHosts(p *plat.Platform) error {
 	for _, h := range c.Hosts {
 		domain, file, ok := splitPair(h)
--- a/fakes/relay/relay.go
+++ b/fakes/relay/relay.go
@@ -67,7 +67,8 @@
 	return ln.Addr().String(), nil
 }
 
-// SetState sets the state of a source IP.
+// SetState sets the state of a source IP. Blocked closes its connections at once; the
+// other states apply to open connections from the next read on.
 func (r *Relay) SetState(ip string, s State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,6 +93,9 @@
 	return r.states[ip]
 }
 
+// forward connects to the target and forwards in both directions until either end
+// closes. It closes the connection if its source is blocked or the target can't be
+// reached.
 func (r *Relay) forward(in net.Conn) {
 	defer func() { _ = in.Close() }()
 	source, _, _ := net.SplitHostPort(in.RemoteAddr().String())
@@ -127,8 +131,9 @@
 
 // copy forwards bytes until either end closes. Once bytes are dropped, the
 // direction stays silent even after the source is open again, since the stream
-// would have a gap. The bytes are still read, so that neither end notices.
-func (r *Relay) copy(to, from net.Conn, source string, reply bool) {
+// would have a gap. The bytes are still read, so that neither end notices. If
+// replies is set, from is the target.
+func (r *Relay) copy(to, from net.Conn, source string, replies bool) {
 	defer func() {
 		_ = to.Close()
 		_ = from.Close()
@@ -138,7 +143,7 @@
 	for {
 		n, err := from.Read(buf)
 		state := r.state(source)
-		dropping = dropping || state == Silent || (state == OneWay && reply)
+		dropping = dropping || state == Silent || (state == OneWay && replies)
 		if state == Slow {
 			time.Sleep(slowDelay)
 		}
@@ -153,7 +158,7 @@
 	}
 }
 
-// Close closes all connections and waits.
+// Close closes the listener and all connections, and waits until they are closed.
 func (r *Relay) Close() error {
 	_ = r.ln.Close()
 	r.mu.Lock()
