--- a/aggregator/core/codec.go
+++ b/aggregator/core/codec.go
@@ -14,6 +14,7 @@
 	}}}
 }
 
+// encodeAges encodes the ages of leaves for a claim, grant or release.
 func encodeAges(list []sched.ServerAges) []*wire.ServerAges {
 	out := make([]*wire.ServerAges, len(list))
 	for i, s := range list {
@@ -42,6 +43,7 @@
 	return &wire.Envelope{Body: &wire.Envelope_Claim{Claim: &wire.Claim{Id: a.ID, Servers: encodeAges(a.Servers)}}}
 }
 
+// encodeRelease encodes a release as a claim message with the release flag set.
 func encodeRelease(a sched.Release) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_Claim{Claim: &wire.Claim{Servers: encodeAges(a.Servers), Release: true}}}
 }
--- a/aggregator/core/core.go
+++ b/aggregator/core/core.go
@@ -59,7 +59,7 @@
 type openCall struct {
 	update  bool
 	service string
-	span    spans.Span
+	span    spans.Span // of a query's call; zero for an update
 }
 
 // Messages to the control loop, in addition to those of the node and the pool.
@@ -102,6 +102,7 @@
 	return nil
 }
 
+// handle processes a message in the control loop.
 func (c *Core) handle(now clock.Milli, m any) {
 	switch m := m.(type) {
 	case node.Message:
@@ -130,6 +131,9 @@
 	}
 }
 
+// tick runs the timed work of the node and the scheduler. After a pause of the process it
+// asks the peers whether this host's configuration is current; the scheduler suspends
+// admission meanwhile.
 func (c *Core) tick(now clock.Milli) {
 	c.node.Handle(now, node.Tick{})
 	out, paused := c.sched.Tick(now)
@@ -236,6 +240,7 @@
 	}
 }
 
+// status returns the state of the node and of each leaf. It runs in the control loop.
 func (c *Core) status(now clock.Milli) admin.Status {
 	s := admin.Status{Node: c.node.Status(now), Strikes: admin.StrikesFrom(c.sched.Strikes(now))}
 	for _, l := range c.sched.State(now) {
@@ -303,6 +308,7 @@
 // delegate implements node.Delegate.
 type delegate struct{ c *Core }
 
+// Configure applies a configuration and a host list.
 func (d delegate) Configure(now clock.Milli, cfg *topo.Config, hosts []topo.Host) {
 	c := d.c
 	clear(c.addrs)
@@ -354,6 +360,8 @@
 // PeerLeaving does nothing: only entries choose between aggregators.
 func (d delegate) PeerLeaving(clock.Milli, *mesh.Link, bool) {}
 
+// MergeStrike merges a strike from a peer and reports whether it was new. If the strike
+// blocks a request, the queued calls of that request are rejected.
 func (d delegate) MergeStrike(now clock.Milli, s deny.Strike) bool {
 	added, out := d.c.sched.MergeStrike(now, s)
 	d.c.execute(now, out)
@@ -382,6 +390,8 @@
 	}, cfg, hosts)
 }
 
+// Frame handles calls, updates and cancellations from entries, and claims, releases and
+// grants from other aggregators.
 func (d delegate) Frame(now clock.Milli, l *mesh.Link, m *wire.Envelope) {
 	c := d.c
 	switch b := m.Body.(type) {
--- a/aggregator/leaves/codec.go
+++ b/aggregator/leaves/codec.go
@@ -57,7 +57,7 @@
 	Shard    int    `json:"shard"`
 	Text     string `json:"text"`
 	Limit    int    `json:"limit"`
-	Deadline int64  `json:"deadline-ms"`
+	Budget   int64  `json:"deadline-ms"` // time left until the deadline
 }
 
 type wireUpdate struct {
@@ -67,7 +67,7 @@
 	Operation string `json:"operation"`
 	Key       string `json:"key"`
 	Body      string `json:"body"`
-	Deadline  int64  `json:"deadline-ms"`
+	Budget    int64  `json:"deadline-ms"` // time left until the deadline
 }
 
 type wireRow struct {
@@ -94,13 +94,13 @@
 		path += "/update"
 		body, err = json.Marshal(wireUpdate{
 			Attempt: j.Attempt, ID: j.Update.ID, Service: j.Service, Operation: j.Update.Operation,
-			Key: j.Update.Key, Body: j.Update.Body, Deadline: int64(budget),
+			Key: j.Update.Key, Body: j.Update.Body, Budget: int64(budget),
 		})
 	} else {
 		path += "/query"
 		body, err = json.Marshal(wireQuery{
 			Attempt: j.Attempt, Service: j.Service, Snapshot: j.Snapshot.String(), Shard: j.Shard,
-			Text: j.Text, Limit: j.Limit, Deadline: int64(budget),
+			Text: j.Text, Limit: j.Limit, Budget: int64(budget),
 		})
 	}
 	if err != nil {
--- a/aggregator/leaves/pool.go
+++ b/aggregator/leaves/pool.go
@@ -98,9 +98,10 @@
 // whether it is still running.
 const verifyTimeout = 250 * time.Millisecond
 
-// verify checks whether the server behind a broken connection is down. If it still
-// answers, only the connection was lost; the scheduler compares its incarnation to
-// detect a server that crashed and has already restarted.
+// verify checks whether the server behind a broken connection is down. If it does not
+// answer, the outcome stays query.Died. If it answers, only the connection was lost; the
+// scheduler compares its incarnation to detect a server that crashed and has already
+// restarted.
 func (p *Pool) verify(r sched.Result, address string) sched.Result {
 	reply, err := fetch.Get(p.HTTP, address, "/v1/leafs/"+r.Leaf+"/state", verifyTimeout)
 	if err != nil {
