--- a/entry/core/admin.go
+++ b/entry/core/admin.go
@@ -8,6 +8,7 @@
 	"dandelionstile/share/httpd"
 )
 
+// status returns the state of the node and of each service. It runs in the control loop.
 func (c *Core) status(now clock.Milli) admin.Status {
 	s := admin.Status{Node: c.node.Status(now), Strikes: admin.StrikesFrom(c.fanout.Strikes(now))}
 	if cfg := c.fanout.Config(); cfg != nil {
@@ -18,6 +19,8 @@
 	return s
 }
 
+// serviceStatus returns how many shards of a service have a reachable leaf, which do not
+// and why, and the snapshot that queries run on.
 func (c *Core) serviceStatus(name string) admin.Service {
 	coverage := c.fanout.Coverage(name)
 	service := admin.Service{
--- a/entry/core/codec.go
+++ b/entry/core/codec.go
@@ -26,6 +26,8 @@
 	}}}
 }
 
+// encodeForward encodes an update for the entry that minted its ID, which then selects the
+// leaf.
 func encodeForward(u fanout.Update, budget clock.Milli) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_Update{Update: &wire.Update{
 		Id: u.RequestID, Ticket: u.ID.String(), Service: u.Service, Operation: u.Operation,
--- a/entry/core/core.go
+++ b/entry/core/core.go
@@ -89,8 +89,8 @@
 		run func(now clock.Milli)
 	}
 	announceLeaving struct{ done chan struct{} }
-	// callerGone reports that the caller waiting on reply has disconnected.
-	callerGone struct{ reply chan QueryResult }
+	// callerDisconnected reports that the caller waiting on reply has disconnected.
+	callerDisconnected struct{ reply chan QueryResult }
 )
 
 // Start starts the control loop, the node and its links.
@@ -125,6 +125,7 @@
 	return nil
 }
 
+// handle processes a message in the control loop.
 func (c *Core) handle(now clock.Milli, m any) {
 	switch m := m.(type) {
 	case node.Message:
@@ -141,7 +142,7 @@
 		c.execute(now, c.fanout.Tick(now))
 	case runInLoop:
 		m.run(now)
-	case callerGone:
+	case callerDisconnected:
 		c.cancelQuery(now, m.reply)
 	case announceLeaving:
 		c.node.AnnounceLeaving(now)
@@ -296,7 +297,7 @@
 	}
 	result, ok := awaitContext(ctx, m.reply, budget)
 	if !ok && ctx.Err() != nil {
-		c.loop.Post(callerGone{m.reply}) // a loop that has ended has no calls to cancel
+		c.loop.Post(callerDisconnected{m.reply}) // a loop that has ended has no calls to cancel
 	}
 	return result, ok
 }
@@ -351,7 +352,7 @@
 }
 
 // Idle reports whether no request is in flight. It is also true if the loop does not
-// reply.
+// reply, so that a shutdown does not wait for a loop that has ended.
 func (c *Core) Idle() bool {
 	idle, ok := inLoop(c, func(clock.Milli) bool { return c.fanout.Idle() && len(c.queries) == 0 })
 	return idle || !ok
--- a/entry/core/links.go
+++ b/entry/core/links.go
@@ -82,12 +82,14 @@
 	}
 }
 
+// PeerLeaving records whether an aggregator is shutting down.
 func (d delegate) PeerLeaving(_ clock.Milli, l *mesh.Link, leaving bool) {
 	if l.Peer.GetProgram() == node.Aggregator {
 		d.c.fanout.HostLeaving(l.Peer.GetHost(), leaving)
 	}
 }
 
+// MergeStrike merges a strike from a peer and reports whether it was new.
 func (d delegate) MergeStrike(now clock.Milli, s deny.Strike) bool {
 	return d.c.fanout.MergeStrike(now, s)
 }
@@ -98,7 +100,8 @@
 // fullMeshMaxHosts is the largest fleet in which an entry links to all hosts.
 const fullMeshMaxHosts = 64
 
-// Numbers of links in a larger fleet.
+// Numbers of links in a larger fleet: to aggregators in this host's failure domain, and in
+// others.
 const (
 	localLinks  = 8
 	remoteLinks = 8
@@ -112,6 +115,8 @@
 	}, cfg, hosts)
 }
 
+// Frame handles outcomes and leaf states from aggregators, results of updates, and updates
+// that other entries forward.
 func (d delegate) Frame(now clock.Milli, l *mesh.Link, m *wire.Envelope) {
 	c := d.c
 	switch b := m.Body.(type) {
--- a/entry/core/updates.go
+++ b/entry/core/updates.go
@@ -68,7 +68,8 @@
 }
 
 // forward sends an update to the entry that minted its ID. Without a link it dials that
-// entry first. If the entry's host is not in the host list, the outcome is unknown.
+// entry first. If the entry's host is not in the host list, the outcome is unknown, since
+// an earlier request with the same ID may have run there.
 func (c *Core) forward(now clock.Milli, a fanout.Forward) {
 	if l := c.entries[a.Host]; l != nil {
 		if !c.node.Send(l, encodeForward(a.Update, max(0, a.Update.Deadline-now))) {
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -357,9 +357,12 @@
 	return id, field, reason
 }
 
+// minNotRunRetry is the shortest retry time after "not-run".
+const minNotRunRetry clock.Milli = 100
+
 // writeUpdateResult replies with the outcome of an update: it ran, it did not run, or
 // its outcome is unknown. Callers may resend only after "not-run", or "unknown" with a
-// retry time, and with the same ID. After "not-run" the retry time is at least 100 ms.
+// retry time, and with the same ID. After "not-run" there is always a retry time.
 func writeUpdateResult(w http.ResponseWriter, id string, r fanout.UpdateResult) {
 	e := wireError{Reason: string(r.Reason), ID: id}
 	switch {
@@ -370,7 +373,7 @@
 		httpd.WriteJSON(w, http.StatusConflict, e)
 	case !r.Kind.MayHaveRun():
 		e.Error = errNotRun
-		writeError(w, http.StatusServiceUnavailable, e, max(r.RetryAfter, 100))
+		writeError(w, http.StatusServiceUnavailable, e, max(r.RetryAfter, minNotRunRetry))
 	default:
 		e.Error = errUnknown
 		writeError(w, http.StatusBadGateway, e, r.RetryAfter)
--- a/entry/front/front_test.go
+++ b/entry/front/front_test.go
@@ -23,7 +23,7 @@
 	c := &core.Core{Log: zerolog.Nop(), Settings: node.Settings{
 		Host:     node.HostSettings{Name: "host-0", Domain: "a"},
 		Listen:   node.ListenSettings{Links: "127.0.0.1:0"},
-		Platform: node.PlatformSettings{Address: "127.0.0.1:1"},
+		Platform: node.PlatformSettings{Address: "127.0.0.1:1"}, // nothing listens there
 	}}
 	assert.NilError(t, c.Start())
 	t.Cleanup(func() { assert.NilError(t, c.Close()) })
@@ -73,7 +73,7 @@
 	assert.Equal(t, e.Error, errRefused)
 	assert.Equal(t, e.Reason, "not-ready")
 	assert.Assert(t, e.RetryAfter > 0)
-	assert.Equal(t, h.Get("Retry-After"), "1")
+	assert.Equal(t, h.Get("Retry-After"), "1") // RetryAfter in seconds, rounded up
 	assert.Assert(t, !f.Core.Ready())
 }
 
--- a/entry/routed/routed_test.go
+++ b/entry/routed/routed_test.go
@@ -66,7 +66,7 @@
 	}))
 	defer server.Close()
 	file := filepath.Join(t.TempDir(), "spans.json")
-	tracer, err := spans.New(file, "entry", "h", 1)
+	tracer, err := spans.New(file, "entry", "h", 1) // records every trace
 	assert.NilError(t, err)
 	r := Server{Tracer: tracer, Log: zerolog.Nop(), Settings: node.Settings{
 		Host:   node.HostSettings{Name: "h", Domain: "a"},
@@ -94,6 +94,8 @@
 	assert.NilError(t, err)
 	assert.NilError(t, res.Body.Close())
 	assert.Equal(t, res.StatusCode, http.StatusOK)
+	// A traceparent is the version (2 characters), the trace ID (32), the span ID (16) and
+	// the flags (2), joined by hyphens.
 	parent := <-got
 	assert.Equal(t, parent[:35], caller[:35], "the trace ID differs")
 	assert.Assert(t, parent != caller, "the parent is not the entry's span")
