--- a/stile/cmds/capacity.go
+++ b/stile/cmds/capacity.go
@@ -14,7 +14,7 @@
 	services map[string]*serviceCapacity
 }
 
-// leafCapacity is the part of a leaf in the capacity.
+// leafCapacity is what one leaf contributes to a capacity.
 type leafCapacity struct {
 	server    string
 	domain    string
--- a/stile/cmds/check.go
+++ b/stile/cmds/check.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	cfg, err := topo.Parse(1, parts)
+	cfg, err := topo.Parse(unpublishedVersion, parts)
 	var faults conf.Faults
 	if err != nil && !errors.As(err, &faults) {
 		return err
@@ -55,7 +55,7 @@
 		for i := range parts {
 			parts[i] = withBaseName(parts[i])
 		}
-		out.line("%s", topo.NewManifest(c.Manifest, parts).Encode())
+		out.printText("%s", topo.NewManifest(c.Manifest, parts).Encode())
 		return nil
 	}
 	result := checkResult{Valid: true, Faults: []faultResult{}, Dangers: findDangers(cfg)}
@@ -64,21 +64,21 @@
 		result.Leaves += len(v.Leaves)
 	}
 	for _, d := range result.Dangers {
-		out.line("%s %s", out.colorize(yellow, "danger:"), d)
+		out.printText("%s %s", out.colorize(yellow, "danger:"), d)
 	}
-	out.line("%s %d services, %d backend servers, %d leafs, %d routes",
+	out.printText("%s %d services, %d backend servers, %d leafs, %d routes",
 		out.colorize(green, "valid:"), result.Services, result.Servers, result.Leaves, result.Routes)
-	return out.value(result)
+	return out.printJSON(result)
 }
 
 // printFaults prints the faults and returns ErrFaulty.
 func (*check) printFaults(out *printer, faults conf.Faults) error {
 	result := checkResult{Faults: []faultResult{}, Dangers: []string{}}
 	for _, f := range faults {
-		out.line("%s %s", out.colorize(red, "fault:"), f)
+		out.printText("%s %s", out.colorize(red, "fault:"), f)
 		result.Faults = append(result.Faults, faultResult(f))
 	}
-	if err := out.value(result); err != nil {
+	if err := out.printJSON(result); err != nil {
 		return err
 	}
 	return ErrFaulty
--- a/stile/cmds/cmds.go
+++ b/stile/cmds/cmds.go
@@ -48,7 +48,7 @@
 
 // registration is a registered command.
 type registration struct {
-	names  []string
+	names  []string // the name and then the aliases
 	create func() command
 }
 
@@ -65,6 +65,7 @@
 	Color  string `arg:"--color" default:"auto" placeholder:"WHEN" help:"auto, always or never"`
 }
 
+// options gives newPrinter access to the flags of any command that embeds them.
 func (o *outputFlags) options() *outputFlags { return o }
 
 // printer writes a command's result as text or JSON.
@@ -74,15 +75,15 @@
 	color bool
 }
 
-// line prints a line of text; with JSON output it prints nothing.
-func (p *printer) line(format string, args ...any) {
+// printText prints a line of text; with JSON output it prints nothing.
+func (p *printer) printText(format string, args ...any) {
 	if !p.json {
 		_, _ = fmt.Fprintf(p.out, format+"\n", args...) // a closed output is no error
 	}
 }
 
-// value prints the whole result with JSON output; with text output it prints nothing.
-func (p *printer) value(v any) error {
+// printJSON prints the whole result with JSON output; with text output it prints nothing.
+func (p *printer) printJSON(v any) error {
 	if !p.json {
 		return nil
 	}
@@ -192,7 +193,7 @@
 	case err == nil:
 		return ExitOK
 	case errors.Is(err, ErrFaulty):
-		return ExitFault
+		return ExitFault // the command has printed the faults
 	case errors.Is(err, conf.ErrInvalid):
 		writef(errOut, "%v\n", err)
 		return ExitFault
--- a/stile/cmds/completion.go
+++ b/stile/cmds/completion.go
@@ -16,6 +16,6 @@
 	for _, e := range registry {
 		names = append(names, e.names[0])
 	}
-	out.line("complete -W %q stile", strings.Join(names, " "))
-	return out.value(names)
+	out.printText("complete -W %q stile", strings.Join(names, " "))
+	return out.printJSON(names)
 }
--- a/stile/cmds/coverage.go
+++ b/stile/cmds/coverage.go
@@ -40,11 +40,11 @@
 			if len(v.Missing) > 0 {
 				color = red
 			}
-			out.line("%-10s %-24s snapshot %-8s %s%s", p.Node.Host, v.Service, v.Snapshot,
+			out.printText("%-10s %-24s snapshot %-8s %s%s", p.Node.Host, v.Service, v.Snapshot,
 				out.colorize(color, strconv.Itoa(v.Reachable)+"/"+strconv.Itoa(v.Shards)), formatMissing(v.Missing))
 		}
 	}
-	if err := out.value(shown); err != nil {
+	if err := out.printJSON(shown); err != nil {
 		return err
 	}
 	if missing {
--- a/stile/cmds/diff.go
+++ b/stile/cmds/diff.go
@@ -63,21 +63,21 @@
 	result := compareCapacity(capacityOf(before), capacityOf(after))
 	result.Routes = compareRoutes(before.Routes, after.Routes)
 	for _, m := range result.Leaves {
-		out.line("leaf %-28s %s", m.Leaf, m.Change)
+		out.printText("leaf %-28s %s", m.Leaf, m.Change)
 	}
 	for _, v := range result.Services {
-		out.line("service %-25s slots %d -> %d, shards lost %d, left with one leaf %d",
+		out.printText("service %-25s slots %d -> %d, shards lost %d, left with one leaf %d",
 			v.Service, v.SlotsBefore, v.SlotsAfter, v.ShardsLost, v.ShardsSingle)
 	}
 	for _, r := range result.Routes {
-		out.line("route %-27s %s", r.Route, r.Change)
+		out.printText("route %-27s %s", r.Route, r.Change)
 	}
 	if result.Safe {
-		out.line("%s no shard loses its last leaf", out.colorize(green, "safe:"))
+		out.printText("%s no shard loses its last leaf", out.colorize(green, "safe:"))
 	} else {
-		out.line("%s answers will lack shards", out.colorize(red, "coverage is lost:"))
+		out.printText("%s answers will lack shards", out.colorize(red, "coverage is lost:"))
 	}
-	if err := out.value(result); err != nil {
+	if err := out.printJSON(result); err != nil {
 		return err
 	}
 	if !result.Safe {
--- a/stile/cmds/explain.go
+++ b/stile/cmds/explain.go
@@ -29,8 +29,8 @@
 // ErrNoSource reports that neither logs nor programs were given.
 var ErrNoSource = errors.New("give --logs or --admin")
 
-// Run reads the logs, or queries the entries until one knows the query. The logs take
-// precedence.
+// Run reads the logs, or queries the entries until one knows the query. Entries that do not
+// answer are skipped. The logs take precedence.
 func (c *explain) Run(out *printer) error {
 	if len(c.Logs) > 0 {
 		lines, err := readLogs(c.Logs)
@@ -59,14 +59,14 @@
 
 // printQuery prints the coverage of a query's answer and the steps that led to it.
 func printQuery(out *printer, q admin.Query) error {
-	out.line("query %s, service %s, snapshot %s", q.ID, q.Service, q.Snapshot)
+	out.printText("query %s, service %s, snapshot %s", q.ID, q.Service, q.Snapshot)
 	if q.Refused != "" {
-		out.line("%s %s", out.colorize(red, "refused:"), q.Refused)
+		out.printText("%s %s", out.colorize(red, "refused:"), q.Refused)
 	}
-	out.line("answered %d of %d shards in %d ms with %d leaf calls, %d of them extra%s",
+	out.printText("answered %d of %d shards in %d ms with %d leaf calls, %d of them extra%s",
 		q.Answered, q.Shards, q.Took, q.Calls, q.Extra, formatMissing(q.Missing))
 	for _, s := range q.Steps {
-		out.line("%6d ms  %-15s shard %-4d %-26s %-10s %s", s.At, s.Event, s.Shard, s.Leaf, s.Host, s.Cause)
+		out.printText("%6d ms  %-15s shard %-4d %-26s %-10s %s", s.At, s.Event, s.Shard, s.Leaf, s.Host, s.Cause)
 	}
-	return out.value(q)
+	return out.printJSON(q)
 }
--- a/stile/cmds/files.go
+++ b/stile/cmds/files.go
@@ -41,13 +41,17 @@
 	return parts, nil
 }
 
+// unpublishedVersion stands for the version of a configuration that is read from files; it
+// gets its version when its manifest is printed.
+const unpublishedVersion = 1
+
 // loadConfig reads and validates a configuration.
 func loadConfig(paths []string) (*topo.Config, error) {
 	parts, err := readParts(paths)
 	if err != nil {
 		return nil, err
 	}
-	return topo.Parse(1, parts)
+	return topo.Parse(unpublishedVersion, parts)
 }
 
 // withBaseName returns the part under the name that it has in a manifest: that of its
--- a/stile/cmds/keys_test.go
+++ b/stile/cmds/keys_test.go
@@ -130,7 +130,7 @@
 	t.Helper()
 	var b bytes.Buffer
 	out := printer{out: &b, json: true}
-	assert.NilError(t, out.value(value))
+	assert.NilError(t, out.printJSON(value))
 	var decoded any
 	assert.NilError(t, json.Unmarshal(b.Bytes(), &decoded))
 	keys := map[string]bool{}
@@ -138,6 +138,7 @@
 	return slices.Sorted(maps.Keys(keys))
 }
 
+// addKeys adds the keys of a decoded value under a prefix; all elements of a list share it.
 func addKeys(keys map[string]bool, prefix string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
--- a/stile/cmds/losses.go
+++ b/stile/cmds/losses.go
@@ -37,19 +37,19 @@
 	if len(l.Spans) == 0 {
 		return ErrNoRequests
 	}
-	out.line("%-28s %8s %8s", "route", "asked", "lost")
+	out.printText("%-28s %8s %8s", "route", "asked", "lost")
 	for _, r := range l.Routes {
-		out.line("%-28s %8d %8.1f", r.Name, r.Asked, r.Lost)
+		out.printText("%-28s %8d %8.1f", r.Name, r.Asked, r.Lost)
 	}
-	out.line("\n%-72s %8s %8s", "cause", "times", "lost")
+	out.printText("\n%-72s %8s %8s", "cause", "times", "lost")
 	for _, r := range l.Causes {
-		out.line("%-72s %8d %8.1f", r.Name, r.Asked, r.Lost)
+		out.printText("%-72s %8d %8.1f", r.Name, r.Asked, r.Lost)
 	}
-	out.line("\n%8s %8s %8s  %s", "second", "asked", "lost", "most for")
+	out.printText("\n%8s %8s %8s  %s", "second", "asked", "lost", "most for")
 	for _, s := range l.Spans {
-		out.line("%8.1f %8d %8.1f  %s", s.From, s.Asked, s.Lost, s.Cause)
+		out.printText("%8.1f %8d %8.1f  %s", s.From, s.Asked, s.Lost, s.Cause)
 	}
-	return out.value(l)
+	return out.printJSON(l)
 }
 
 // lossTable sums the losses of the requests in the logs. A request that is answered
--- a/stile/cmds/status.go
+++ b/stile/cmds/status.go
@@ -33,12 +33,12 @@
 	if newest, behind := compareVersions(programs); len(behind) > 0 {
 		faulty = true
 		for _, b := range behind {
-			out.line("%s %s", out.colorize(yellow, "behind:"), b)
+			out.printText("%s %s", out.colorize(yellow, "behind:"), b)
 		}
 	} else {
-		out.line("configuration %d is in force on all that answered", newest)
+		out.printText("configuration %d is in force on all that answered", newest)
 	}
-	if err := out.value(programs); err != nil {
+	if err := out.printJSON(programs); err != nil {
 		return err
 	}
 	if faulty {
@@ -51,7 +51,7 @@
 // is not ready.
 func (c *status) printProgram(out *printer, p programStatus) (faulty bool) {
 	if p.Problem != "" {
-		out.line("%s %s: %s", out.colorize(red, "no answer:"), p.Admin, p.Problem)
+		out.printText("%s %s: %s", out.colorize(red, "no answer:"), p.Admin, p.Problem)
 		return true
 	}
 	n := p.Node
@@ -66,18 +66,18 @@
 	if n.PlatformAge >= 0 {
 		platform = fmt.Sprintf("platform heard %d ms ago", n.PlatformAge)
 	}
-	out.line("%-10s %-12s %-10s %s, %s%s", n.Host, n.Domain, n.Program, state, platform, formatWatching(n))
+	out.printText("%-10s %-12s %-10s %s, %s%s", n.Host, n.Domain, n.Program, state, platform, formatWatching(n))
 	for _, r := range n.Rejected {
-		out.line("    refused %s %d: %s", r.Key, r.Version, r.Reason)
+		out.printText("    refused %s %d: %s", r.Key, r.Version, r.Reason)
 	}
 	for _, f := range p.Leaves {
 		if f.Primary && (c.Leaves || f.Closed != "" || f.RampLeft > 0) {
-			out.line("    leaf %-26s busy %d/%d of %d, queued %d, connections %d, ramp left %d ms %s",
+			out.printText("    leaf %-26s busy %d/%d of %d, queued %d, connections %d, ramp left %d ms %s",
 				f.Leaf, f.Busy, f.Limit, f.Slots, f.Queued, f.Conns, f.RampLeft, f.Closed)
 		}
 	}
 	for _, s := range p.Strikes {
-		out.line("    quarantined %s: %d servers, %d ms left", s.Fingerprint, s.Count, s.TimeLeft)
+		out.printText("    quarantined %s: %d servers, %d ms left", s.Fingerprint, s.Count, s.TimeLeft)
 	}
 	return !n.Ready
 }
@@ -91,7 +91,7 @@
 }
 
 // compareVersions returns the newest configuration and the programs that have an older
-// one.
+// one. Programs that report no configuration are left out.
 func compareVersions(programs []programStatus) (newest uint64, behind []string) {
 	installed := map[string]uint64{}
 	for _, p := range programs {
--- a/stile/cmds/timeline.go
+++ b/stile/cmds/timeline.go
@@ -185,10 +185,10 @@
 		if l.Message == "refused" || l.fields["level"] == "error" {
 			color = red
 		}
-		out.line("%+7d ms  %-24s %s  %s", l.Time-start, l.Host, out.colorize(color, l.Message), formatDetails(l))
+		out.printText("%+7d ms  %-24s %s  %s", l.Time-start, l.Host, out.colorize(color, l.Message), formatDetails(l))
 		fields = append(fields, l.fields)
 	}
-	return out.value(fields)
+	return out.printJSON(fields)
 }
 
 // formatDetails formats the other fields of a line, sorted by name.
--- a/stile/cmds/version.go
+++ b/stile/cmds/version.go
@@ -16,6 +16,6 @@
 
 // Run prints the version.
 func (*version) Run(out *printer) error {
-	out.line("%s", daemon.VersionText("stile"))
-	return out.value(versionResult{daemon.Version})
+	out.printText("%s", daemon.VersionText("stile"))
+	return out.printJSON(versionResult{daemon.Version})
 }
--- a/stile/cmds/watch.go
+++ b/stile/cmds/watch.go
@@ -37,20 +37,21 @@
 		clockTime := time.Now().Format(time.TimeOnly)
 		for _, key := range sortedNames(current) {
 			if previous[key] != current[key] {
-				out.line("%s %-44s %s", clockTime, key, current[key])
+				out.printText("%s %-44s %s", clockTime, key, current[key])
 			}
 		}
 		for _, key := range sortedNames(previous) {
 			if _, kept := current[key]; !kept {
-				out.line("%s %-44s gone", clockTime, key)
+				out.printText("%s %-44s gone", clockTime, key)
 			}
 		}
 		previous = current
 	}
-	return out.value(previous)
+	return out.printJSON(previous)
 }
 
-// addWatchedValues adds the values to watch of one program, keyed by what they describe.
+// addWatchedValues adds the values to watch of one program, keyed by what they describe. A
+// leaf is watched only while it is closed or its limit is below its slots.
 func addWatchedValues(p programStatus, values map[string]string) {
 	name := p.Node.Host + "/" + p.Node.Program
 	if p.Problem != "" {
