--- a/share/sched/flow.go
+++ b/share/sched/flow.go
@@ -17,7 +17,7 @@
 	}
 	if reason, wait := e.rejectReason(now, f, call); reason != query.ReasonNone {
 		r := reject(call.Key, reason, wait)
-		if reason != query.ReasonNotOwner {
+		if reason != query.ReasonNotOwner { // otherwise another host reports the leaf's state
 			fb := e.feedback(now, f)
 			r.Outcome.Feedback = &fb
 		}
@@ -71,8 +71,8 @@
 	return query.ReasonNone, 0
 }
 
-// secondCanaryAllowed reports whether a request that crashed one server may run
-// a second time. Only the query whose canary crashed it may.
+// secondCanaryAllowed reports whether a blocked request may run as the second canary
+// of the query whose first canary crashed a server. After a second crash, none may run.
 func (e *Engine) secondCanaryAllowed(now clock.Milli, call Call) bool {
 	return call.SecondCanary && e.strikes.Get(now, call.Fingerprint).Count < 2
 }
@@ -119,7 +119,7 @@
 		if i < 0 {
 			break
 		}
-		c, newConn := f.idleConn(false), false
+		c, newConn := f.idleConn(false /* leastRecent */), false
 		if c == nil {
 			c, newConn = e.openConn(now, f), true
 		}
@@ -301,7 +301,7 @@
 // applyResult updates the state of the leaf and of its request from a result. It
 // may change the kind of the outcome, see recordCrash.
 func (e *Engine) applyResult(now clock.Milli, f *leaf, call *activeCall, r Result, o *query.Outcome) []Action {
-	out := e.applyStatus(now, f, r.Status, false)
+	out := e.applyStatus(now, f, r.Status, false /* fromProbe */)
 	switch o.Kind {
 	case query.OK:
 		f.recordSuccess(now)
@@ -310,7 +310,7 @@
 			e.proven.Add(call.provenKey())
 		}
 		if e.detectColdStart(f, o.Took) {
-			f.ramp.restart(now, true)
+			f.ramp.restart(now, true /* known */)
 			out = append(out, LeafEvent{Leaf: f.Name, Event: "ramp started", Cause: "slow"})
 		}
 	case query.Shed:
@@ -319,29 +319,28 @@
 		soleSender := e.leases.exclusive(now, f.server) || e.leases.takeoverComplete(now, f.server)
 		if soleSender && !r.Status.Draining && now-f.ramp.shedAt >= shedRampInterval {
 			f.ramp.shedAt = now
-			f.ramp.restart(now, true)
+			f.ramp.restart(now, true /* known */)
 			out = append(out, LeafEvent{Leaf: f.Name, Event: "ramp started", Cause: "shed"})
 		}
 	case query.Died:
 		out = append(out, e.recordCrash(now, call, o)...)
-		out = append(out, e.recordFailure(now, f, true, query.ReasonReset)...)
+		out = append(out, e.recordFailure(now, f, true /* definite */, query.ReasonReset)...)
 	case query.NotRun:
 		if r.DialFailed {
-			out = append(out, e.recordFailure(now, f, true, query.ReasonUnreachable)...)
+			out = append(out, e.recordFailure(now, f, true /* definite */, query.ReasonUnreachable)...)
 		}
 	case query.Unknown:
-		out = append(out, e.recordFailure(now, f, false, o.Reason)...)
+		out = append(out, e.recordFailure(now, f, false /* definite */, o.Reason)...)
 	}
 	return out
 }
 
 // recordCrash handles the crash of a server under a call. If the call was a
-// canary, its request gets a strike, which is sent to the peers, and queued calls
-// of the request are rejected if it is now blocked. Otherwise the outcome becomes
-// Unknown, without a strike: a request that crashes every server never gets past
-// its canary, so one that a leaf has completed before is not the cause. Without
-// this distinction, the loss of a failure domain would quarantine the popular
-// queries running there, each on two servers.
+// canary, its request gets a strike, which is sent to the peers, and its queued calls
+// are rejected. Otherwise the outcome becomes Unknown, without a strike: a request that
+// crashes every server never gets past its canary, so one that a leaf has completed
+// before is not the cause. Without this distinction, the loss of a failure domain would
+// quarantine each popular query that was running on two of its servers.
 func (e *Engine) recordCrash(now clock.Milli, call *activeCall, o *query.Outcome) []Action {
 	e.proven.Remove(call.Fingerprint)
 	if !call.Canary {
@@ -375,7 +374,7 @@
 	}
 	f.recordAbandoned(now, call)
 	out := e.finish(now, call, query.Outcome{Kind: query.Unknown, Reason: query.ReasonCancelled})
-	if f.idleConn(true) != nil {
+	if f.idleConn(true /* leastRecent */) != nil {
 		out = append(out, e.abort(now, f, call)...)
 	}
 	return out
@@ -426,7 +425,8 @@
 
 // SuspendAdmission rejects new calls and holds queued ones after a pause of the
 // process. The state may be stale: a failure domain may have been taken out
-// meanwhile, and the callers of queued calls may have disconnected. Calls are
+// meanwhile, the callers of queued calls may have disconnected, and the other
+// candidates may have sent calls to this host's servers. Calls are
 // admitted again once the configuration is known to be current (ResumeAdmission),
 // or after suspendDuration if the host is disconnected from all peers.
 func (e *Engine) SuspendAdmission(now clock.Milli) {
--- a/share/sched/health.go
+++ b/share/sched/health.go
@@ -15,7 +15,7 @@
 	failures        int     // in a row
 	down            bool    // no new calls until a probe succeeds
 	nextProbeAt     clock.Milli
-	backoff         clock.Milli // delay of the next probe: 100 ms after the first failure, doubled up to maxProbeBackoff
+	backoff         clock.Milli // delay of the next probe: minProbeBackoff after the first failure, doubled up to maxProbeBackoff
 	draining        bool
 	drainReportedAt clock.Milli // when the leaf last reported that it drains
 	lastProgress    clock.Milli // when a call or probe last succeeded on any connection
@@ -26,8 +26,13 @@
 	// ejectAfter is the number of consecutive failures that take a leaf out of
 	// service until a probe succeeds.
 	ejectAfter = 3
-	// maxProbeBackoff limits the time between probes of a leaf that is down.
-	maxProbeBackoff = 5 * clock.Second
+	// minProbeBackoff and maxProbeBackoff limit the time between probes of a leaf that
+	// is down.
+	minProbeBackoff clock.Milli = 100
+	maxProbeBackoff             = 5 * clock.Second
+	// connectInterval is the time between probes of a leaf to which this host has
+	// fewer connections than it may use.
+	connectInterval clock.Milli = 50
 	// drainHold is how long ago a leaf must last have reported a drain before it
 	// gets calls again, unless it restarted. The state endpoints of a leaf lag
 	// behind each other, so one healthy response doesn't end a drain.
@@ -77,7 +82,7 @@
 	var out []Action
 	h := &f.health
 	if s.restarted(f) {
-		f.ramp.restart(now, true)
+		f.ramp.restart(now, true /* known */)
 		h.meanLatency = 0
 		h.draining = false
 		out = append(out, LeafEvent{Leaf: f.Name, Event: "ramp started", Cause: "restarted"})
@@ -97,14 +102,14 @@
 	} else if h.draining && fromProbe && now-h.drainReportedAt >= drainHold {
 		h.draining = false
 		// Its load during the drain is unknown here, so it counts as cold.
-		f.ramp.restart(now, true)
+		f.ramp.restart(now, true /* known */)
 		out = append(out, LeafEvent{Leaf: f.Name, Event: "ramp started", Cause: "drain ended"})
 	}
 	return out
 }
 
 // recordSuccess resets the failure state of a leaf, which puts it back into
-// service.
+// service, and ends the backoff of its probes.
 func (f *leaf) recordSuccess(now clock.Milli) {
 	h := &f.health
 	h.failures, h.backoff = 0, 0
@@ -130,7 +135,7 @@
 		out = append(out, LeafEvent{Leaf: f.Name, Event: "closed", Cause: string(cause)})
 		out = append(out, e.flush(now, f, query.ReasonUnreachable)...)
 	}
-	h.backoff = min(max(2*h.backoff, 100), maxProbeBackoff)
+	h.backoff = min(max(2*h.backoff, minProbeBackoff), maxProbeBackoff)
 	h.nextProbeAt = now + h.backoff
 	return out
 }
@@ -138,14 +143,14 @@
 // probeIfDue probes a leaf once per second, over an idle or a new connection.
 // Probes keep connections open, detect unresponsive ones, and report restarts,
 // drains and snapshots. While the leaf has fewer connections than this host may
-// use, each probe opens another and the next follows after 50 ms; a leaf that is
-// down gets a new connection only if none is idle.
+// use, each probe opens another and the next follows after connectInterval; a leaf that
+// is down gets a new connection only if none is idle.
 func (e *Engine) probeIfDue(now clock.Milli, f *leaf) []Action {
 	h := &f.health
 	if f.rank < 0 || now < h.nextProbeAt {
 		return nil
 	}
-	c, newConn := f.idleConn(true), false
+	c, newConn := f.idleConn(true /* leastRecent */), false
 	if c == nil || (len(f.conns) < min(f.slotLimit, f.connShare()) && !h.down) {
 		if n := e.openConn(now, f); n != nil {
 			c, newConn = n, true
@@ -156,7 +161,7 @@
 	}
 	h.nextProbeAt = now + probeInterval
 	if len(f.conns) < min(f.slotLimit, f.connShare()) {
-		h.nextProbeAt = now + 50
+		h.nextProbeAt = now + connectInterval
 	}
 	c.probing, c.sentAt = true, now
 	return []Action{Probe{Leaf: f.Name, Conn: c.id, NewConn: newConn}}
@@ -212,7 +217,7 @@
 	}
 	c.probing, c.opened, c.lastUsed, c.aborting = false, true, now, Key{}
 	f.recordSuccess(now)
-	out := e.applyStatus(now, f, s, true)
+	out := e.applyStatus(now, f, s, true /* fromProbe */)
 	out = append(out, e.dispatch(now, f)...)
 	return append(out, e.publish(f, now)...)
 }
@@ -272,7 +277,7 @@
 // abort asks a leaf to stop working on a call. It returns nil if no connection is
 // idle and none may be opened.
 func (e *Engine) abort(now clock.Milli, f *leaf, call *activeCall) []Action {
-	c, newConn := f.idleConn(true), false
+	c, newConn := f.idleConn(true /* leastRecent */), false
 	if c == nil {
 		c, newConn = e.openConn(now, f), true
 	}
@@ -292,6 +297,7 @@
 	return len(f.orphans)
 }
 
+// removeOrphans removes the orphans that match.
 func (f *leaf) removeOrphans(match func(orphan) bool) {
 	kept := f.orphans[:0]
 	for _, o := range f.orphans {
@@ -338,6 +344,7 @@
 	}
 	fb := e.feedback(now, f)
 	old := f.published
+	// old.Leaf is empty until the state is published first.
 	if fb.Closed == old.Closed && fb.Limit == old.Limit && slices.Equal(fb.Holds, old.Holds) && old.Leaf != "" {
 		return nil
 	}
--- a/share/sched/lease.go
+++ b/share/sched/lease.go
@@ -51,7 +51,7 @@
 	servers   map[string]*lease
 	claims    map[uint64]clock.Milli // send times by claim id
 	lastClaim uint64
-	renewedAt clock.Milli
+	renewedAt clock.Milli // when servers were last claimed; 0 claims them at the next tick
 }
 
 // lease is the lease state of one server.
--- a/share/sched/ramp.go
+++ b/share/sched/ramp.go
@@ -17,7 +17,8 @@
 	shedAt      clock.Milli
 }
 
-// restart starts the ramp from the beginning.
+// restart starts the ramp from the beginning. known is unset if there is no evidence
+// that the leaf is cold.
 func (r *ramp) restart(now clock.Milli, known bool) {
 	r.coldAt = now
 	r.known = known
--- a/share/sched/sched.go
+++ b/share/sched/sched.go
@@ -47,7 +47,8 @@
 	Request any
 }
 
-// Action is an instruction to the program; one of the types below.
+// Action is an instruction to the aggregator that runs the engine; one of the types
+// below.
 type Action interface{ action() }
 
 // Send sends a call over a connection, which is opened first if NewConn is set.
@@ -273,7 +274,7 @@
 			f := e.leaves[l.Name]
 			if f == nil {
 				f = &leaf{conns: map[ConnID]*conn{}}
-				f.ramp.restart(now, false) // cold until the other candidate reports its age
+				f.ramp.restart(now, false /* known */) // cold until the other candidate reports its age
 			}
 			f.Leaf, f.server, f.service, f.address, f.rank = l, s.Name, s.Service, s.Address, rank
 			f.warmUp, f.slotLimit = service.WarmUp, l.Slots
@@ -312,6 +313,7 @@
 	return out
 }
 
+// init creates the maps at the first event and sets the start time.
 func (e *Engine) init(now clock.Milli) {
 	if e.leaves == nil {
 		e.leaves = map[string]*leaf{}
--- a/share/sched/sched_test.go
+++ b/share/sched/sched_test.go
@@ -149,7 +149,7 @@
 // calls from its queue when it continues, they would run in that domain.
 func TestPauseHoldsNewWorkBack(t *testing.T) {
 	e, now := warmEngine(t)
-	now += 5000
+	now += 5 * pauseThreshold
 	_, paused := e.Tick(now)
 	assert.Assert(t, paused)
 	out := submit(e, now, 1)
@@ -236,7 +236,7 @@
 		e := &Engine{Self: name, Domain: "a"}
 		e.Configure(0, testConfig(), hosts)
 		now := clock.Milli(0)
-		for ; now < 6000; now += 50 {
+		for ; now < 6000; now += 50 { // beyond the warm-up and takeoverDuration
 			probeAll(e, now, tick(e, now), LeafStatus{Incarnation: 1})
 		}
 		f := e.leaves["l"]
@@ -278,7 +278,7 @@
 	other := sends(submit(e, now, 9))[0]
 	finishCall(e, now+900, other, query.OK, LeafStatus{Incarnation: 1})
 	lost := 0
-	for _, a := range tick(e, now+999+1) { // defaultSilenceTimeout after the calls were sent
+	for _, a := range tick(e, now+defaultSilenceTimeout) {
 		if closed, ok := a.(CloseConn); ok && silent[closed.Conn] {
 			lost++
 		}
--- a/share/sched/state.go
+++ b/share/sched/state.go
@@ -63,17 +63,23 @@
 
 // LeafState is the state of a leaf as shown to operators.
 type LeafState struct {
-	Leaf         string
-	Server       string
-	Service      string
-	Primary      bool
-	Exclusive    bool
-	Busy         int
-	Queued       int
-	Limit        int
-	Slots        int
-	Conns        int
-	RampLeft     clock.Milli
+	Leaf    string
+	Server  string
+	Service string
+	// Primary is set if this host is the first candidate for the leaf's server.
+	Primary bool
+	// Exclusive is set if this host holds the server's lease or is the only candidate.
+	Exclusive bool
+	Busy      int
+	Queued    int
+	// Limit is how many concurrent calls this host may send to the leaf now, at most
+	// Slots.
+	Limit int
+	Slots int
+	Conns int
+	// RampLeft is the time until the leaf counts as warm.
+	RampLeft clock.Milli
+	// ClosedReason is why this host sends no calls to the leaf, or ReasonNone.
 	ClosedReason query.Reason
 }
 
