--- a/share/fanout/answer.go
+++ b/share/fanout/answer.go
@@ -74,7 +74,7 @@
 }
 
 // callCounts returns the number of leaf calls of a query, and how many of them
-// were beyond the first per shard.
+// were beyond the first per shard. All calls for former pins count as extra.
 func (q *activeQuery) callCounts() (calls, extra int) {
 	calls, extra = q.priorCalls, q.priorCalls
 	for i := range q.shards {
--- a/share/fanout/budget.go
+++ b/share/fanout/budget.go
@@ -19,7 +19,7 @@
 // budgetBurst is the maximum number of extra calls that can be saved up.
 const budgetBurst = 20
 
-// earn adds the tokens for first calls. A new budget is full.
+// earn adds percent/100 tokens for each first call. A new budget is full.
 func (b *budget) earn(calls, percent int) {
 	if !b.initialized {
 		b.initialized = true
@@ -76,8 +76,9 @@
 	_ = t.current.RecordValue(int64(max(1, min(took, 60000)))) // can't fail: the value is in range
 }
 
-// delay returns how long a call runs before it is hedged: the quantile of recent call
-// times, computed again every hedgeUpdateInterval. It also updates the median.
+// delay returns how long a call runs before it is hedged: longer than the quantile, in
+// percent, of recent call times, computed again every hedgeUpdateInterval. It also
+// updates the median.
 func (t *timing) delay(now clock.Milli, quantile float64) clock.Milli {
 	if t.current == nil {
 		return defaultHedgeDelay
@@ -93,6 +94,7 @@
 		h = t.current
 	}
 	if h.TotalCount() >= minSamples {
+		// A call as long as the quantile is not hedged yet, hence 1 ms more.
 		t.hedgeDelay = max(minHedgeDelay, clock.Milli(h.ValueAtQuantile(quantile))+1)
 		t.median = float64(h.ValueAtQuantile(50))
 	}
@@ -159,8 +161,8 @@
 	if lackedCapacity(c) {
 		if now-a.decreasedAt >= limitDecreaseInterval {
 			a.decreasedAt = now
-			// Decreases from the actual number of queries, which may be far below
-			// the limit.
+			// Decreases from the actual number of queries, including the one just
+			// removed, which may be far below the limit.
 			a.limit = max(minQueryLimit, min(a.limit, float64(a.admitted+1))*limitDecreaseFactor)
 		}
 		return
--- a/share/fanout/canary.go
+++ b/share/fanout/canary.go
@@ -132,7 +132,7 @@
 	}
 	out, sent := e.sendCanary(now, q)
 	if !sent {
-		q.canaries = maxCanaries
+		q.canaries = maxCanaries // as above
 	}
 	return out
 }
--- a/share/fanout/choose.go
+++ b/share/fanout/choose.go
@@ -46,10 +46,11 @@
 // take: its latency plus a wait for as many calls ahead as exceed the free slots.
 // Among leaves with free slots, the less loaded one is ranked first.
 func (e *Engine) expectedLatency(now clock.Milli, f *leaf) float64 {
+	// At least 1 ms, so that the load counts also while the latency is unknown (0).
 	latency := max(f.decayedLatency(now, f.service.timing.median), f.feedback.CallTime, 1)
 	limit := float64(max(f.feedback.Limit, 1))
 	ahead := float64(max(f.feedback.Busy+f.feedback.Queued, f.inFlight))
-	wait := max(0, ahead-limit+1) / limit
+	wait := max(0, ahead-limit+1) / limit // in multiples of the latency
 	return latency * (1 + wait + loadTieBreak*ahead/limit)
 }
 
--- a/share/fanout/engine.go
+++ b/share/fanout/engine.go
@@ -17,7 +17,7 @@
 	"dandelionstile/share/topo"
 )
 
-// Action is an instruction to the program; one of the types below.
+// Action is an instruction to the entry that runs the engine; one of the types below.
 type Action interface{ action() }
 
 // CallSpec is a call to one leaf for one shard.
@@ -57,7 +57,7 @@
 	Steps  []Step
 }
 
-// ShareStrike sends a strike to all peers. If Query is set, the program calls
+// ShareStrike sends a strike to all peers. If Query is set, the entry calls
 // StrikeShared once the peers have acknowledged it.
 type ShareStrike struct {
 	Query  uint64
@@ -76,6 +76,8 @@
 	Shard int
 	Leaf  string
 	Host  string
+	// Cause is the reason for the decision; for EventPinned and EventRepinned, it is the
+	// snapshot.
 	Cause query.Reason
 }
 
@@ -146,7 +148,8 @@
 	Self   string
 	Domain string
 	Policy Policy
-	// Random must be seeded by the program; the default has a fixed seed.
+	// Random chooses replicas and spreads retries. An entry must set it: the default has
+	// a fixed seed.
 	Random *rand.Rand
 
 	cfg           *topo.Config
@@ -264,6 +267,7 @@
 	return query.ReasonNone
 }
 
+// init creates the maps at the first call.
 func (e *Engine) init() {
 	if e.hosts != nil {
 		return
--- a/share/fanout/pins.go
+++ b/share/fanout/pins.go
@@ -49,7 +49,8 @@
 	return s.pin, s.pinned
 }
 
-// Pin returns the snapshot that a new query of a service would be pinned to.
+// Pin returns the snapshot that a new query of a service would be pinned to. It reports
+// false if the service is unknown or no leaf is usable.
 func (e *Engine) Pin(name string) (topo.SnapshotID, bool) {
 	s := e.services[name]
 	if s == nil {
@@ -86,6 +87,7 @@
 	return c
 }
 
+// anyUsable reports whether one of the replicas may get new calls for a pin.
 func (e *Engine) anyUsable(replicas []*leaf, pin topo.SnapshotID) bool {
 	for _, f := range replicas {
 		if e.usable(f, pin) {
--- a/share/fanout/query.go
+++ b/share/fanout/query.go
@@ -24,7 +24,7 @@
 	Request
 	service        *service
 	fingerprint    uint64
-	key            string // the fingerprint in hexadecimal, for placement
+	key            string // the fingerprint in hexadecimal, for rendezvous hashing
 	arrived        clock.Milli
 	answerBy       clock.Milli     // when it is answered with the results so far
 	pin            topo.SnapshotID // the snapshot that it runs on
@@ -49,8 +49,8 @@
 type shardState struct {
 	settled       bool         // has a result or was given up
 	missingReason query.Reason // why it has no result; set when settled without one
-	attempts      int
-	reached       int // calls that may have reached a leaf
+	attempts      int          // calls since the last wait, also those that reached no leaf
+	reached       int          // calls that may have reached a leaf
 	inFlight      int
 	tried         map[string]bool // leaves that were called
 	rejectedBy    map[string]bool // aggregators that rejected a call for reasons of their own
@@ -111,7 +111,8 @@
 	q.pinTo(pin, len(s.shards[pin.Layout]))
 	if !e.Policy.NoCanary && (e.strikes.HasStrikes(fingerprint) || !e.proven.Has(q.provenKey())) {
 		q.canaryPhase = true
-		// A server that the query crashed earlier counts as a canary.
+		// A server that the query crashed earlier counts as a canary, but one
+		// canary may still be sent.
 		q.canaries = min(e.strikes.Get(now, fingerprint).Count, maxCanaries-1)
 		if out, sent := e.sendCanary(now, q); sent {
 			if s.Patience < 100 && q.canaries < maxCanaries {
--- a/share/fanout/retry.go
+++ b/share/fanout/retry.go
@@ -146,6 +146,7 @@
 	if !ok || pin == q.pin || q.pinCount > 1 || late {
 		return nil, false
 	}
+	// At most a full budget is spent, so that a query over more shards can start over too.
 	if !q.service.budget.spend(min(budgetBurst, float64(q.firstCalls))) {
 		return nil, false
 	}
--- a/share/fanout/update.go
+++ b/share/fanout/update.go
@@ -24,7 +24,8 @@
 	Deadline  clock.Milli
 }
 
-// contentHash returns a hash of the operation and its arguments.
+// contentHash returns a hash of the operation and its arguments. A zero byte ends each,
+// so that moving a byte from one to the next changes the hash.
 func (u Update) contentHash() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -45,7 +46,7 @@
 	Strikes int
 }
 
-// SendUpdate sends an update to an aggregator. The program must not send it again.
+// SendUpdate sends an update to an aggregator. The entry must not send it again.
 type SendUpdate struct {
 	Host        string
 	Call        uint64
@@ -114,8 +115,8 @@
 }
 
 // StartUpdate starts an update, or answers it with the result that its id already
-// has. A quarantined update is rejected. An update whose id another host minted is forwarded to that owner, which alone
-// decides whether the update runs.
+// has. A quarantined update is rejected. An update whose id another host minted is
+// forwarded to that host, the owner of the id, which alone decides whether it runs.
 func (e *Engine) StartUpdate(now clock.Milli, u Update) []Action {
 	e.init()
 	registry := &e.updates.registry
