--- a/share/fanout/engine_test.go
+++ b/share/fanout/engine_test.go
@@ -215,12 +215,12 @@
 	e := testEngine(Policy{})
 	canary := calls(startQuery(e, 1, 1))
 	assert.Equal(t, len(canary), 1)
-	out := e.CallDone(2, query.Outcome{Call: canary[0].ID, Kind: query.Died, Strikes: 1, RetryAfter: 1000}) // deny.SuspectTime
+	out := e.CallDone(2, query.Outcome{Call: canary[0].ID, Kind: query.Died, Strikes: 1, RetryAfter: 1000}) // 1 s, as after a first crash
 	assert.Equal(t, len(calls(out)), 0)
 	second := calls(e.StrikeShared(3, 1))
 	assert.Equal(t, len(second), 1)
 	assert.Assert(t, second[0].SecondCanary)
-	e.CallDone(4, query.Outcome{Call: second[0].ID, Kind: query.Died, Strikes: 2, RetryAfter: 600000}) // deny.QuarantineTime
+	e.CallDone(4, query.Outcome{Call: second[0].ID, Kind: query.Died, Strikes: 2, RetryAfter: 600000}) // 10 min, as after a second crash
 	a, done := answerOf(e.StrikeShared(5, 1))
 	assert.Assert(t, done)
 	assert.Equal(t, a.Refused, query.ReasonCrashed)
