--- a/share/assign/assign.go
+++ b/share/assign/assign.go
@@ -183,7 +183,7 @@
 	var near, far []ranked
 	for _, h := range hosts {
 		if h.Name == n.Self {
-			chosen[h.Name] = h.Aggregator // the entry's own host
+			chosen[h.Name] = h.Aggregator // for an entry; an aggregator ignores its own address
 			continue
 		}
 		r := ranked{host: h, weight: weight(h.Name, "link "+n.Self)}
