--- a/share/deny/deny.go
+++ b/share/deny/deny.go
@@ -129,7 +129,7 @@
 // evict removes the record that expires first, or expired longest ago.
 func (t *Table) evict() {
 	var victim uint64
-	var earliest clock.Milli = -1
+	var earliest clock.Milli = -1 // before the first record
 	for f, rec := range t.records {
 		if earliest < 0 || rec.until < earliest {
 			victim, earliest = f, rec.until
--- a/share/deny/proven.go
+++ b/share/deny/proven.go
@@ -20,20 +20,20 @@
 const maxGeneration = 32768
 
 // Has reports whether the set contains a request.
-func (p *ProvenSet) Has(k ProvenKey) bool {
-	if _, ok := p.young[k]; ok {
+func (p *ProvenSet) Has(key ProvenKey) bool {
+	if _, ok := p.young[key]; ok {
 		return true
 	}
-	_, ok := p.old[k]
+	_, ok := p.old[key]
 	return ok
 }
 
 // Add adds a request. If the young generation is full, it starts a new one.
-func (p *ProvenSet) Add(k ProvenKey) {
+func (p *ProvenSet) Add(key ProvenKey) {
 	if p.young == nil || len(p.young) >= maxGeneration {
 		p.old, p.young = p.young, map[ProvenKey]struct{}{}
 	}
-	p.young[k] = struct{}{}
+	p.young[key] = struct{}{}
 }
 
 // Remove removes a request for all snapshots, because it has crashed a server.
