--- a/share/dedup/dedup_test.go
+++ b/share/dedup/dedup_test.go
@@ -9,6 +9,9 @@
 	"dandelionstile/share/clock"
 )
 
+// testHash is the content hash of all requests.
+const testHash = 1
+
 // If an id were admitted twice, its request would run twice. Whatever the order of calls,
 // an id must not be admitted again unless it was released because its request did not
 // run.
@@ -32,7 +35,7 @@
 					continue
 				}
 				id := ids[rapid.IntRange(0, len(ids)-1).Draw(t, "id")]
-				verdict, _ := registry.Begin(now, id, 1)
+				verdict, _ := registry.Begin(now, id, testHash)
 				if verdict != Run {
 					continue
 				}
@@ -64,10 +67,10 @@
 		{ID{"h", 2, 1}, Unknown},
 		{ID{"h", 3, 99}, NeverMinted},
 	} {
-		got, _ := registry.Begin(1, c.id, 1)
+		got, _ := registry.Begin(1, c.id, testHash)
 		assert.Equal(t, got, c.want)
 	}
-	got, _ := registry.Begin(2+Lifetime, ids[0], 1)
+	got, _ := registry.Begin(2+Lifetime, ids[0], testHash) // minted at 1, expired for 1 ms
 	assert.Equal(t, got, Unknown)
 }
 
