--- a/share/query/query.go
+++ b/share/query/query.go
@@ -71,15 +71,19 @@
 	ReasonOverload    Reason = "overload"
 	ReasonNotReady    Reason = "not-ready"
 	ReasonLeaving     Reason = "leaving"
-	ReasonSuspended   Reason = "waking"
-	ReasonCancelled   Reason = "cancelled"
-	ReasonPatience    Reason = "patience"
-	ReasonCrashed     Reason = "crashed-a-server"
-	ReasonOwnerGone   Reason = "id-owner-gone"
-	ReasonOwnerAway   Reason = "id-owner-unreachable"
-	ReasonReused      Reason = "id-reused"
-	ReasonLeafError   Reason = "leaf-error"
-	ReasonBusy        Reason = "link-busy"
+	// ReasonSuspended rejects calls after a pause of the aggregator's process.
+	ReasonSuspended Reason = "waking"
+	ReasonCancelled Reason = "cancelled"
+	ReasonPatience  Reason = "patience"
+	ReasonCrashed   Reason = "crashed-a-server"
+	// ReasonOwnerGone means that the process that minted an update's id has ended, or
+	// no longer remembers the id.
+	ReasonOwnerGone Reason = "id-owner-gone"
+	// ReasonOwnerAway means that the host that minted an update's id did not answer.
+	ReasonOwnerAway Reason = "id-owner-unreachable"
+	ReasonReused    Reason = "id-reused"
+	ReasonLeafError Reason = "leaf-error"
+	ReasonBusy      Reason = "link-busy"
 	// ReasonCallerGone ends a query whose caller has closed the connection.
 	ReasonCallerGone Reason = "caller-gone"
 	// ReasonProven answers a canary that does not run, because the aggregator knows
