--- a/share/node/heartbeats.go
+++ b/share/node/heartbeats.go
@@ -21,7 +21,7 @@
 		n.configure(now)
 	}
 	if b.GetAnswer() {
-		n.sendHeartbeat(now, p, false)
+		n.sendHeartbeat(now, p, false /* wantAnswer */)
 	}
 	n.checkConfirmed(now)
 }
@@ -32,7 +32,7 @@
 func (n *Node) ConfirmVersions(now clock.Milli) {
 	n.confirmSequence = n.sequence + 1
 	for _, p := range n.sortedPeers() {
-		n.sendHeartbeat(now, p, true)
+		n.sendHeartbeat(now, p, true /* wantAnswer */)
 	}
 }
 
@@ -74,7 +74,7 @@
 		}
 		interval := n.heartbeatIntervalOf(p)
 		p.nextHeartbeat = now + interval
-		n.sendHeartbeat(now, p, false)
+		n.sendHeartbeat(now, p, false /* wantAnswer */)
 		if now-p.lastHeartbeat > maxMissedHeartbeats*interval {
 			n.Log.Warn().Str("peer", p.name).Msg("peer sends no heartbeats")
 			p.link.Fail(mesh.ErrUnresponsive)
@@ -97,7 +97,7 @@
 func (n *Node) AnnounceLeaving(now clock.Milli) {
 	n.leaving = true
 	for _, p := range n.sortedPeers() {
-		n.sendHeartbeat(now, p, false)
+		n.sendHeartbeat(now, p, false /* wantAnswer */)
 	}
 	n.configure(now)
 }
--- a/share/node/node.go
+++ b/share/node/node.go
@@ -236,7 +236,7 @@
 	n.peers[l.ID] = &peer{link: l, name: l.Peer.GetHost() + "/" + l.Peer.GetProgram() + "#" + itoa(l.ID), lastHeartbeat: now}
 	n.Log.Info().Str("peer", n.peers[l.ID].name).Msg("link up")
 	n.Delegate.LinkUp(now, l)
-	n.sendHeartbeat(now, n.peers[l.ID], false)
+	n.sendHeartbeat(now, n.peers[l.ID], false /* wantAnswer */)
 }
 
 // handleLinkDown removes the peer of a closed link. Pulls and strikes that waited for the
@@ -273,7 +273,7 @@
 }
 
 // handleFrame handles a message from a peer or forwards it to the delegate. Messages of a
-// link that is already down are dropped.
+// link that is already down are ignored.
 func (n *Node) handleFrame(now clock.Milli, l *mesh.Link, m *wire.Envelope) {
 	p := n.peers[l.ID]
 	if p == nil {
@@ -333,7 +333,7 @@
 }
 
 // NewIncarnation returns a number that no earlier process of this host used: the
-// start time, and random bits in case the clock was set back.
+// start time in ms, and 20 random bits in case the clock was set back.
 func NewIncarnation() uint64 {
 	return uint64(clock.Unix())<<20 | uint64(rand.Uint32()&0xfffff)
 }
--- a/share/node/platform.go
+++ b/share/node/platform.go
@@ -66,6 +66,7 @@
 	for i, h := range list.Hosts {
 		items[i] = syncer.Item{
 			Name: h.Name,
+			// The format requires a version, which ParseHostSet ignores.
 			Body: topo.HostList{Version: 1, Hosts: []topo.Host{h}}.Encode(),
 		}
 	}
@@ -147,7 +148,7 @@
 	return body, nil
 }
 
-// cacheParts keeps the parts of one configuration and drops all others.
+// cacheParts keeps the parts of one configuration and removes all others.
 func (p *platform) cacheParts(parts []topo.Part) {
 	byHash := make(map[string][]byte, len(parts))
 	for _, part := range parts {
--- a/share/node/settings.go
+++ b/share/node/settings.go
@@ -8,7 +8,7 @@
 	"dandelionstile/share/conf"
 )
 
-// Settings are the settings that the programs have in common. Each program's file
+// Settings are the settings that entry and aggregator have in common. The file of each
 // embeds the sections below and adds its own.
 type Settings struct {
 	Host     HostSettings
--- a/share/node/settings_test.go
+++ b/share/node/settings_test.go
@@ -8,6 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// basic is a valid settings file of three lines.
 const basic = `host: {name: h, failure-domain: d}
 listen: {links: "127.0.0.1:1", admin: "127.0.0.1:2"}
 platform: {address: "127.0.0.1:3"}
--- a/share/node/versions.go
+++ b/share/node/versions.go
@@ -71,7 +71,7 @@
 	n.configure(now)
 	if n.confirmSequence != 0 {
 		for _, p := range n.sortedPeers() {
-			n.sendHeartbeat(now, p, true)
+			n.sendHeartbeat(now, p, true /* wantAnswer */)
 		}
 	}
 }
@@ -100,6 +100,7 @@
 	if n.Program != Aggregator {
 		return -1
 	}
+	// Owners ranks hosts for a server; "watch" stands in for the server's name.
 	for i, h := range assign.Owners(n.hosts, n.Settings.Host.Domain, "watch", len(n.hosts)) {
 		if h.Name == n.Settings.Host.Name {
 			return i
