--- a/share/mesh/mesh.go
+++ b/share/mesh/mesh.go
@@ -49,9 +49,11 @@
 	idlePingInterval = 2 * time.Second
 	busyPingInterval = 10 * time.Second
 	pingTimeout      = 2 * time.Second
-	helloTimeout     = 3 * time.Second
-	minRedialDelay   = 100 * time.Millisecond
-	maxRedialDelay   = 2 * time.Second
+	// helloTimeout limits the opening of a link's streams, and after that the exchange
+	// of hellos.
+	helloTimeout   = 3 * time.Second
+	minRedialDelay = 100 * time.Millisecond
+	maxRedialDelay = 2 * time.Second
 )
 
 // Handler receives the events of links. Its methods are called from many
@@ -78,9 +80,9 @@
 
 	session *yamux.Session
 	queues  [streamsPerLink]chan *wire.Envelope
-	done    chan struct{}
+	done    chan struct{} // closed by Fail
 	once    sync.Once
-	err     error
+	err     error // why the link was closed; set before done is closed
 	wait    sync.WaitGroup
 	frames  atomic.Uint64 // received
 }
@@ -109,8 +111,9 @@
 	}
 }
 
-// streamFor returns the index of the message's stream. Traffic is spread by query,
-// so that the messages of one query stay in order; everything else uses stream 0.
+// streamFor returns the index of the message's stream. Batches and outcomes are spread
+// over the traffic streams by their first call, and deltas use the first one; everything
+// else uses stream 0, for control.
 func (l *Link) streamFor(m *wire.Envelope) int {
 	switch b := m.Body.(type) {
 	case *wire.Envelope_Batch:
@@ -352,6 +355,8 @@
 func (l *Link) openStreams(dialer bool) ([]stream, error) {
 	timer := time.AfterFunc(helloTimeout, func() { l.Fail(ErrUnresponsive) })
 	defer timer.Stop()
+	// yamux announces each stream when it is opened and accepts streams in the order of
+	// opening, so that streams[i] is the same stream on both sides.
 	streams := make([]stream, streamsPerLink)
 	for i := range streams {
 		var s *yamux.Stream
@@ -366,8 +371,6 @@
 		}
 		streams[i] = stream{s, bufio.NewReaderSize(s, 16<<10)}
 	}
-	// The accepting side relies on two properties of yamux: it announces each
-	// stream when it is opened, and it accepts streams in the order of opening.
 	return streams, nil
 }
 
--- a/share/mesh/mesh_test.go
+++ b/share/mesh/mesh_test.go
@@ -100,6 +100,7 @@
 // That must close its own connection and no other link.
 func TestGarbageEndsOnlyItsOwnLink(t *testing.T) {
 	server, client, addr := startLinkedPair(t)
+	// The last one is a truncated yamux header.
 	for _, garbage := range [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n"), bytes.Repeat([]byte{0xff}, 4096), {0, 1, 0, 0}} {
 		conn, err := net.Dial("tcp", addr)
 		assert.NilError(t, err)
@@ -121,7 +122,7 @@
 }
 
 // A peer sends arbitrary bytes. They must not crash the reader, and no outcome may have
-// a kind that the programs don't know.
+// a kind that entry and aggregator don't know.
 func FuzzFrame(f *testing.F) {
 	var b bytes.Buffer
 	_, err := protodelim.MarshalTo(&b, &wire.Envelope{Body: &wire.Envelope_Beat{Beat: &wire.Beat{Sequence: 1}}})
