--- a/share/syncer/engine.go
+++ b/share/syncer/engine.go
@@ -38,7 +38,7 @@
 	maxExtraWatchers = 4
 )
 
-// Action is an instruction to the program; one of the types below.
+// Action is an instruction to the process that runs the engine; one of the types below.
 type Action interface{ action() }
 
 // SendPull asks a peer for a delta.
@@ -91,7 +91,8 @@
 func (Reject) action()       {}
 
 // ReadResult is the result of a ReadPlatform: a whole set, an error, or neither if a
-// watch ended without a change. The program assembles the set from its parts.
+// watch ended without a change. The process that runs the engine assembles the set from
+// its parts.
 type ReadResult struct {
 	Key string
 	Set *Set
@@ -133,11 +134,10 @@
 	previous []*Set
 	rejected Stamp // of the last invalid version, so that it is not pulled again
 	// pullPeer is the peer whose delta is awaited since pulledAt; empty if none is.
-	pullPeer string
-	pulledAt clock.Milli
-	attempts int // pulls since a version was adopted or none was offered; selects the peer to ask
-	// how many peers were sent the version since windowStart
-	served      int
+	pullPeer    string
+	pulledAt    clock.Milli
+	attempts    int // pulls since a version was adopted or none was offered; selects the peer to ask
+	served      int // peers that were sent the version since windowStart
 	windowStart clock.Milli
 }
 
@@ -174,7 +174,7 @@
 	return state
 }
 
-// Stamp returns the stamp of the version in force for a key.
+// Stamp returns the stamp of the version in force for a key, or the zero Stamp.
 func (e *Engine) Stamp(key string) Stamp {
 	if v, ok := e.keys[key]; ok {
 		return v.stamp
--- a/share/syncer/pull.go
+++ b/share/syncer/pull.go
@@ -37,7 +37,7 @@
 
 // pull asks a peer for the newest version of a key, if it is newer than the one in force.
 // It asks one peer at a time and does nothing while a pull is in flight. A peer that does
-// not answer within pullTimeout, because it is frozen or has reached maxServes, is
+// not answer within pullTimeout, because it is paused or has reached maxServes, is
 // followed by the next one.
 func (e *Engine) pull(now clock.Milli, key string, state *keyState) []Action {
 	if state.pullPeer != "" && now-state.pulledAt < pullTimeout {
@@ -173,6 +173,7 @@
 	var sum uint64
 	for k, v := range e.keys {
 		if v.current != nil {
+			// The factor is odd, so that it loses no bit of the key's hash.
 			sum += xxhash.Sum64String(k)*(v.stamp.Version*2+1) ^ v.stamp.Digest
 		}
 	}
--- a/share/syncer/set.go
+++ b/share/syncer/set.go
@@ -1,8 +1,7 @@
 // Package syncer distributes accepted configurations and host lists from the
 // platform, the operators' configuration store, to every host. A few watchers per
-// failure domain read the platform; all
-// other hosts exchange deltas with their peers. It is a state machine without I/O:
-// events go in with the time, actions come out.
+// failure domain read the platform; all other hosts exchange deltas with their peers.
+// It is a state machine without I/O: events go in with the time, actions come out.
 package syncer
 
 import (
--- a/share/syncer/syncer_test.go
+++ b/share/syncer/syncer_test.go
@@ -82,7 +82,7 @@
 	})
 }
 
-// The peer that was asked for a version freezes. If the engine waited for it, the host
+// The peer that was asked for a version is paused. If the engine waited for it, the host
 // would keep the old version although another peer has the new one.
 func TestFrozenPeerIsNotWaitedFor(t *testing.T) {
 	e := Engine{WatchKeys: []string{"k"}, Rank: -1}
--- a/share/syncer/watch.go
+++ b/share/syncer/watch.go
@@ -9,7 +9,7 @@
 // reader schedules the reads of one key from the platform.
 type reader struct {
 	inFlight   bool
-	nextRead   clock.Milli
+	nextRead   clock.Milli // when the next read is allowed
 	retryDelay clock.Milli // of the last retry; 0 after a successful read
 }
 
@@ -60,7 +60,7 @@
 		out = append(out, e.readIfDue(now, k, e.Watching(now))...)
 	}
 	for _, k := range e.requiredKeys {
-		out = append(out, e.readIfDue(now, k, false)...)
+		out = append(out, e.readIfDue(now, k, false /* watch */)...)
 	}
 	return out
 }
@@ -95,7 +95,7 @@
 
 // Watching reports whether this host watches the platform now. The first hosts of a
 // failure domain by rank do. If there was no contact to the platform for long, the
-// hosts next in rank join, so that watchers that are partitioned, frozen or down are
+// hosts next in rank join, so that watchers that are partitioned, paused or down are
 // replaced without a vote. At most maxExtraWatchers join.
 func (e *Engine) Watching(now clock.Milli) bool {
 	if e.Rank < 0 {
