--- a/share/topo/parse.go
+++ b/share/topo/parse.go
@@ -34,7 +34,8 @@
 // Hash returns the content hash by which a manifest refers to the part.
 func (p Part) Hash() string { return fmt.Sprintf("%016x", xxhash.Sum64(p.Body)) }
 
-// The file types below carry the tags; Inventory and Rules have none.
+// The file types below define the YAML keys and their validation; the types of Inventory
+// and Rules have no tags.
 
 type fileDomain struct {
 	Name   string `yaml:"name" validate:"required"`
@@ -169,7 +170,7 @@
 // faults found across files can be reported with file and line.
 type builder struct {
 	config     *Config
-	services   map[string]Service
+	services   map[string]Service // by name; set by checkReferences
 	faults     conf.Faults
 	seen       map[entity]position
 	servers    []serverPosition
@@ -178,13 +179,15 @@
 	routePositions []position
 }
 
-// serverPosition and reference are checked once all parts are added.
+// serverPosition is a server with its position. Its references are checked once all
+// parts are added.
 type serverPosition struct {
 	server   Server
 	position position
 }
 
-// reference is the name of an object in a rule or route.
+// reference is the name of an object in a rule or route. It is checked once all parts are
+// added.
 type reference struct {
 	entity
 	position position
@@ -314,6 +317,7 @@
 	for i, c := range f.Carry {
 		rules.ServerLimits = append(rules.ServerLimits, ServerLimit(c))
 		key := fmt.Sprintf("carry[%d]", i)
+		// The kind is worded for the message of define.
 		b.define(src, "carry rule for", c.Server, key+".server")
 		b.addReference(src, key+".server", "server", c.Server)
 		if c.Slots == 0 && !c.Out {
--- a/share/topo/parse_test.go
+++ b/share/topo/parse_test.go
@@ -44,6 +44,7 @@
 	} {
 		assert.Assert(t, strings.Contains(err.Error(), want), "%s\nlacks %s", err, want)
 	}
+	// References are checked only in files without faults of their own.
 	_, err = Parse(1, []Part{
 		{Name: "inventory.yaml", Body: []byte(strings.Replace(validInventory, "shard: 0", "shard: 7", 1))},
 		{Name: "rules.yaml", Body: []byte("out-of-service: [b]\ncarry:\n  - {server: nobody, slots: 1}\n")},
