--- a/share/sched/ramp.go
+++ b/share/sched/ramp.go
@@ -80,7 +80,8 @@
 	case capacity < f.Slots:
 		capacity /= 2
 	case !e.leases.takeoverComplete(now, f.server):
-		// A warm leaf with a single slot goes to the primary, rank 0.
+		// The primary (rank 0) gets at least 1, so that it alone serves a warm leaf
+		// with a single slot.
 		capacity = max(1-min(f.rank, 1), capacity/2)
 	}
 	return min(capacity, f.slotLimit)
--- a/share/sched/sched.go
+++ b/share/sched/sched.go
@@ -389,7 +389,7 @@
 	return list
 }
 
-// connShare returns how many connections to a leaf this host may hold. The
-// shares of all candidates add up to no more than the leaf accepts, so two
-// hosts that both act as primary can't exceed the limit together.
+// connShare returns how many connections to a leaf this host may hold, at least
+// one. The shares of all candidates add up to no more than the leaf accepts, unless
+// that is one, so two hosts that both act as primary can't exceed the limit together.
 func (f *leaf) connShare() int { return max(1, f.Connections/assign.MaxOwners) }
