--- a/share/fanout/hosts.go
+++ b/share/fanout/hosts.go
@@ -84,6 +84,7 @@
 			lost = append(lost, a)
 		}
 	}
+	// Sorted, so that runs are reproducible.
 	sort.Slice(lost, func(i, j int) bool { return lost[i].id < lost[j].id })
 	var out []Action
 	for _, a := range lost {
--- a/share/fanout/query.go
+++ b/share/fanout/query.go
@@ -207,7 +207,7 @@
 	a := &attempt{id: e.lastCall, query: q, shard: shard, leaf: c.leaf, host: c.host, sentAt: now}
 	e.attempts[a.id] = a
 	q.inFlight = append(q.inFlight, a)
-	if event != EventSent {
+	if event != EventSent { // calls that are no canary, retry or hedge are not recorded
 		q.addStep(now, Step{Event: event, Shard: shard, Leaf: c.leaf.name, Host: c.host, Cause: st.lastReason})
 	}
 	b.add(q, c.host, CallSpec{ID: e.lastCall, Leaf: c.leaf.name, Shard: shard, Canary: canary, SecondCanary: q.crashes > 0})
--- a/share/fanout/tick.go
+++ b/share/fanout/tick.go
@@ -89,7 +89,8 @@
 }
 
 // hedge calls a second replica if a call is slow, once per shard. Only leaves with a
-// free slot are called, and only within the budget: a queued hedge has no benefit.
+// free slot that can be reached before the query is answered are called, and only within
+// the budget: a queued hedge has no benefit.
 func (e *Engine) hedge(now clock.Milli, q *activeQuery, shard int, b *batches) {
 	if e.Policy.NoHedge {
 		return
