--- a/share/dedup/dedup.go
+++ b/share/dedup/dedup.go
@@ -172,6 +172,7 @@
 		return NeverMinted, none
 	}
 	rec, ok := r.records[id.Sequence]
+	// evict stops at a running request, so there may be expired ids after it.
 	if !ok || (rec.state == 0 && now-rec.minted > Lifetime) {
 		return Unknown, none
 	}
