--- a/share/query/query.go
+++ b/share/query/query.go
@@ -66,20 +66,23 @@
 	ReasonReset       Reason = "reset"
 	ReasonShed        Reason = "shed"
 	ReasonSnapshot    Reason = "snapshot-not-held"
-	ReasonForeign     Reason = "foreign-reply"
-	ReasonNoReplica   Reason = "no-replica"
-	ReasonOverload    Reason = "overload"
-	ReasonNotReady    Reason = "not-ready"
-	ReasonLeaving     Reason = "leaving"
+	// ReasonForeign means that a leaf's reply was not for the request.
+	ReasonForeign   Reason = "foreign-reply"
+	ReasonNoReplica Reason = "no-replica"
+	ReasonOverload  Reason = "overload"
+	ReasonNotReady  Reason = "not-ready"
+	ReasonLeaving   Reason = "leaving"
 	// ReasonSuspended rejects calls after a pause of the aggregator's process.
 	ReasonSuspended Reason = "waking"
 	ReasonCancelled Reason = "cancelled"
 	ReasonPatience  Reason = "patience"
 	ReasonCrashed   Reason = "crashed-a-server"
-	// ReasonOwnerGone means that the process that minted an update's id has ended, or
-	// no longer remembers the id.
+	// ReasonOwnerGone means that no host knows whether an update ran: the process that
+	// minted its id has ended or no longer remembers the id, or its host is not in the
+	// host list.
 	ReasonOwnerGone Reason = "id-owner-gone"
-	// ReasonOwnerAway means that the host that minted an update's id did not answer.
+	// ReasonOwnerAway means that the host that minted an update's id could not be reached
+	// or did not answer in time.
 	ReasonOwnerAway Reason = "id-owner-unreachable"
 	ReasonReused    Reason = "id-reused"
 	ReasonLeafError Reason = "leaf-error"
