--- a/share/node/settings_listen.go
+++ b/share/node/settings_listen.go
@@ -13,7 +13,8 @@
 	Admin string
 }
 
-// IP returns the host's own address, on which it accepts links.
+// IP returns the host's own address, on which it accepts links, or "" if Links has no
+// port.
 func (l ListenSettings) IP() string {
 	ip, _, err := net.SplitHostPort(l.Links)
 	if err != nil {
