--- a/share/syncer/pull.go
+++ b/share/syncer/pull.go
@@ -43,7 +43,7 @@
 	if state.pullPeer != "" && now-state.pulledAt < pullTimeout {
 		return nil
 	}
-	newest := state.stamp
+	newest := state.stamp // until a peer has a newer one; then the stamp of the candidates
 	if newest.Less(state.rejected) {
 		newest = state.rejected
 	}
