--- a/share/topo/routes.go
+++ b/share/topo/routes.go
@@ -99,7 +99,7 @@
 		key := pos.key
 		if name, ok := fieldKeys[f.Field]; ok {
 			key += "." + name
-		} else if f.Field != route.FieldRoute {
+		} else if f.Field != route.FieldRoute { // a fault of the route itself has the route's key
 			key += "." + string(f.Field)
 		}
 		b.addFault(pos.src, key, f.Problem, "")
@@ -132,6 +132,7 @@
 	}
 	for _, s := range c.Inventory.Servers {
 		service := t.Services[s.Service]
+		// 0 is that of a service without a server so far.
 		if n := s.Connections(); service.Connections == 0 || n < service.Connections {
 			service.Connections = n
 		}
