--- a/share/limit/limit.go
+++ b/share/limit/limit.go
@@ -18,13 +18,13 @@
 	InFlight int
 	// limit is the maximum number of queries in flight; 0 means no limit.
 	limit float64
-	// lateRatio is the smoothed ratio of queries that were not answered in time.
+	// lateRatio is the smoothed share of queries that were not answered in time.
 	lateRatio float64
 	// rejected counts consecutive rejected queries.
 	rejected int
 	// lastDecrease is the time of the last decrease.
 	lastDecrease clock.Milli
-	// baseline is the smoothed number of queries in flight without a limit.
+	// baseline is the smoothed number of queries in flight while no limit is in force.
 	baseline float64
 	// lastArrival is the time of the last arrival; interval and baselineInterval
 	// are the short-term and long-term averages of the time between arrivals, in ms.
@@ -37,7 +37,7 @@
 const (
 	// lateRatioGain averages over about 12 queries: one second at an average host.
 	lateRatioGain = 1.0 / 12
-	// surgeLateRatio is the ratio of late queries from which a surge is limited.
+	// surgeLateRatio is the share of late queries from which a surge is limited.
 	// Single slow leaves make as many queries late, but don't raise the arrival rate.
 	surgeLateRatio = 0.25
 	// surgeFactor is the ratio of the current to the baseline arrival rate that counts
@@ -48,7 +48,7 @@
 	// baselineIntervalGain over several surges.
 	intervalGain         = 1.0 / 10
 	baselineIntervalGain = 1.0 / 400
-	// overloadLateRatio is the ratio of late queries from which the limit may fall below
+	// overloadLateRatio is the share of late queries from which the limit may fall below
 	// the baseline: the leaves have become too slow to serve even the usual load.
 	overloadLateRatio = 0.5
 	// baselineGain averages over several times the length of a surge.
@@ -74,7 +74,7 @@
 // RecordArrival updates the averages of the time between arrivals; it is called for each
 // query, before Admit.
 func (l *Limiter) RecordArrival(now clock.Milli) {
-	if l.lastArrival == 0 {
+	if l.lastArrival == 0 { // the first arrival
 		l.lastArrival = now
 		return
 	}
@@ -117,7 +117,7 @@
 // Limit returns the maximum number of queries in flight; 0 means no limit.
 func (l *Limiter) Limit() float64 { return l.limit }
 
-// LateRatio returns the smoothed ratio of queries that were not answered in time.
+// LateRatio returns the smoothed share of queries that were not answered in time.
 func (l *Limiter) LateRatio() float64 { return l.lateRatio }
 
 // RecordLate records a query that was not answered in time. It lowers the limit, at most
@@ -139,6 +139,7 @@
 		return
 	}
 	inFlight := float64(l.InFlight)
+	// A limit that is at least floor would reject none of them.
 	if inFlight <= floor {
 		return
 	}
--- a/share/limit/limit_test.go
+++ b/share/limit/limit_test.go
@@ -13,7 +13,7 @@
 func TestNoLimitWhileMostAreInTime(t *testing.T) {
 	var l Limiter
 	for i := range 300 {
-		assert.Assert(t, l.Admit(false), "rejected after %d queries", i)
+		assert.Assert(t, l.Admit(false /* late */), "rejected after %d queries", i)
 		l.InFlight = 8
 		if i%3 == 0 {
 			l.RecordLate(clock.Milli(i * 50))
@@ -36,7 +36,7 @@
 	assert.Assert(t, l.limit <= 10, "limit %.1f", l.limit)
 	admitted := 0
 	for range 100 {
-		if l.Admit(false) {
+		if l.Admit(false /* late */) {
 			admitted++
 		}
 	}
@@ -65,6 +65,7 @@
 func TestSurgeLowersLimitToBaseline(t *testing.T) {
 	l, now := steadyLimiter(6)
 	assert.Assert(t, !l.Surge())
+	// 14 instead of 6 in flight, and an arrival every 20 ms instead of 50.
 	recordTwoOfFiveLate(l, now, 14, 60, 20)
 	assert.Assert(t, l.Surge())
 	assert.Assert(t, l.Active())
@@ -75,6 +76,7 @@
 // arrival rate is unchanged. Rejecting queries would not help the others.
 func TestSlowLeavesAreNoSurge(t *testing.T) {
 	l, now := steadyLimiter(6)
+	// 14 instead of 6 in flight, and an arrival every 50 ms as before.
 	recordTwoOfFiveLate(l, now, 14, 200, 50)
 	assert.Assert(t, !l.Active(), "limit %.1f", l.limit)
 }
@@ -113,10 +115,10 @@
 func TestLateQueriesAreLimitedToo(t *testing.T) {
 	l := Limiter{limit: 3, InFlight: 3}
 	for range 3 * maxRejected {
-		assert.Assert(t, !l.Admit(true))
+		assert.Assert(t, !l.Admit(true /* late */))
 	}
 	l.InFlight = 2
-	assert.Assert(t, l.Admit(true))
+	assert.Assert(t, l.Admit(true /* late */))
 }
 
 // Two of six hosts are partitioned, so the others get half as many callers again,
@@ -124,6 +126,7 @@
 // usual, and no query may be rejected.
 func TestFailoverIsNoSurge(t *testing.T) {
 	l, now := steadyLimiter(6)
-	recordTwoOfFiveLate(l, now, 10, 200, 33) // 50 ms / 1.5
+	// 10 instead of 6 in flight, and an arrival every 50 ms / 1.5.
+	recordTwoOfFiveLate(l, now, 10, 200, 33)
 	assert.Assert(t, !l.Active(), "limit %.1f", l.limit)
 }
