--- a/share/crash/crash.go
+++ b/share/crash/crash.go
@@ -80,8 +80,8 @@
 }
 
 // RecordDown records that a leaf is down and returns the resulting reports: one for each
-// request whose call to the leaf has broken recently, at most maxReportsSent. Requests that
-// leaves have recently answered are not reported.
+// request whose call to the leaf has broken recently, at most maxReportsSent; further ones
+// are stored and not returned. Requests that leaves have recently answered are not reported.
 func (t *Tracker) RecordDown(now clock.Milli, leaf string) []Report {
 	var list []Report
 	for _, b := range t.broken[leaf] {
@@ -125,8 +125,9 @@
 	}
 }
 
-// Add stores a report and reports whether it was new. Nothing is stored beyond maxReports.
-func (t *Tracker) Add(at clock.Milli, fingerprint uint64, leaf string) bool {
+// Add stores a report on a leaf that went down at a time, and reports whether it was new.
+// Nothing is stored beyond maxReports.
+func (t *Tracker) Add(downAt clock.Milli, fingerprint uint64, leaf string) bool {
 	if t.seen == nil {
 		t.seen = map[uint64]map[string]clock.Milli{}
 	}
@@ -139,7 +140,7 @@
 		return false
 	}
 	t.count++
-	leaves[leaf] = at
+	leaves[leaf] = downAt
 	return true
 }
 
