--- a/share/rank/rank.go
+++ b/share/rank/rank.go
@@ -17,8 +17,9 @@
 }
 
 // Fraction maps the parts of a name to a number in [0, 1). The high bits of FNV hardly
-// change with the last bytes, so the hash is mixed with the finalizer of MurmurHash3:
-// without it, a thousand names that differed in their last bytes were all below 0.6.
+// change with the last bytes, so the hash is mixed with the first round of the finalizer of
+// MurmurHash3: without it, a thousand names that differed in their last bytes were all below
+// 0.6.
 func Fraction(parts ...string) float64 {
 	const bits = 53 // the precision of a float64
 	x := Hash(parts...)
--- a/share/rank/rank_test.go
+++ b/share/rank/rank_test.go
@@ -25,6 +25,7 @@
 		tenths[int(f*10)]++
 	}
 	for _, count := range tenths {
+		// Evenly spread, each tenth has n/10.
 		assert.Assert(t, count > n/20 && count < n/5, "%v", tenths)
 	}
 }
