--- a/share/report/report.go
+++ b/share/report/report.go
@@ -13,7 +13,7 @@
 	ID string
 	// ExtraLatency is how much longer replies take than those of a typical leaf.
 	ExtraLatency clock.Milli
-	// FailureRatio is the ratio of calls that fail.
+	// FailureRatio is the share of calls that fail, from 0 to 1.
 	FailureRatio float64
 }
 
@@ -21,7 +21,8 @@
 	// minChange is the smallest reported change of a leaf's expected cost, in ms:
 	// a smaller one doesn't change which leaf is chosen.
 	minChange = 20.0
-	// minRelativeChange is the smallest reported change relative to the last report.
+	// minRelativeChange is the smallest reported change, relative to the cost in the last
+	// report.
 	minRelativeChange = 0.5
 	// minInterval is the shortest time between two reports on one leaf.
 	minInterval clock.Milli = 150
