--- a/share/router/aggregators.go
+++ b/share/router/aggregators.go
@@ -83,11 +83,11 @@
 }
 
 // observe records the current value and returns the largest of recentMaxWindow.
-func (p *recentMax) observe(now clock.Milli, value int) int {
-	if value >= p.value || now > p.at+recentMaxWindow {
-		p.value, p.at = value, now
+func (m *recentMax) observe(now clock.Milli, value int) int {
+	if value >= m.value || now > m.at+recentMaxWindow {
+		m.value, m.at = value, now
 	}
-	return p.value
+	return m.value
 }
 
 // canClaim reports whether this host may take an aggregator's part: it is an aggregator
--- a/share/router/arrive.go
+++ b/share/router/arrive.go
@@ -67,8 +67,8 @@
 		Kind: LogAdmitted, Request: q.request.ID, Query: q.id, Route: r.Name, Version: q.version, Total: len(q.shards),
 		Wait: a.Wait, SinceFirstAttempt: elapsed, Due: q.target - now, Remote: a.Remote, Forwarded: q.forwarded, Late: q.late,
 	})
-	for _, h := range remote {
-		e.forward(now, q, h.peer, h.shards)
+	for _, group := range remote {
+		e.forward(now, q, group.peer, group.shards)
 	}
 	for _, s := range local {
 		// The host that calls the leaves earns the budget; if both hosts did,
@@ -138,13 +138,13 @@
 	if r.Timeout > 0 {
 		q.deadline = min(q.deadline, now+r.Timeout)
 	}
-	w := e.waitEstimates[r.Name]
-	if w == nil {
-		w = newWaitEstimate(r.Timeout)
-		e.waitEstimates[r.Name] = w
+	estimate := e.waitEstimates[r.Name]
+	if estimate == nil {
+		estimate = newWaitEstimate(r.Timeout)
+		e.waitEstimates[r.Name] = estimate
 	}
-	elapsed := w.sinceFirstAttempt(wait)
-	w.learn(wait)
+	elapsed := estimate.sinceFirstAttempt(wait)
+	estimate.learn(wait)
 	// The target counts from the caller's first attempt, at the caller's end.
 	target := now + r.Target - elapsed - e.callers.learnRoundTrip(a.Remote, elapsed) - e.Policy.Margin
 	switch {
--- a/share/router/calldone.go
+++ b/share/router/calldone.go
@@ -9,8 +9,8 @@
 
 // handleCallDone handles the end of a call to a leaf or to another host.
 func (e *Engine) handleCallDone(now clock.Milli, d CallDone) {
-	if r := e.forwards[d.Call]; r != nil {
-		e.endForward(now, r, d)
+	if fwd := e.forwards[d.Call]; fwd != nil {
+		e.endForward(now, fwd, d)
 		return
 	}
 	a := e.calls[d.Call]
--- a/share/router/engine.go
+++ b/share/router/engine.go
@@ -380,38 +380,38 @@
 
 type timerHeap []timer
 
-func (a timerHeap) Len() int           { return len(a) }
-func (a timerHeap) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a timerHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push adds x; it is called by container/heap.
-func (a *timerHeap) Push(x any) { *a = append(*a, x.(timer)) }
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
 
 // Pop removes the last element; it is called by container/heap.
-func (a *timerHeap) Pop() any {
-	old := *a
+func (h *timerHeap) Pop() any {
+	old := *h
 	n := len(old)
 	x := old[n-1]
 	old[n-1] = timer{}
-	*a = old[:n-1]
+	*h = old[:n-1]
 	return x
 }
 
 // runTimers handles all timers that are due.
 func (e *Engine) runTimers(now clock.Milli) {
 	for len(e.timers) > 0 && e.timers[0].at <= now {
-		a := heap.Pop(&e.timers).(timer)
+		t := heap.Pop(&e.timers).(timer)
 		switch {
-		case a.call != nil:
-			e.cancelOrphan(a.call)
-		case a.forward != nil:
-			if !a.forward.ended {
-				e.emit(Cancel{Call: a.forward.id})
+		case t.call != nil:
+			e.cancelOrphan(t.call)
+		case t.forward != nil:
+			if !t.forward.ended {
+				e.emit(Cancel{Call: t.forward.id})
 			}
-		case !a.query.ended && a.at >= a.query.timerAt:
+		case !t.query.ended && t.at >= t.query.timerAt:
 			// A timer before timerAt is left over: the query was checked by an
 			// earlier one, and is next checked at timerAt.
-			e.checkQuery(now, a.query)
+			e.checkQuery(now, t.query)
 		}
 	}
 }
--- a/share/router/finish.go
+++ b/share/router/finish.go
@@ -160,31 +160,31 @@
 
 // answer answers a query with the shards answered so far, and closes it.
 func (e *Engine) answer(now clock.Milli, q *query) {
-	n := LogRecord{
+	record := LogRecord{
 		Kind: LogAnswered, Request: q.request.ID, Query: q.id, Route: q.route.Name, Version: q.version,
 		Took: now - q.arrived, Count: q.answered, Total: len(q.shards), Extra: q.extraCalls, Forwarded: q.forwarded,
 	}
-	n.Late = q.late || now > q.target+e.Policy.Margin
+	record.Late = q.late || now > q.target+e.Policy.Margin
 	a := Answer{Query: q.id}
 	if q.route.Sharded() {
 		a.Merged = &Merged{Parts: q.parts(), Missing: q.missingServices(), TopK: q.route.TopK}
 		if q.answered < len(q.shards) {
-			n.Kind = LogPartial
-			n.Missing = q.missingShards()
+			record.Kind = LogPartial
+			record.Missing = q.missingShards()
 		}
 	} else {
 		a.Reply = q.shards[0].reply
-		n.Service, n.Leaf = q.shards[0].service, q.shards[0].lastTarget
+		record.Service, record.Leaf = q.shards[0].service, q.shards[0].lastTarget
 	}
-	if n.Late && n.Service == "" && q.lastAnswered != nil {
+	if record.Late && record.Service == "" && q.lastAnswered != nil {
 		// The answer waited for this shard.
-		n.Service, n.Leaf = q.lastAnswered.service, q.lastAnswered.lastTarget
+		record.Service, record.Leaf = q.lastAnswered.service, q.lastAnswered.lastTarget
 	}
 	if q.counted && !q.targetMissed {
 		e.feedLimiter(now, true)
 	}
 	e.emit(a)
-	e.emit(n)
+	e.emit(record)
 	e.closeQuery(now, q)
 }
 
@@ -194,16 +194,16 @@
 	if reason == Late && !q.mayHaveRun() {
 		reason = NoCapacity
 	}
-	n := LogRecord{
+	record := LogRecord{
 		Kind: LogRefused, Request: q.request.ID, Query: q.id, Version: q.version,
 		Cause: reason.String() + ": " + cause, Refusal: reason, Took: now - q.arrived, Count: q.answered, Total: len(q.shards), Extra: q.extraCalls,
 		Missing: q.missingShards(), Forwarded: q.forwarded,
 	}
 	if q.route != nil {
-		n.Route = q.route.Name
+		record.Route = q.route.Name
 	}
 	e.emit(Answer{Query: q.id, Refusal: reason, RetryAfter: e.retryAfter(now, q, reason)})
-	e.emit(n)
+	e.emit(record)
 	e.closeQuery(now, q)
 }
 
--- a/share/router/forward.go
+++ b/share/router/forward.go
@@ -31,12 +31,12 @@
 // forward sends shards of a query to another host.
 func (e *Engine) forward(now clock.Milli, q *query, p *peer, group []*shard) {
 	e.lastCall++
-	r := &forward{id: e.lastCall, query: q, peer: p, shards: group, sent: now}
-	e.forwards[r.id] = r
-	p.inFlight = append(p.inFlight, r)
+	fwd := &forward{id: e.lastCall, query: q, peer: p, shards: group, sent: now}
+	e.forwards[fwd.id] = fwd
+	p.inFlight = append(p.inFlight, fwd)
 	names := make([]string, len(group))
 	for i, s := range group {
-		s.forward = r
+		s.forward = fwd
 		s.possibleRuns++
 		s.sentAt = now
 		s.lastTarget = p.Address
@@ -47,7 +47,7 @@
 		due = min(now+lateTargets*q.route.Target, q.deadline)
 	}
 	e.emit(Forward{
-		Call: r.id, Request: q.request, Address: p.Address, Version: q.version, Shards: names,
+		Call: fwd.id, Request: q.request, Address: p.Address, Version: q.version, Shards: names,
 		Target: due - now - clock.Milli(e.roundTrip(p)), Timeout: q.deadline - now, Late: q.late,
 	})
 	e.emit(LogRecord{Kind: LogForwarded, Request: q.request.ID, Query: q.id, Leaf: p.Address, Version: q.version, Total: len(group)})
@@ -55,38 +55,38 @@
 
 // endForward handles the end of a forward. It merges an answer; the shards of a forward
 // that failed are called from this host or abandoned.
-func (e *Engine) endForward(now clock.Milli, r *forward, d CallDone) {
-	delete(e.forwards, r.id)
-	r.ended = true
-	p, q := r.peer, r.query
+func (e *Engine) endForward(now clock.Milli, fwd *forward, d CallDone) {
+	delete(e.forwards, fwd.id)
+	fwd.ended = true
+	p, q := fwd.peer, fwd.query
 	for i, other := range p.inFlight {
-		if other == r {
+		if other == fwd {
 			p.inFlight = append(p.inFlight[:i], p.inFlight[i+1:]...)
 			break
 		}
 	}
-	e.recordForward(now, r, d)
-	if r.orphaned {
+	e.recordForward(now, fwd, d)
+	if fwd.orphaned {
 		return
 	}
-	for _, s := range r.shards {
+	for _, s := range fwd.shards {
 		s.forward = nil
 	}
 	switch {
 	case d.Kind == call.Answered && d.Reply.Successful():
-		e.mergeAnswer(now, r, d.Reply)
+		e.mergeAnswer(now, fwd, d.Reply)
 	case d.Refusal == NoCapacity:
 		// That host has just found its leaves full, so they are not called from
 		// here either.
-		e.logForwardFailed(now, r, d)
+		e.logForwardFailed(now, fwd, d)
 		q.peerFull = true
-		for _, s := range r.shards {
+		for _, s := range fwd.shards {
 			s.possibleRuns--
 			e.abandon(s, "the other host has no capacity")
 		}
 	case d.Kind.NotRun():
-		e.logForwardFailed(now, r, d)
-		for _, s := range r.shards {
+		e.logForwardFailed(now, fwd, d)
+		for _, s := range fwd.shards {
 			s.possibleRuns--
 			// This host now makes the first call, so it earns the budget.
 			e.services[s.service].budget.Earn()
@@ -94,8 +94,8 @@
 		}
 	default:
 		q.maybeRan = true
-		e.logForwardFailed(now, r, d)
-		e.fallBack(now, r, d)
+		e.logForwardFailed(now, fwd, d)
+		e.fallBack(now, fwd, d)
 	}
 	e.tryFinish(now, q)
 	if !q.ended {
@@ -105,8 +105,8 @@
 
 // mergeAnswer applies another host's answer to the shards of a forward. Shards that the
 // answer lacks are retried from here as far as the query needs them, or abandoned.
-func (e *Engine) mergeAnswer(now clock.Milli, r *forward, reply *call.Reply) {
-	q := r.query
+func (e *Engine) mergeAnswer(now clock.Milli, fwd *forward, reply *call.Reply) {
+	q := fwd.query
 	q.maybeRan = true
 	if reply.Stamp != "" { // the answer contains a leaf's reply
 		e.markProven(now, q)
@@ -117,7 +117,7 @@
 		missing[name] = true
 	}
 	var lacking []*shard
-	for _, s := range r.shards {
+	for _, s := range fwd.shards {
 		if missing[s.service] {
 			lacking = append(lacking, s)
 			continue
@@ -155,9 +155,9 @@
 // them. The other host may have called one leaf for each shard. If it failed before it
 // can have hedged, it hasn't called a second one, and one more call stays within the
 // route's attempts.
-func (e *Engine) fallBack(now clock.Milli, r *forward, d CallDone) {
-	early := now-r.sent < clock.Milli(e.roundTrip(r.peer))+minHedgeDelay
-	for _, s := range r.shards {
+func (e *Engine) fallBack(now clock.Milli, fwd *forward, d CallDone) {
+	early := now-fwd.sent < clock.Milli(e.roundTrip(fwd.peer))+minHedgeDelay
+	for _, s := range fwd.shards {
 		if early && e.retryLocally(now, s) {
 			continue
 		}
@@ -165,10 +165,10 @@
 	}
 }
 
-func (e *Engine) logForwardFailed(now clock.Milli, r *forward, d CallDone) {
+func (e *Engine) logForwardFailed(now clock.Milli, fwd *forward, d CallDone) {
 	e.emit(LogRecord{
-		Kind: LogForwardFailed, Request: r.query.request.ID, Query: r.query.id, Leaf: r.peer.Address,
-		Cause: d.Kind.String() + ": " + d.Cause, Took: now - r.sent, Total: len(r.shards),
+		Kind: LogForwardFailed, Request: fwd.query.request.ID, Query: fwd.query.id, Leaf: fwd.peer.Address,
+		Cause: d.Kind.String() + ": " + d.Cause, Took: now - fwd.sent, Total: len(fwd.shards),
 	})
 }
 
@@ -177,10 +177,10 @@
 const forwardOrphanGrace clock.Milli = 150
 
 // orphanForward lets a forward that is no longer needed run for forwardOrphanGrace.
-func (e *Engine) orphanForward(now clock.Milli, r *forward) {
-	if r.orphaned || r.ended {
+func (e *Engine) orphanForward(now clock.Milli, fwd *forward) {
+	if fwd.orphaned || fwd.ended {
 		return
 	}
-	r.orphaned = true
-	heap.Push(&e.timers, timer{at: now + forwardOrphanGrace, forward: r})
+	fwd.orphaned = true
+	heap.Push(&e.timers, timer{at: now + forwardOrphanGrace, forward: fwd})
 }
--- a/share/router/overload.go
+++ b/share/router/overload.go
@@ -31,17 +31,17 @@
 // admit reports whether to admit a query, and adapts the refused share: it falls with
 // time while queries would be in time with ample slack, and rises with each unservable
 // query that isn't refused by its sample.
-func (l *shedder) admit(now clock.Milli, sample float64, p prospect) bool {
-	elapsed := min(now-l.updatedAt, clock.Second) // one second relaxes the share to 0
-	l.updatedAt = now
+func (s *shedder) admit(now clock.Milli, sample float64, p prospect) bool {
+	elapsed := min(now-s.updatedAt, clock.Second) // one second relaxes the share to 0
+	s.updatedAt = now
 	if p == ample {
-		l.refusedShare = max(0, l.refusedShare-shedRelax*float64(elapsed)/float64(clock.Second))
+		s.refusedShare = max(0, s.refusedShare-shedRelax*float64(elapsed)/float64(clock.Second))
 	}
-	if sample < l.refusedShare {
+	if sample < s.refusedShare {
 		return false
 	}
 	if p == unservable {
-		l.refusedShare += (1 - l.refusedShare) * shedTighten
+		s.refusedShare += (1 - s.refusedShare) * shedTighten
 		return false
 	}
 	return true
--- a/share/router/peer.go
+++ b/share/router/peer.go
@@ -299,15 +299,15 @@
 }
 
 // recordForward updates a host's round trip and backoff with the outcome of a forward.
-func (e *Engine) recordForward(now clock.Milli, r *forward, d CallDone) {
-	p := r.peer
+func (e *Engine) recordForward(now clock.Milli, fwd *forward, d CallDone) {
+	p := fwd.peer
 	if d.Refusal == NoCapacity {
 		p.backoff = 0 // its leaves have no capacity; the host is healthy
 		return
 	}
 	if d.Kind == call.Answered {
 		p.backoff = 0
-		roundTrip := float64(now - r.sent - d.ProcessingTime)
+		roundTrip := float64(now - fwd.sent - d.ProcessingTime)
 		if d.ProcessingTime > 0 && roundTrip > 0 {
 			if p.roundTrip == 0 {
 				p.roundTrip = roundTrip
@@ -317,10 +317,10 @@
 		return
 	}
 	gaveUp := d.Kind == call.Cancelled || d.Kind == call.Withdrawn
-	if gaveUp && now < r.query.target+forwardGrace {
+	if gaveUp && now < fwd.query.target+forwardGrace {
 		return // the caller disconnected
 	}
 	p.backoff = min(max(minPeerBackoff, 2*p.backoff), maxPeerBackoff)
 	p.backoffUntil = now + p.backoff
-	e.emit(LogRecord{Kind: LogPeerUnhealthy, Leaf: p.Address, Cause: d.Kind.String() + ": " + d.Cause, Took: now - r.sent})
+	e.emit(LogRecord{Kind: LogPeerUnhealthy, Leaf: p.Address, Cause: d.Kind.String() + ": " + d.Cause, Took: now - fwd.sent})
 }
--- a/share/router/query_test.go
+++ b/share/router/query_test.go
@@ -161,7 +161,7 @@
 		}
 		r.advance(1)
 		for ; seen < len(r.sends); seen++ {
-			// Every third call is rejected at once, the others take long.
+			// Every third call is rejected at once, the others after 300 ms.
 			due := r.now + 300
 			if seen%3 == 0 {
 				due = r.now
--- a/share/router/types.go
+++ b/share/router/types.go
@@ -231,15 +231,18 @@
 	Route   string
 	Version uint64
 	Service string
-	Leaf    string
-	// Cause explains the decision in words; Refusal is the reason of a refusal.
+	// Leaf is a leaf's name, or the address of another host.
+	Leaf string
+	// Cause explains the decision in words, or names the failure domain or the leaves
+	// that have changed; Refusal is the reason of a refusal.
 	Cause   string
 	Refusal Refusal
 	// Took is the age of the request or call, in milliseconds; for a leaf report, the
 	// additional latency.
 	Took clock.Milli
 	// Count and Total are numbers of shards; for the limiter, queries in flight
-	// and the limit.
+	// and the limit; for changes, the number of routes, leaves or hosts; for a crash,
+	// that of requests in flight.
 	Count, Total int
 	// Missing lists the shards that the answer lacks, each with its last known
 	// state.
--- a/share/router/world_test.go
+++ b/share/router/world_test.go
@@ -145,7 +145,7 @@
 	h.down = false
 	h.tickAt = 0
 	h.handle(Topology{Table: h.w.table, Leaves: h.w.roster})
-	h.w.schedule(h.w.now+300, func() { h.updatePeers() })
+	h.w.schedule(h.w.now+300, func() { h.updatePeers() }) // a new host learns of the others later
 }
 
 // updatePeers sets the host's list of the other live hosts.
@@ -349,7 +349,7 @@
 		l.conns[j.engine]++
 	}
 	switch {
-	case j.ended:
+	case j.ended: // cancelled on its way to the leaf
 	case l.down:
 		l.reply(j, CallDone{Call: j.call, Kind: call.NotSent, Cause: "refused"})
 	case l.busy < l.Slots:
