--- a/share/router/arrive.go
+++ b/share/router/arrive.go
@@ -44,7 +44,7 @@
 		return
 	}
 	for _, name := range names {
-		e.service(name)
+		e.service(name) // creates the state that e.services is expected to have below
 		q.shards = append(q.shards, &shard{query: q, service: name})
 	}
 	if cause := e.unreachableCause(now, q); cause != "" {
@@ -67,8 +67,8 @@
 		Kind: LogAdmitted, Request: q.request.ID, Query: q.id, Route: r.Name, Version: q.version, Total: len(q.shards),
 		Wait: a.Wait, SinceFirstAttempt: elapsed, Due: q.target - now, Remote: a.Remote, Forwarded: q.forwarded, Late: q.late,
 	})
-	for _, h := range remote {
-		e.forward(now, q, h.peer, h.shards)
+	for _, group := range remote {
+		e.forward(now, q, group.peer, group.shards)
 	}
 	for _, s := range local {
 		// The host that calls the leaves earns the budget; if both hosts did,
@@ -121,7 +121,8 @@
 }
 
 // setDeadlines sets the query's target and deadline, and returns the estimated
-// time between the caller's first attempt and the request's arrival.
+// time between the caller's first attempt and the request's arrival. It is 0 for a
+// forwarded request, whose wait isn't that of a caller.
 func (e *Engine) setDeadlines(now clock.Milli, q *query, a Arrival) clock.Milli {
 	r := q.route
 	wait := a.Wait
@@ -137,13 +138,13 @@
 	if r.Timeout > 0 {
 		q.deadline = min(q.deadline, now+r.Timeout)
 	}
-	w := e.waitEstimates[r.Name]
-	if w == nil {
-		w = newWaitEstimate(r.Timeout)
-		e.waitEstimates[r.Name] = w
+	estimate := e.waitEstimates[r.Name]
+	if estimate == nil {
+		estimate = newWaitEstimate(r.Timeout)
+		e.waitEstimates[r.Name] = estimate
 	}
-	elapsed := w.sinceFirstAttempt(wait)
-	w.learn(wait)
+	elapsed := estimate.sinceFirstAttempt(wait)
+	estimate.learn(wait)
 	// The target counts from the caller's first attempt, at the caller's end.
 	target := now + r.Target - elapsed - e.callers.learnRoundTrip(a.Remote, elapsed) - e.Policy.Margin
 	switch {
@@ -207,6 +208,8 @@
 	need := 1
 	switch {
 	case q.forwarded:
+		// An answer without any shard is better than a refusal: after that, the
+		// other host would call the same leaves again.
 		need = 0
 	case q.route.Sharded():
 		need = q.route.MinShards()
--- a/share/router/finish.go
+++ b/share/router/finish.go
@@ -44,13 +44,13 @@
 // set or lifted.
 func (e *Engine) feedLimiter(now clock.Milli, inTime bool) {
 	l := &e.limiter
-	was := l.Active()
+	wasActive := l.Active()
 	if inTime {
 		l.RecordOnTime()
 	} else {
 		l.RecordLate(now)
 	}
-	if l.Active() == was {
+	if l.Active() == wasActive {
 		return
 	}
 	kind := LogLimitLifted
@@ -64,7 +64,8 @@
 }
 
 // schedule sets a query's timer to the first of its deadline, its target, the hedges of
-// its shards and, if no leaf has been called, the end of its time in the queue.
+// its shards and, if no leaf has been called, the end of its time in the queue. What is due
+// already is checked in 1 ms: a timer at now would run again at once, without end.
 func (e *Engine) schedule(now clock.Milli, q *query) {
 	due := q.deadline
 	if q.target > now {
@@ -159,32 +160,31 @@
 
 // answer answers a query with the shards answered so far, and closes it.
 func (e *Engine) answer(now clock.Milli, q *query) {
-	n := LogRecord{
+	record := LogRecord{
 		Kind: LogAnswered, Request: q.request.ID, Query: q.id, Route: q.route.Name, Version: q.version,
 		Took: now - q.arrived, Count: q.answered, Total: len(q.shards), Extra: q.extraCalls, Forwarded: q.forwarded,
 	}
-	n.Late = q.late || now > q.target+e.Policy.Margin
+	record.Late = q.late || now > q.target+e.Policy.Margin
 	a := Answer{Query: q.id}
 	if q.route.Sharded() {
 		a.Merged = &Merged{Parts: q.parts(), Missing: q.missingServices(), TopK: q.route.TopK}
 		if q.answered < len(q.shards) {
-			n.Kind = LogPartial
-			n.Missing = q.missingShards()
+			record.Kind = LogPartial
+			record.Missing = q.missingShards()
 		}
 	} else {
 		a.Reply = q.shards[0].reply
-		n.Service, n.Leaf = q.shards[0].service, q.shards[0].lastTarget
-		n.Cause = ""
+		record.Service, record.Leaf = q.shards[0].service, q.shards[0].lastTarget
 	}
-	if n.Late && n.Service == "" && q.lastAnswered != nil {
+	if record.Late && record.Service == "" && q.lastAnswered != nil {
 		// The answer waited for this shard.
-		n.Service, n.Leaf = q.lastAnswered.service, q.lastAnswered.lastTarget
+		record.Service, record.Leaf = q.lastAnswered.service, q.lastAnswered.lastTarget
 	}
 	if q.counted && !q.targetMissed {
 		e.feedLimiter(now, true)
 	}
 	e.emit(a)
-	e.emit(n)
+	e.emit(record)
 	e.closeQuery(now, q)
 }
 
@@ -194,20 +194,20 @@
 	if reason == Late && !q.mayHaveRun() {
 		reason = NoCapacity
 	}
-	n := LogRecord{
+	record := LogRecord{
 		Kind: LogRefused, Request: q.request.ID, Query: q.id, Version: q.version,
 		Cause: reason.String() + ": " + cause, Refusal: reason, Took: now - q.arrived, Count: q.answered, Total: len(q.shards), Extra: q.extraCalls,
 		Missing: q.missingShards(), Forwarded: q.forwarded,
 	}
 	if q.route != nil {
-		n.Route = q.route.Name
+		record.Route = q.route.Name
 	}
 	e.emit(Answer{Query: q.id, Refusal: reason, RetryAfter: e.retryAfter(now, q, reason)})
-	e.emit(n)
+	e.emit(record)
 	e.closeQuery(now, q)
 }
 
-// Times after which callers should retry, in ms.
+// Durations after which callers should retry, in ms.
 const (
 	// retryNoConfig applies to a host that has had time to receive its
 	// configuration and has not: it reaches no host that has one.
@@ -227,7 +227,7 @@
 	retrySpreadMs = 200
 )
 
-// retryAfter returns when a refused caller should retry.
+// retryAfter returns how long a refused caller should wait before it retries.
 func (e *Engine) retryAfter(now clock.Milli, q *query, reason Refusal) clock.Milli {
 	// Multiples of the golden ratio spread consecutive requests evenly, without
 	// randomness.
@@ -239,6 +239,7 @@
 	switch reason {
 	case NoConfig:
 		if now < e.startedAt+startupWindow {
+			// Half the spread: the retry should come within a usual target.
 			return retryStarting + spread/2
 		}
 		return retryNoConfig + spread
--- a/share/router/peer.go
+++ b/share/router/peer.go
@@ -77,7 +77,7 @@
 func (e *Engine) preconnect(known map[string]*peer) {
 	for domain, peers := range e.peersByDomain {
 		if domain == e.Self.Domain && e.aggregator {
-			continue
+			continue // this host calls the domain's leaves itself
 		}
 		for _, p := range peers[:min(len(peers), e.Policy.Aggregators)] {
 			if known[p.Address] == nil {
@@ -256,6 +256,7 @@
 		}
 		// Prefers a less loaded, nearer host with more of the shards in its region.
 		c := e.roundTrip(p) + float64(len(p.inFlight))*forwardCostMs - float64(near)/float64(len(far))*regionBonusMs
+		// Among equals, rank decides: the order of a map's keys varies.
 		if best == nil || c < cost || (c == cost && p.rank < best.rank) {
 			best, cost = p, c
 		}
@@ -298,15 +299,15 @@
 }
 
 // recordForward updates a host's round trip and backoff with the outcome of a forward.
-func (e *Engine) recordForward(now clock.Milli, r *forward, d CallDone) {
-	p := r.peer
+func (e *Engine) recordForward(now clock.Milli, fwd *forward, d CallDone) {
+	p := fwd.peer
 	if d.Refusal == NoCapacity {
 		p.backoff = 0 // its leaves have no capacity; the host is healthy
 		return
 	}
 	if d.Kind == call.Answered {
 		p.backoff = 0
-		roundTrip := float64(now - r.sent - d.ProcessingTime)
+		roundTrip := float64(now - fwd.sent - d.ProcessingTime)
 		if d.ProcessingTime > 0 && roundTrip > 0 {
 			if p.roundTrip == 0 {
 				p.roundTrip = roundTrip
@@ -316,10 +317,10 @@
 		return
 	}
 	gaveUp := d.Kind == call.Cancelled || d.Kind == call.Withdrawn
-	if gaveUp && now < r.query.target+forwardGrace {
+	if gaveUp && now < fwd.query.target+forwardGrace {
 		return // the caller disconnected
 	}
 	p.backoff = min(max(minPeerBackoff, 2*p.backoff), maxPeerBackoff)
 	p.backoffUntil = now + p.backoff
-	e.emit(LogRecord{Kind: LogPeerUnhealthy, Leaf: p.Address, Cause: d.Kind.String() + ": " + d.Cause, Took: now - r.sent})
+	e.emit(LogRecord{Kind: LogPeerUnhealthy, Leaf: p.Address, Cause: d.Kind.String() + ": " + d.Cause, Took: now - fwd.sent})
 }
--- a/share/router/types.go
+++ b/share/router/types.go
@@ -78,7 +78,8 @@
 	// Capacity is the processor time that it may use, in thousandths of a core;
 	// 0 if unknown.
 	Capacity uint32
-	Started  uint64
+	// Started changes when the host's process restarts.
+	Started uint64
 	// Suspected reports that other hosts recently got no answer from it.
 	Suspected bool
 }
@@ -92,7 +93,7 @@
 // ConnRefused reports that no process listens at a leaf's address.
 type ConnRefused struct{ Leaf string }
 
-// Tick reports that the time returned by Engine.Next has come.
+// Tick reports that the time returned by Engine.NextTick has come.
 type Tick struct{}
 
 func (Arrival) event()     {}
@@ -165,7 +166,7 @@
 	Merged *Merged
 	// Refusal is the reason if Reply and Merged are nil.
 	Refusal Refusal
-	// RetryAfter is when the caller should retry after a refusal.
+	// RetryAfter is how long the caller should wait before it retries after a refusal.
 	RetryAfter clock.Milli
 }
 
@@ -230,15 +231,18 @@
 	Route   string
 	Version uint64
 	Service string
-	Leaf    string
-	// Cause explains the decision in words; Refusal is the reason of a refusal.
+	// Leaf is a leaf's name, or the address of another host.
+	Leaf string
+	// Cause explains the decision in words, or names the failure domain or the leaves
+	// that have changed; Refusal is the reason of a refusal.
 	Cause   string
 	Refusal Refusal
 	// Took is the age of the request or call, in milliseconds; for a leaf report, the
 	// additional latency.
 	Took clock.Milli
 	// Count and Total are numbers of shards; for the limiter, queries in flight
-	// and the limit.
+	// and the limit; for changes, the number of routes, leaves or hosts; for a crash,
+	// that of requests in flight.
 	Count, Total int
 	// Missing lists the shards that the answer lacks, each with its last known
 	// state.
