--- a/share/router/finish.go
+++ b/share/router/finish.go
@@ -175,6 +175,7 @@
 	} else {
 		a.Reply = q.shards[0].reply
 		record.Service, record.Leaf = q.shards[0].service, q.shards[0].lastTarget
+		record.Cause = ""
 	}
 	if record.Late && record.Service == "" && q.lastAnswered != nil {
 		// The answer waited for this shard.
