--- a/share/member/codec.go
+++ b/share/member/codec.go
@@ -73,7 +73,8 @@
 	}
 }
 
-// Decode decodes a packet. It skips updates that are invalid.
+// Decode decodes a packet. It skips updates that are invalid, and fails if the sender, the
+// kind or the host to probe is.
 func Decode(body []byte) (Packet, error) {
 	var message wire.MemberPacket
 	if err := proto.Unmarshal(body, &message); err != nil {
--- a/share/member/fleet_test.go
+++ b/share/member/fleet_test.go
@@ -12,7 +12,7 @@
 
 // fleet is a set of hosts on a virtual clock, with packet loss.
 type fleet struct {
-	now    clock.Virtual
+	clock  clock.Virtual
 	rand   *rand.Rand
 	hosts  []*simHost
 	byName map[string]*simHost
@@ -41,124 +41,125 @@
 
 func newFleet(t *testing.T, n int, loss float64) *fleet {
 	t.Helper()
-	w := &fleet{rand: rand.New(rand.NewPCG(uint64(n), 7)), byName: map[string]*simHost{}, lossRatio: loss, sampleEvery: 1}
+	f := &fleet{rand: rand.New(rand.NewPCG(uint64(n), 7)), byName: map[string]*simHost{}, lossRatio: loss, sampleEvery: 1}
 	if n > 1000 {
-		w.sampleEvery = 32
+		f.sampleEvery = 32
 	}
-	seeds := []string{name(0), name(1), "10.9.9.9:1"}
+	seeds := []string{name(0), name(1), "10.9.9.9:1"} // no host has the last address
 	for i := range n {
-		w.start(t, name(i), seeds, 1)
+		f.start(t, name(i), seeds, 1)
 	}
-	return w
+	return f
 }
 
 func name(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/200, i%200) }
 
 // start adds a host, which replaces one at the same address, and returns it.
-func (w *fleet) start(t *testing.T, host string, seeds []string, started uint64) *simHost {
-	r := &simHost{list: &List{Seeds: seeds, Self: Host{
-		GossipAddress: host, ForwardAddress: host, Domain: fmt.Sprintf("d%d", len(w.hosts)%domains), Started: started,
+func (f *fleet) start(t *testing.T, host string, seeds []string, started uint64) *simHost {
+	h := &simHost{list: &List{Seeds: seeds, Self: Host{
+		GossipAddress: host, ForwardAddress: host, Domain: fmt.Sprintf("d%d", len(f.hosts)%domains), Started: started,
 	}}}
-	if former := w.byName[host]; former != nil {
+	if former := f.byName[host]; former != nil {
 		former.dead = true
-		r.list.Self.Domain = former.list.Self.Domain
+		h.list.Self.Domain = former.list.Self.Domain
 	}
-	w.byName[host] = r
-	w.hosts = append(w.hosts, r)
-	w.now.After(clock.Milli(len(w.hosts)%300), func() { w.tick(t, r) })
-	return r
+	f.byName[host] = h
+	f.hosts = append(f.hosts, h)
+	// The first ticks of the hosts are spread over 300 ms.
+	f.clock.After(clock.Milli(len(f.hosts)%300), func() { f.tick(t, h) })
+	return h
 }
 
-func (w *fleet) tick(t *testing.T, r *simHost) {
-	if r.dead || r.stopped {
+func (f *fleet) tick(t *testing.T, h *simHost) {
+	if h.dead || h.stopped {
 		return
 	}
-	w.send(t, r.list.Tick(w.now.Now()))
-	w.schedule(t, r)
+	f.send(t, h.list.Tick(f.clock.Now()))
+	f.schedule(t, h)
 }
 
 // schedule schedules the next tick of a host, unless an earlier one is scheduled.
-func (w *fleet) schedule(t *testing.T, r *simHost) {
-	at := max(r.list.Next(), w.now.Now()+1)
-	if r.nextTickAt > w.now.Now() && r.nextTickAt <= at {
+func (f *fleet) schedule(t *testing.T, h *simHost) {
+	at := max(h.list.Next(), f.clock.Now()+1)
+	if h.nextTickAt > f.clock.Now() && h.nextTickAt <= at {
 		return
 	}
-	r.nextTickAt = at
-	w.now.At(at, func() {
-		if r.nextTickAt == at {
-			w.tick(t, r)
+	h.nextTickAt = at
+	f.clock.At(at, func() {
+		if h.nextTickAt == at {
+			f.tick(t, h)
 		}
 	})
 }
 
 // send measures packets, loses some and delivers the others after a delay of 1 to 24 ms.
-func (w *fleet) send(t *testing.T, packets []Packet) {
+func (f *fleet) send(t *testing.T, packets []Packet) {
 	for _, p := range packets {
-		if w.packets++; w.packets%w.sampleEvery == 0 {
+		if f.packets++; f.packets%f.sampleEvery == 0 {
 			body, err := Encode(p)
 			assert.NilError(t, err)
 			const headers = 28 // of IP and UDP
-			w.bytes += (len(body) + headers) * w.sampleEvery
+			f.bytes += (len(body) + headers) * f.sampleEvery
 		}
-		if w.rand.Float64() < w.lossRatio || w.cut != nil && w.cut(p.Sender.Host.GossipAddress, p.To) {
+		if f.rand.Float64() < f.lossRatio || f.cut != nil && f.cut(p.Sender.Host.GossipAddress, p.To) {
 			continue
 		}
-		w.now.After(1+clock.Milli(w.rand.IntN(24)), func() { w.deliver(t, p) })
+		f.clock.After(1+clock.Milli(f.rand.IntN(24)), func() { f.deliver(t, p) })
 	}
 }
 
-func (w *fleet) deliver(t *testing.T, p Packet) {
-	r := w.byName[p.To]
+func (f *fleet) deliver(t *testing.T, p Packet) {
+	h := f.byName[p.To]
 	switch {
-	case r == nil || r.dead:
-	case r.stopped:
-		r.unread = append(r.unread, p)
+	case h == nil || h.dead: // the packet is lost
+	case h.stopped:
+		h.unread = append(h.unread, p)
 	default:
-		w.send(t, r.list.Receive(w.now.Now(), p))
-		w.schedule(t, r)
+		f.send(t, h.list.Receive(f.clock.Now(), p))
+		f.schedule(t, h)
 	}
 }
 
 // stop stops a host for a span; it then reads the packets sent meanwhile.
-func (w *fleet) stop(t *testing.T, r *simHost, span clock.Milli) {
-	r.stopped = true
-	w.now.After(span, func() {
-		r.stopped = false
-		w.tick(t, r)
-		for _, p := range r.unread {
-			w.deliver(t, p)
+func (f *fleet) stop(t *testing.T, h *simHost, span clock.Milli) {
+	h.stopped = true
+	f.clock.After(span, func() {
+		h.stopped = false
+		f.tick(t, h)
+		for _, p := range h.unread {
+			f.deliver(t, p)
 		}
-		r.unread = nil
+		h.unread = nil
 	})
 }
 
-func (w *fleet) run(span clock.Milli) { w.now.Run(w.now.Now() + span) }
+func (f *fleet) run(span clock.Milli) { f.clock.Run(f.clock.Now() + span) }
 
 // running lists the hosts that are not dead.
-func (w *fleet) running() []*simHost {
+func (f *fleet) running() []*simHost {
 	var list []*simHost
-	for _, r := range w.hosts {
-		if !r.dead {
-			list = append(list, r)
+	for _, h := range f.hosts {
+		if !h.dead {
+			list = append(list, h)
 		}
 	}
 	return list
 }
 
 // minKnown returns the smallest number of other hosts in any list.
-func (w *fleet) minKnown() int {
-	fewest := len(w.hosts)
-	for _, r := range w.running() {
-		fewest = min(fewest, len(r.list.ring))
+func (f *fleet) minKnown() int {
+	fewest := len(f.hosts)
+	for _, h := range f.running() {
+		fewest = min(fewest, len(h.list.ring))
 	}
 	return fewest
 }
 
 // knownPairs returns the number of pairs of a host and another host in its list.
-func (w *fleet) knownPairs() int {
+func (f *fleet) knownPairs() int {
 	n := 0
-	for _, r := range w.running() {
-		n += len(r.list.ring)
+	for _, h := range f.running() {
+		n += len(h.list.ring)
 	}
 	return n
 }
--- a/share/member/gossip.go
+++ b/share/member/gossip.go
@@ -40,8 +40,8 @@
 	// fastSyncThreshold is how many hosts a comparison must bring for the next one to
 	// follow after syncFastInterval.
 	fastSyncThreshold = 8
-	// seedSyncEvery is the number of comparisons for each comparison with a seed, which
-	// rejoins partitions of the system.
+	// seedSyncEvery is the interval, in comparisons, at which one also goes to a seed,
+	// beginning with the first. Seeds rejoin partitions of the system.
 	seedSyncEvery = 4
 	// maxSyncUpdates is how many hosts an answer to a digest may hold, and
 	// fullSyncsPerSecond how many answers per second may hold that many. Further
@@ -215,12 +215,13 @@
 	for i := range l.ring {
 		add(l.ring[(cut+i)%len(l.ring)])
 	}
-	for _, e := range slices.Backward(l.removed) {
+	for _, e := range slices.Backward(l.removed) { // newest first
 		add(e)
 	}
 	var packets []Packet
 	for len(list) > 0 {
 		n := min(updatesPerPacket, len(list))
+		// The capacity n keeps fillPacket from overwriting the rest of the list.
 		packets = append(packets, l.fillPacket(to, Packet{Kind: Diff, Updates: list[:n:n]}))
 		list = list[n:]
 	}
--- a/share/member/member.go
+++ b/share/member/member.go
@@ -59,7 +59,8 @@
 	State State
 }
 
-// supersedes reports whether an update replaces another one for the same address.
+// supersedes reports whether an update replaces another one for the same address: by a
+// later start, then by a higher incarnation, then by the higher state.
 func (u Update) supersedes(o Update) bool {
 	if u.Host.Started != o.Host.Started {
 		return u.Host.Started > o.Host.Started
@@ -139,7 +140,8 @@
 	// digest holds a hash for each bucket of ring; fullDigest adds this host.
 	digest [maxBuckets]uint32
 	// queue holds the hosts whose updates go into the next packets.
-	queue   []*entry
+	queue []*entry
+	// self is the entry of this host. Self repeats its Host for callers.
 	self    entry
 	version uint64
 	// changes holds the changes since the last call of Changes. Further ones are only
--- a/share/member/member_test.go
+++ b/share/member/member_test.go
@@ -60,65 +60,66 @@
 // testFleet runs a fleet through its start, a steady period, stalled hosts, dead hosts
 // and a new host.
 func testFleet(t *testing.T, n int, loss float64) {
-	w := newFleet(t, n, loss)
-	w.run(14 * clock.Second)
-	t.Logf("after the start: %d of %d", w.minKnown(), n-1)
-	if n > 1000 {
-		w.run(16 * clock.Second)
-		t.Logf("later: %d of %d", w.minKnown(), n-1)
+	f := newFleet(t, n, loss)
+	f.run(14 * clock.Second)
+	t.Logf("after the start: %d of %d", f.minKnown(), n-1)
+	if n > 1000 { // only in TestListsHoldAtFullSize
+		f.run(16 * clock.Second)
+		t.Logf("later: %d of %d", f.minKnown(), n-1)
 	}
-	assert.Equal(t, w.minKnown(), n-1)
+	assert.Equal(t, f.minKnown(), n-1)
 
-	w.packets, w.bytes = 0, 0
-	missing := w.maxMissing(10*clock.Second, nil)
-	packets, bytes := float64(w.packets)/float64(n)/10, float64(w.bytes)/float64(n)/10
+	f.packets, f.bytes = 0, 0
+	missing := f.maxMissing(10*clock.Second, nil)
+	// Per host and second of the 10 s.
+	packets, bytes := float64(f.packets)/float64(n)/10, float64(f.bytes)/float64(n)/10
 	t.Logf("steady: %.1f packets and %.0f bytes a host and second, %d pairs removed at most", packets, bytes, missing)
 	const maxPackets, maxBytes = 15, 1500
 	assert.Assert(t, packets < maxPackets && bytes < maxBytes)
 	assert.Assert(t, missing <= n*n/1000, "live hosts removed: %d pairs", missing)
 
 	stopped := map[*simHost]bool{}
-	for i := 1; i <= n/10; i++ {
-		r := w.hosts[i*10-3]
-		stopped[r] = true
-		w.stop(t, r, 3*clock.Second)
+	for i := 1; i <= n/10; i++ { // one host in ten
+		h := f.hosts[i*10-3]
+		stopped[h] = true
+		f.stop(t, h, 3*clock.Second)
 	}
-	missing = w.maxMissing(3*clock.Second, stopped)
+	missing = f.maxMissing(3*clock.Second, stopped)
 	t.Logf("%d stalled: %d pairs of other hosts removed at most", len(stopped), missing)
 	assert.Assert(t, missing <= n*n/1000, "hosts that did not stall were removed: %d pairs", missing)
-	w.run(4 * clock.Second)
-	assert.Assert(t, w.knownPairs() >= n*(n-1)-n*n/1000, "stalled hosts are still removed: %d of %d pairs", w.knownPairs(), n*(n-1))
+	f.run(4 * clock.Second)
+	assert.Assert(t, f.knownPairs() >= n*(n-1)-n*n/1000, "stalled hosts are still removed: %d of %d pairs", f.knownPairs(), n*(n-1))
 
 	dead := max(1, n/20)
-	for i := range dead {
-		w.hosts[n-1-i*3].dead = true
+	for i := range dead { // every third host, from the last one
+		f.hosts[n-1-i*3].dead = true
 	}
-	w.run(6 * clock.Second)
+	f.run(6 * clock.Second)
 	left := n - dead
-	extra := w.knownPairs() - left*(left-1)
+	extra := f.knownPairs() - left*(left-1)
 	t.Logf("%d dead: %d of %d pairs still list them after 6 s", dead, extra, left*dead)
 	assert.Assert(t, extra*100 <= left*dead, "more than one pair in a hundred still lists dead hosts")
 
-	added := w.start(t, "10.8.0.1:7000", []string{name(0), name(1)}, 1)
-	w.run(3 * clock.Second)
+	added := f.start(t, "10.8.0.1:7000", []string{name(0), name(1)}, 1)
+	f.run(3 * clock.Second)
 	t.Logf("a new host lists %d of %d", len(added.list.ring), left)
 	assert.Assert(t, len(added.list.ring) >= left, "a new host lists %d of %d", len(added.list.ring), left)
 }
 
-// maxMissing runs the fleet for a span and returns the highest number, at any moment,
-// of pairs of a host and a live host missing from its list. It leaves out the
+// maxMissing runs the fleet for a span and returns the highest number, checked every
+// 250 ms, of pairs of a host and a live host missing from its list. It leaves out the
 // excluded hosts.
-func (w *fleet) maxMissing(span clock.Milli, excluded map[*simHost]bool) int {
+func (f *fleet) maxMissing(span clock.Milli, excluded map[*simHost]bool) int {
 	highest := 0
 	for range span / 250 {
-		w.run(250)
+		f.run(250)
 		missing := 0
-		for _, r := range w.running() {
-			if excluded[r] {
+		for _, h := range f.running() {
+			if excluded[h] {
 				continue
 			}
-			for _, o := range w.running() {
-				if e := r.list.known[o.list.Self.GossipAddress]; o != r && !excluded[o] && (e == nil || !e.up()) {
+			for _, o := range f.running() {
+				if e := h.list.known[o.list.Self.GossipAddress]; o != h && !excluded[o] && (e == nil || !e.up()) {
 					missing++
 				}
 			}
@@ -131,28 +132,28 @@
 // Hosts are killed, and then new processes start at their addresses, one of them with a
 // clock that was set back. The lists must lose the dead hosts and get the new ones.
 func TestKilledHostsAreRemoved(t *testing.T) {
-	w := newFleet(t, 20, 0)
-	w.run(10 * clock.Second)
-	w.byName[name(5)].dead = true
-	w.byName[name(0)].dead = true
-	w.run(8 * clock.Second)
-	assert.Equal(t, w.minKnown(), 17)
-	w.start(t, name(5), []string{name(1)}, 2)
-	w.start(t, name(0), []string{name(1)}, 0)
-	w.run(12 * clock.Second)
-	assert.Equal(t, w.minKnown(), 19)
+	f := newFleet(t, 20, 0)
+	f.run(10 * clock.Second)
+	f.byName[name(5)].dead = true
+	f.byName[name(0)].dead = true
+	f.run(8 * clock.Second)
+	assert.Equal(t, f.minKnown(), 17) // 20 less the host itself and two dead ones
+	f.start(t, name(5), []string{name(1)}, 2)
+	f.start(t, name(0), []string{name(1)}, 0)
+	f.run(12 * clock.Second)
+	assert.Equal(t, f.minKnown(), 19) // all but the host itself
 }
 
 // A host announces that it is leaving. No other host may still forward requests to it.
 func TestLeavingHostIsRemoved(t *testing.T) {
-	w := newFleet(t, 7, 0)
-	w.run(8 * clock.Second)
-	r := w.byName[name(3)]
-	w.send(t, r.list.Leave(w.now.Now()))
-	w.run(200)
-	for _, o := range w.running() {
-		for _, h := range o.list.Alive() {
-			assert.Assert(t, h.GossipAddress != name(3), "%s still lists the host", o.list.Self.GossipAddress)
+	f := newFleet(t, 7, 0)
+	f.run(8 * clock.Second)
+	h := f.byName[name(3)]
+	f.send(t, h.list.Leave(f.clock.Now()))
+	f.run(200)
+	for _, o := range f.running() {
+		for _, listed := range o.list.Alive() {
+			assert.Assert(t, listed.GossipAddress != name(3), "%s still lists the host", o.list.Self.GossipAddress)
 		}
 	}
 }
@@ -160,13 +161,13 @@
 // A leaving host of a large fleet notifies only some of the others, which must publish
 // it to all.
 func TestLeavingHostIsRemovedByLargeFleets(t *testing.T) {
-	w := newFleet(t, 200, 0.02)
-	w.run(8 * clock.Second)
-	r := w.byName[name(3)]
-	w.send(t, r.list.Leave(w.now.Now()))
-	w.run(1500)
-	for _, o := range w.running() {
-		assert.Assert(t, o == r || !o.list.known[name(3)].up(), "%s still lists the host", o.list.Self.GossipAddress)
+	f := newFleet(t, 200, 0.02)
+	f.run(8 * clock.Second)
+	h := f.byName[name(3)]
+	f.send(t, h.list.Leave(f.clock.Now()))
+	f.run(1500)
+	for _, o := range f.running() {
+		assert.Assert(t, o == h || !o.list.known[name(3)].up(), "%s still lists the host", o.list.Self.GossipAddress)
 	}
 }
 
@@ -174,18 +175,18 @@
 // none knows a live host of the other half. The halves must rejoin when it heals.
 func TestPartitionsRejoin(t *testing.T) {
 	for _, n := range []int{20, 200} {
-		w := newFleet(t, n, 0)
-		w.run(10 * clock.Second)
+		f := newFleet(t, n, 0)
+		f.run(10 * clock.Second)
 		side := map[string]bool{}
 		for i := range n {
 			side[name(i)] = i%2 == 0
 		}
-		w.cut = func(from, to string) bool { return side[from] != side[to] }
-		w.run(20 * clock.Second)
-		assert.Equal(t, w.minKnown(), n/2-1)
-		w.cut = nil
-		w.run(10 * clock.Second)
-		assert.Equal(t, w.minKnown(), n-1)
+		f.cut = func(from, to string) bool { return side[from] != side[to] }
+		f.run(20 * clock.Second)
+		assert.Equal(t, f.minKnown(), n/2-1)
+		f.cut = nil
+		f.run(10 * clock.Second)
+		assert.Equal(t, f.minKnown(), n-1)
 	}
 }
 
@@ -217,31 +218,31 @@
 // A host suspects a live one, for example after packet loss. The suspected host must
 // refute before the others remove it.
 func TestSuspectedHostRefutes(t *testing.T) {
-	w := newFleet(t, 30, 0)
-	w.run(10 * clock.Second)
-	suspected, suspecter := w.byName[name(7)], w.byName[name(8)]
+	f := newFleet(t, 30, 0)
+	f.run(10 * clock.Second)
+	suspected, suspecter := f.byName[name(7)], f.byName[name(8)]
 	version := suspecter.list.Version()
-	w.send(t, suspecter.list.suspect(w.now.Now(), suspecter.list.known[name(7)]))
+	f.send(t, suspecter.list.suspect(f.clock.Now(), suspecter.list.known[name(7)]))
 	assert.Assert(t, suspecter.list.Suspected(name(7)) && suspecter.list.Version() > version)
-	w.schedule(t, suspecter)
-	w.run(1500)
+	f.schedule(t, suspecter)
+	f.run(1500)
 	assert.Equal(t, suspected.list.Self.Incarnation, uint64(1))
-	w.run(4 * clock.Second)
-	assert.Equal(t, w.minKnown(), 29)
+	f.run(4 * clock.Second)
+	assert.Equal(t, f.minKnown(), 29)
 }
 
 // A stalled host gets no replies to its probes. Once it runs again, it must not remove the
 // other hosts for that.
 func TestStalledHostRemovesNobody(t *testing.T) {
-	w := newFleet(t, 30, 0)
-	w.run(10*clock.Second + 100)
-	r := w.byName[name(7)]
-	version := r.list.Version()
-	w.stop(t, r, 6*clock.Second)
-	w.run(9 * clock.Second)
-	assert.Equal(t, len(r.list.ring), 29)
-	assert.Equal(t, r.list.Version(), version)
-	assert.Equal(t, w.minKnown(), 29)
+	f := newFleet(t, 30, 0)
+	f.run(10*clock.Second + 100)
+	h := f.byName[name(7)]
+	version := h.list.Version()
+	f.stop(t, h, 6*clock.Second)
+	f.run(9 * clock.Second)
+	assert.Equal(t, len(h.list.ring), 29)
+	assert.Equal(t, h.list.Version(), version)
+	assert.Equal(t, f.minKnown(), 29)
 }
 
 // A failure domain has more hosts than the limit. If each call chose the same ones, the
@@ -252,7 +253,7 @@
 	for i := range 40 {
 		l.apply(1000, Update{Host: Host{GossipAddress: fmt.Sprintf("10.0.1.%d:1", i), Domain: fmt.Sprintf("d%d", i%2)}})
 	}
-	assert.Equal(t, len(l.DomainPackets(1000, 100)), 20)
+	assert.Equal(t, len(l.DomainPackets(1000, 100)), 20) // half of the hosts are in d0
 	notified := map[string]bool{}
 	for range 40 {
 		packets := l.DomainPackets(1000, 5)
--- a/share/member/probe.go
+++ b/share/member/probe.go
@@ -141,7 +141,7 @@
 	return []Packet{l.fillPacket(e.Host.GossipAddress, Packet{Kind: Publish, Updates: []Update{u}})}
 }
 
-// startSuspicion starts the time that a host has to refute if it is suspected.
+// startSuspicion starts the suspicionTimeout of a host if it is suspected.
 func (l *List) startSuspicion(now clock.Milli, e *entry) {
 	if e.State != Suspect {
 		return
--- a/share/member/run.go
+++ b/share/member/run.go
@@ -7,6 +7,7 @@
 // Tick performs the due work and returns the packets to send.
 func (l *List) Tick(now clock.Milli) []Packet {
 	l.start(now)
+	// nextTickAt is 0 until the first tick has ended.
 	if l.nextTickAt != 0 && now > l.nextTickAt+stallThreshold {
 		l.compensateStall(now - l.nextTickAt)
 	}
@@ -144,8 +145,8 @@
 }
 
 // DomainPackets returns a packet without updates for each host of the own failure domain,
-// up to a limit, for the caller's payload. If there are more hosts, each call draws random
-// ones.
+// up to a limit, to which the caller adds Crashes or Leaves. If there are more hosts, each
+// call draws random ones.
 func (l *List) DomainPackets(now clock.Milli, limit int) []Packet {
 	l.start(now)
 	l.rand.Shuffle(len(l.sameDomain), func(i, j int) { l.sameDomain[i], l.sameDomain[j] = l.sameDomain[j], l.sameDomain[i] })
