--- a/share/mirror/choose.go
+++ b/share/mirror/choose.go
@@ -38,6 +38,10 @@
 // storeSource is the store's name among the sources.
 const storeSource = ""
 
+// noSource is a follower's source before its first choice. It must differ from
+// storeSource: a choice of the store would otherwise count as no change.
+const noSource = "none"
+
 // Limits of the exponential backoff of a source that failed or had only old data.
 // The store's limit is lower, since it is the last resort.
 const (
--- a/share/mirror/follow.go
+++ b/share/mirror/follow.go
@@ -52,7 +52,8 @@
 	lostAfter clock.Milli = 1500
 	// immediateWait requests the store's current state without waiting for a change.
 	immediateWait clock.Milli = 1
-	// ageSlack is how much more than PollTimeout a page's age may be.
+	// ageSlack is how much older than PollTimeout, the wait of the other host's own
+	// read, a page may be before it counts as stale.
 	ageSlack clock.Milli = 500
 )
 
@@ -73,7 +74,7 @@
 	Sink                              Sink
 
 	mirror  Mirror
-	mu      sync.Mutex // guards chooser and peersKnown
+	mu      sync.Mutex // guards chooser, whose self is set before run starts, and peersKnown
 	chooser chooser
 	// source is the name of the source in use, and current the source itself.
 	source  string
@@ -82,8 +83,9 @@
 	after int64
 	// freshAt is when the store was in the state that was last read, and lost is set
 	// while the sink counts the store as lost.
-	freshAt    clock.Milli
-	lost       bool
+	freshAt clock.Milli
+	lost    bool
+	// peersKnown is closed once other hosts are known.
 	peersKnown chan struct{}
 	stop       chan struct{}
 	done       sync.WaitGroup
@@ -96,11 +98,11 @@
 func (f *Follower) Start() {
 	f.stop = make(chan struct{})
 	f.mu.Lock()
-	f.signalPeers()
+	f.signalPeersKnown()
 	f.mu.Unlock()
 	f.chooser.self = f.Self
 	f.freshAt = f.Clock.Now()
-	f.source = "none" // in the log of the first choice
+	f.source = noSource
 	f.done.Go(f.run)
 }
 
@@ -109,12 +111,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.chooser.peers = list
-	f.signalPeers()
+	f.signalPeersKnown()
 }
 
-// signalPeers creates the channel that is closed once other hosts are known, and
-// closes it if they are.
-func (f *Follower) signalPeers() {
+// signalPeersKnown closes peersKnown if other hosts are known. It creates the channel
+// on its first call.
+func (f *Follower) signalPeersKnown() {
 	if f.peersKnown == nil {
 		f.peersKnown = make(chan struct{})
 	}
--- a/share/mirror/mirror_test.go
+++ b/share/mirror/mirror_test.go
@@ -30,7 +30,7 @@
 	m.Apply(2000, Page{Revision: 12, Items: []Item{{Key: "b", Value: []byte("2")}, {Key: "a", Deleted: true}}, Age: 300})
 	p, changed, ok := m.Since(2500, 10)
 	assert.Assert(t, ok && !p.Whole && p.Revision == 12 && len(p.Items) == 2)
-	assert.Equal(t, p.Age, clock.Milli(800))
+	assert.Equal(t, p.Age, clock.Milli(800)) // read at 2,000 with an age of 300
 	p, _, _ = m.Since(2500, 12)
 	assert.Equal(t, len(p.Items), 0)
 	p, _, _ = m.Since(2500, 3)
@@ -122,6 +122,12 @@
 	}
 }
 
+// Values of down for scriptedStore.set.
+const (
+	storeUp   = false
+	storeDown = true
+)
+
 func (s *scriptedStore) set(revision int64, down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -258,7 +264,7 @@
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.has(1))
 	}
-	store.set(2, false)
+	store.set(2, storeUp)
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.has(2))
 	}
@@ -270,7 +276,7 @@
 		}
 	}
 	assert.Equal(t, len(hosts), 3)
-	store.set(3, false)
+	store.set(3, storeUp)
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.has(3), poll.WithTimeout(5*time.Second))
 	}
@@ -284,11 +290,11 @@
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.has(1))
 	}
-	store.set(1, true)
+	store.set(1, storeDown)
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.wasLost)
 	}
-	store.set(2, false)
+	store.set(2, storeUp)
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.has(2))
 		h.sink.mu.Lock()
@@ -304,12 +310,12 @@
 	store := &scriptedStore{revision: 7}
 	old := startRegion(t, store, 1)[0]
 	poll.WaitOn(t, old.sink.has(7))
-	store.set(7, true)
+	store.set(7, storeDown)
 	poll.WaitOn(t, old.sink.wasLost)
 	fresh := startRegion(t, store, 1)[0]
 	fresh.follower.SetPeers([]Peer{old.follower.Self})
 	poll.WaitOn(t, fresh.sink.has(7), poll.WithTimeout(3*time.Second))
-	store.set(8, false)
+	store.set(8, storeUp)
 	poll.WaitOn(t, fresh.sink.has(8))
 }
 
@@ -417,7 +423,7 @@
 		stores[i].rejects.Store(h.readsStore())
 	}
 	time.Sleep(2 * time.Second) // several times the wait of a follower for its source
-	store.set(2, false)
+	store.set(2, storeUp)
 	for _, h := range hosts {
 		poll.WaitOn(t, h.sink.has(2), poll.WithTimeout(3*time.Second))
 	}
@@ -427,6 +433,6 @@
 			reading++
 		}
 	}
-	const limit = 4
+	const limit = 4 // directFallbacks
 	assert.Assert(t, reading <= limit, "%d hosts have read the store", reading)
 }
