--- a/share/httpc/conn.go
+++ b/share/httpc/conn.go
@@ -101,12 +101,13 @@
 }
 
 // newConnWatch is how much longer than its opening took a new connection is
-// watched before the request is sent when no other leaf can serve it. A leaf at
-// its connection limit resets a connection as it accepts it; the reset arrives one
-// round trip after the connection opens, plus a few ms until the leaf is scheduled.
-// Once the request is sent it is unknown whether it ran: it cannot be retried if
-// it is not idempotent, and a retry takes from the budget otherwise. Before that,
-// another leaf can be tried at no cost. Such requests have targets of about 1 s.
+// watched before a request with AwaitRejection, which one leaf serves whole, is sent.
+// A leaf at its connection limit resets a connection as it accepts it; the reset
+// arrives one round trip after the connection opens, plus a few ms until the leaf is
+// scheduled. Once the request is sent it is unknown whether it ran: it cannot be
+// retried if it is not idempotent, and a retry takes from the budget otherwise. Before
+// that, another leaf can be tried at no cost. The delay is short against the targets
+// of such requests, about 1 s.
 const newConnWatch = 6 * time.Millisecond
 
 // awaitReset watches a new connection for newConnWatch longer than its opening took. It
@@ -195,7 +196,8 @@
 }
 
 // readOne reads the next reply, apart from interim ones (1xx), and checks that it is
-// complete, belongs to the call and has a stamp if the call needs one.
+// complete, belongs to the call and has a stamp if the call needs one. A reply without
+// a request ID counts as belonging to the call.
 func (c *conn) readOne(br *bufio.Reader, j *job) result {
 	request := j.request
 	res, err := http.ReadResponse(br, request)
--- a/share/httpc/httpc_test.go
+++ b/share/httpc/httpc_test.go
@@ -258,9 +258,9 @@
 		"HTTP/1.1 503 Busy\nNot-Run: 1\nContent-Length: 0\n\n":       call.Shed,
 		"HTTP/1.1 421 Wrong\nContent-Length: 0\n\n":                  call.Foreign,
 		"HTTP/1.1 500 Oops\nContent-Length: 0\n\n":                   call.Answered,
-		"HTTP/1.1 200 OK\nRelay-Worked-Ms: 1\nContent-Length: 0\n\n": call.Broken, // a host's header does not replace the stamp
-		"HTTP/1.1 200 OK\nContent-Length: 0\n\n":                     call.Broken, // no stamp
-		"HTTP/1.1 503 Full\nLeaf-Stamp: s\nContent-Length: 0\n\n":    call.Answered,
+		"HTTP/1.1 200 OK\nRelay-Worked-Ms: 1\nContent-Length: 0\n\n": call.Broken,   // a host's header does not replace the stamp
+		"HTTP/1.1 200 OK\nContent-Length: 0\n\n":                     call.Broken,   // no stamp
+		"HTTP/1.1 503 Full\nLeaf-Stamp: s\nContent-Length: 0\n\n":    call.Answered, // without Not-Run it may have run
 	} {
 		l := serve(t, func(c net.Conn, r *bufio.Reader) {
 			if readRequest(t, r) != nil {
@@ -294,7 +294,7 @@
 	c.send(l, "x", nil)
 	<-l.accepted
 	time.Sleep(20 * time.Millisecond)
-	c.pool.Cancel(1)
+	c.pool.Cancel(1) // the only call
 	assert.Equal(t, c.result().Kind, call.Cancelled)
 	select {
 	case <-closed:
--- a/share/httpc/pool.go
+++ b/share/httpc/pool.go
@@ -73,7 +73,7 @@
 func (p *Pool) Forward(forward router.Forward) {
 	send := router.Send{Call: forward.Call, Request: forward.Request, Leaf: forward.Address, Address: forward.Address, Timeout: forward.Timeout}
 	request := p.newRequest(send)
-	delete(request.Header, p.Dialect.ExpectLeaf)
+	delete(request.Header, p.Dialect.ExpectLeaf) // the receiver is not a leaf
 	request.Header[HeaderForwardTarget] = []string{strconv.FormatInt(int64(forward.Target), 10)}
 	request.Header[HeaderForwardShards] = []string{strings.Join(forward.Shards, ",")}
 	request.Header[HeaderForwardVersion] = []string{strconv.FormatUint(forward.Version, 10)}
@@ -105,7 +105,7 @@
 		p.opening[address]--
 		p.mu.Unlock()
 		if err == nil {
-			p.putIdle(address, newConn(netConn, &p.Dialect), 0)
+			p.putIdle(address, newConn(netConn, &p.Dialect), 0) // its idle timeout is unknown
 		}
 		// An unreachable host is detected by the next request.
 	})
@@ -347,8 +347,8 @@
 	}
 }
 
-// newRequest builds the request to a leaf from the caller's headers without those of its
-// connection, and the headers of the dialect.
+// newRequest builds the request to a leaf from the caller's headers, which no longer hold
+// those of the caller's connection, and the headers of the dialect.
 func (p *Pool) newRequest(send router.Send) *http.Request {
 	h := make(http.Header, len(send.Request.Header)+2)
 	for name, values := range send.Request.Header {
@@ -371,6 +371,7 @@
 
 // dial opens a connection to a leaf or another host.
 func (p *Pool) dial(ctx context.Context, address string) (net.Conn, error) {
+	// A negative KeepAlive turns off TCP's keep-alive probes.
 	d := net.Dialer{Timeout: dialTimeout, Control: setSocketOptions, KeepAlive: -1, LocalAddr: fetch.SourceAddr(p.Source)}
 	return d.DialContext(ctx, "tcp", address)
 }
@@ -405,7 +406,7 @@
 	c.mu.Lock()
 	c.usableUntil = 0
 	if idleTimeout > 0 {
-		// Half of a timeout that is shorter than twice the margin.
+		// A timeout shorter than twice the margin has half of itself as margin.
 		c.usableUntil = p.Clock.Now() + max(idleTimeout-idleMargin, idleTimeout/2)
 	}
 	c.mu.Unlock()
