--- a/share/proxy/callers.go
+++ b/share/proxy/callers.go
@@ -91,6 +91,8 @@
 	}
 	shards := strings.Split(r.Header.Get(httpc.HeaderForwardShards), ",")
 	late := r.Header.Get(httpc.HeaderForwardLate) != ""
+	// leafRequest copies the remaining headers, and a call to a leaf with
+	// HeaderForwardTarget would count as forwarded.
 	r.Header.Del(httpc.HeaderForwardLate)
 	r.Header.Del(httpc.HeaderForwardShards)
 	r.Header.Del(httpc.HeaderForwardTarget)
@@ -172,13 +174,13 @@
 // leafRequest returns the part of a caller's request that is sent to leaves.
 func (s *Server) leafRequest(r *http.Request, body []byte) *call.Request {
 	target := r.RequestURI
-	// nbhttp sets the host; some callers send the absolute form.
+	// Some callers send the target in absolute form.
 	if rest, ok := strings.CutPrefix(target, "http://"); ok {
 		_, path, _ := strings.Cut(rest, "/")
 		target = "/" + path
 	}
 	host := r.Host
-	if host == "" {
+	if host == "" { // nbhttp leaves it empty for a target in absolute form
 		host = r.Header.Get("Host")
 	}
 	h := r.Header.Clone()
--- a/share/proxy/notes.go
+++ b/share/proxy/notes.go
@@ -12,47 +12,47 @@
 // maxMissingLogged is the maximum number of missing shards in a log line.
 const maxMissingLogged = 8
 
-// logNote logs a decision and counts it.
-func (s *Server) logNote(note router.LogRecord) {
+// logRecord logs a decision and counts it.
+func (s *Server) logRecord(record router.LogRecord) {
 	level := zerolog.InfoLevel
-	if note.Kind.Important() {
+	if record.Kind.Important() {
 		level = zerolog.WarnLevel
 	}
 	line := s.Log.WithLevel(level)
-	addText(line, "request", note.Request)
-	addText(line, "route", note.Route)
-	addText(line, "service", note.Service)
-	addText(line, "leaf", note.Leaf)
-	addText(line, "cause", note.Cause)
-	if note.Version > 0 {
-		line.Uint64("version", note.Version)
+	addText(line, "request", record.Request)
+	addText(line, "route", record.Route)
+	addText(line, "service", record.Service)
+	addText(line, "leaf", record.Leaf)
+	addText(line, "cause", record.Cause)
+	if record.Version > 0 {
+		line.Uint64("version", record.Version)
 	}
-	if note.Took > 0 {
-		line.Int64("took-ms", int64(note.Took))
+	if record.Took > 0 {
+		line.Int64("took-ms", int64(record.Took))
 	}
-	if note.Wait > 0 {
-		line.Int64("wait-ms", int64(note.Wait)).Int64("passed-ms", int64(note.SinceFirstAttempt))
+	if record.Wait > 0 {
+		line.Int64("wait-ms", int64(record.Wait)).Int64("passed-ms", int64(record.SinceFirstAttempt))
 	}
-	if note.Due > 0 {
-		line.Int64("due-ms", int64(note.Due))
+	if record.Due > 0 {
+		line.Int64("due-ms", int64(record.Due))
 	}
-	addFlag(line, "forwarded", note.Forwarded)
-	addFlag(line, "late", note.Late)
-	addText(line, "remote", note.Remote)
-	if note.Total > 0 {
-		line.Int("got", note.Count).Int("of", note.Total)
+	addFlag(line, "forwarded", record.Forwarded)
+	addFlag(line, "late", record.Late)
+	addText(line, "remote", record.Remote)
+	if record.Total > 0 {
+		line.Int("got", record.Count).Int("of", record.Total)
 	}
-	if note.Extra > 0 {
-		line.Int("extra", note.Extra)
+	if record.Extra > 0 {
+		line.Int("extra", record.Extra)
 	}
-	if note.Kind == router.LogHedged || note.Kind == router.LogRetried || note.Kind == router.LogWithheld {
-		line.Float64("budget-left", note.BudgetLeft)
+	if record.Kind == router.LogHedged || record.Kind == router.LogRetried || record.Kind == router.LogWithheld {
+		line.Float64("budget-left", record.BudgetLeft)
 	}
-	if len(note.Missing) > 0 {
-		line.Array("missing", missingShards(note.Missing[:min(len(note.Missing), maxMissingLogged)]))
+	if len(record.Missing) > 0 {
+		line.Array("missing", missingShards(record.Missing[:min(len(record.Missing), maxMissingLogged)]))
 	}
-	line.Msg(note.Kind.String())
-	s.countNote(note)
+	line.Msg(record.Kind.String())
+	s.countRecord(record)
 }
 
 // addText adds a field unless its value is empty.
@@ -79,17 +79,17 @@
 	}
 }
 
-// countNote updates the metrics. Their labels come from fixed lists and the operators'
+// countRecord updates the metrics. Their labels come from fixed lists and the operators'
 // routes, never from callers.
-func (s *Server) countNote(note router.LogRecord) {
-	s.Meter.Count("decisions", 1, meter.Label{Name: "kind", Value: note.Kind.String()})
-	switch note.Kind {
+func (s *Server) countRecord(record router.LogRecord) {
+	s.Meter.Count("decisions", 1, meter.Label{Name: "kind", Value: record.Kind.String()})
+	switch record.Kind {
 	case router.LogAnswered, router.LogPartial:
-		s.Meter.Latency("answer_time", note.Took.Duration(), meter.Label{Name: "route", Value: note.Route})
-		s.Meter.Count("extra_calls", int64(note.Extra))
+		s.Meter.Latency("answer_time", record.Took.Duration(), meter.Label{Name: "route", Value: record.Route})
+		s.Meter.Count("extra_calls", int64(record.Extra))
 	case router.LogRefused:
 		s.Meter.Count("refusals", 1,
-			meter.Label{Name: "route", Value: note.Route}, meter.Label{Name: "reason", Value: note.Refusal.String()})
+			meter.Label{Name: "route", Value: record.Route}, meter.Label{Name: "reason", Value: record.Refusal.String()})
 	}
 }
 
--- a/share/proxy/peers.go
+++ b/share/proxy/peers.go
@@ -148,7 +148,7 @@
 func (p *peers) wakeUp() {
 	select {
 	case p.wake <- struct{}{}:
-	default:
+	default: // a wake-up is already queued
 	}
 }
 
@@ -157,7 +157,7 @@
 	for {
 		p.round()
 		p.report()
-		timer := time.NewTimer(p.schedule())
+		timer := time.NewTimer(p.scheduleRound())
 		select {
 		case <-p.stop:
 			timer.Stop()
@@ -192,8 +192,8 @@
 	p.send(packets)
 }
 
-// schedule schedules the next round and returns the time until then.
-func (p *peers) schedule() time.Duration {
+// scheduleRound schedules the next round and returns the time until then.
+func (p *peers) scheduleRound() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.nextRound = p.next()
--- a/share/proxy/reports.go
+++ b/share/proxy/reports.go
@@ -46,8 +46,8 @@
 
 const (
 	// leafReportDelay is how long load reports are collected before they are sent.
-	// Within this time several calls of a host show the same, and a leaf stalls for
-	// many times as long.
+	// When a leaf stalls, several calls of a host show it within this time, and the
+	// stall lasts many times as long.
 	leafReportDelay = 15 * time.Millisecond
 	// maxReportHosts is the maximum number of hosts that get a report at once.
 	maxReportHosts = 24
--- a/share/proxy/server.go
+++ b/share/proxy/server.go
@@ -115,15 +115,15 @@
 func (s *Server) Ready() bool { return s.ready.Load() && !s.leaving.Load() }
 
 // SetTopology applies a new configuration and inventory.
-func (s *Server) SetTopology(facts router.Topology) {
-	if facts.Table != nil {
-		limits := facts.Table.Limits
+func (s *Server) SetTopology(topology router.Topology) {
+	if topology.Table != nil {
+		limits := topology.Table.Limits
 		s.server.SetLimits(httpd.Limits{
 			MaxHeaderBytes: limits.MaxHeaderBytes, MaxBodyBytes: limits.MaxBodyBytes,
 			StallTimeout: limits.HeaderTimeout.Duration(), IdleTimeout: limits.IdleTimeout.Duration(),
 		})
 	}
-	s.post(facts)
+	s.post(topology)
 }
 
 // peersChanged passes the list of other hosts to the control loop and to OnPeers.
@@ -187,7 +187,7 @@
 func (s *Server) setTimer(timer *time.Timer) {
 	next := s.engine.NextTick()
 	if next == 0 {
-		timer.Reset(time.Hour)
+		timer.Reset(time.Hour) // an event sets the timer again
 		return
 	}
 	timer.Reset(max(0, (next - s.Clock.Now()).Duration()))
@@ -218,7 +218,7 @@
 		case router.CountCall:
 			s.countCall(a)
 		case router.LogRecord:
-			s.logNote(a)
+			s.logRecord(a)
 		}
 	}
 	s.ready.Store(s.engine.Ready())
--- a/share/proxy/server_test.go
+++ b/share/proxy/server_test.go
@@ -168,7 +168,7 @@
 		if strings.HasSuffix(q.URL.Path, "broken") {
 			panic(http.ErrAbortHandler)
 		}
-		writeStampedReply(w, q, record('c')+record('b')+"rest")
+		writeStampedReply(w, q, record('c')+record('b')+"rest") // the merge ignores an incomplete record
 	})
 	r.configure()
 	c := r.dial()
@@ -322,7 +322,7 @@
 		}
 		return poll.Continue("not arrived")
 	})
-	time.Sleep(20 * time.Millisecond)
+	time.Sleep(20 * time.Millisecond) // until the caller waits for its answer
 	go r.close()
 	res := c.receive()
 	assert.Equal(t, res.StatusCode, http.StatusBadGateway)
@@ -356,5 +356,5 @@
 		caller.send(c.text)
 		assert.Equal(t, caller.receive().StatusCode, c.status, "%.60s", c.text)
 	}
-	assert.Equal(t, received.Load(), int64(1))
+	assert.Equal(t, received.Load(), int64(1)) // the body at the limit
 }
