--- a/share/route/route_test.go
+++ b/share/route/route_test.go
@@ -32,10 +32,10 @@
 	for _, c := range []struct {
 		share  float64
 		shards int
-		least  int
+		want   int
 	}{{0.9, 20, 18}, {0.89, 20, 18}, {0.95, 90, 86}, {1, 3, 3}, {0, 3, 1}, {0.34, 3, 2}} {
 		r := Route{MinShare: c.share, Shards: make([]string, c.shards)}
-		assert.Equal(t, r.MinShards(), c.least, "%g of %d", c.share, c.shards)
+		assert.Equal(t, r.MinShards(), c.want, "%g of %d", c.share, c.shards)
 	}
 }
 
