--- a/share/httpd/httpd_test.go
+++ b/share/httpd/httpd_test.go
@@ -62,7 +62,7 @@
 }
 
 // A caller closes or resets its connection while its request is handled. Without a
-// canceled context, the host would go on working for nobody.
+// cancelled context, the host would go on working for nobody.
 func TestContextEndsWhenTheCallerDisconnects(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn){
 		"close": func(c *net.TCPConn) { assert.Check(t, c.Close()) },
