--- a/share/fetch/client.go
+++ b/share/fetch/client.go
@@ -49,8 +49,8 @@
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case g := <-results:
-		return g.reply, g.err
+	case got := <-results:
+		return got.reply, got.err
 	case <-c.Engine.done:
 		// A connection that was opened while the engine stopped never gets a
 		// reply, and the library doesn't report it.
