--- a/share/netio/netio.go
+++ b/share/netio/netio.go
@@ -8,7 +8,7 @@
 )
 
 func init() {
-	// The library logs to standard output, which the programs use for their output.
+	// The library logs to standard output, which is for the output of the process itself.
 	logging.SetLevel(logging.LevelNone)
 	// The library writes to buffers that it has freed, and frees some of them twice.
 	// With its default allocator, which reuses them, two connections would share such a
