--- a/share/conf/conf.go
+++ b/share/conf/conf.go
@@ -159,8 +159,8 @@
 	return f
 }
 
-// unknownKeys compares the keys of a node with the fields of a type. The library's
-// own strict mode stops at the first unknown key, and operators need all of them.
+// unknownKeys returns a fault for each key of a node that is no field of a type. The
+// library's own strict mode stops at the first unknown key, and operators need all of them.
 func unknownKeys(file, parentPath string, n ast.Node, t reflect.Type) Faults {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
@@ -234,7 +234,8 @@
 	return v
 }()
 
-// validateStruct checks the validate tags and maps each failure to its key and line.
+// validateStruct checks the validate tags and maps each failure to its key and line. It
+// returns nil if all values pass.
 func validateStruct(src Source, v any) Faults {
 	err := validate.Struct(v)
 	var list validator.ValidationErrors
