--- a/share/daemon/daemon.go
+++ b/share/daemon/daemon.go
@@ -1,5 +1,6 @@
-// Package daemon runs the long-running programs: it parses arguments, loads
-// settings, sets up logs, metrics and the admin address, and shuts down on a signal.
+// Package daemon runs the long-running programs, entry and aggregator: it parses
+// arguments, loads settings, sets up logs, metrics and the admin address, and shuts
+// down on a signal.
 package daemon
 
 import (
