--- a/share/logs/bounded.go
+++ b/share/logs/bounded.go
@@ -27,9 +27,11 @@
 type BoundedWriter struct {
 	out io.Writer
 
-	mu        sync.Mutex
-	normal    queue
-	failures  queue
+	mu       sync.Mutex
+	normal   queue
+	failures queue
+	// ready has a value when lines were queued. Close closes stop, and flushLoop then
+	// closes done.
 	ready     chan struct{}
 	stop      chan struct{}
 	done      chan struct{}
