--- a/share/meter/meter.go
+++ b/share/meter/meter.go
@@ -90,7 +90,7 @@
 	m.scopeWith(labels).Histogram(name, latencyBuckets).RecordDuration(d)
 }
 
-// Handler returns a handler that serves the metrics page.
+// Handler returns a handler that serves the metrics page. The meter must come from New.
 func (m *Meter) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
 // Close reports the remaining metrics to the registry and ends the reports.
