--- a/share/spans/spans.go
+++ b/share/spans/spans.go
@@ -1,5 +1,5 @@
-// Package spans records a trace span per hop. Spans are written to a file, one
-// JSON object per line, in the format of OpenTelemetry's stdout exporter.
+// Package spans records trace spans and writes them to a file, one JSON object per
+// line, in the format of OpenTelemetry's stdout exporter.
 package spans
 
 import (
@@ -22,7 +22,7 @@
 	file     *os.File
 }
 
-// New returns a tracer that appends the spans of a ratio of all traces to a file. A trace
+// New returns a tracer that appends the spans of the given ratio of all traces to a file. A trace
 // that another process began is recorded if that process records it. An empty path
 // disables tracing.
 func New(path, program, host string, ratio float64) (*Tracer, error) {
@@ -49,7 +49,7 @@
 	return &Tracer{provider: p, tracer: p.Tracer("dandelionstile"), file: file}, nil
 }
 
-// Span is the part of a trace on one hop. The zero value records nothing.
+// Span is one span of a trace. The zero value records nothing.
 type Span struct {
 	span api.Span
 	ctx  context.Context
