--- a/share/clock/clock.go
+++ b/share/clock/clock.go
@@ -1,6 +1,6 @@
 // Package clock provides the time to all of dandelionstile, in whole milliseconds.
 // Code that makes decisions receives the time as an argument and never reads it, so
-// the same code runs in the programs (Wall) and in tests and benchmarks (Virtual).
+// the same code runs in processes (Wall) and in tests and benchmarks (Virtual).
 package clock
 
 import (
