--- a/share/admin/admin.go
+++ b/share/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin holds the JSON bodies of the programs' admin endpoints, which the
-// programs write and `stile` reads.
+// Package admin holds the JSON bodies of the admin endpoints, which entries and
+// aggregators write and `stile` reads.
 package admin
 
 import (
@@ -18,7 +18,7 @@
 	Strikes  []Strike  `json:"quarantine,omitempty"`
 }
 
-// Node is the part of the status that both programs have.
+// Node is the part of the status that entries and aggregators share.
 type Node struct {
 	Host        string `json:"host"`
 	Domain      string `json:"failure-domain"`
@@ -30,8 +30,8 @@
 	Leaving bool `json:"leaving"`
 	// Watching is set while the host watches the platform for new versions.
 	Watching bool `json:"watching"`
-	// PlatformAge is the time since any process that this program knows of last
-	// reached the platform, in ms; -1 if none has.
+	// PlatformAge is the time since any process that this one knows of last reached
+	// the platform, in ms; -1 if none has.
 	PlatformAge int64             `json:"platform-age-ms"`
 	Versions    []Version         `json:"versions"`
 	Rejected    []RejectedVersion `json:"refused"`
@@ -84,7 +84,7 @@
 type Service struct {
 	Service  string `json:"service"`
 	Snapshot string `json:"snapshot"`
-	// Shards counts all shards, Answered those that some leaf could serve.
+	// Shards counts all shards, Reachable those that some leaf could serve.
 	Shards    int       `json:"shards"`
 	Reachable int       `json:"reachable"`
 	Missing   []Missing `json:"missing"`
