--- a/share/wire/map.go
+++ b/share/wire/map.go
@@ -1,5 +1,5 @@
 // Package wire holds the messages between dandelionstile's processes, generated
-// from wire.proto, and converts those that both programs use to domain types.
+// from wire.proto, and converts those that entries and aggregators share to domain types.
 package wire
 
 import (
@@ -11,31 +11,31 @@
 // EncodeOutcome converts an outcome to its message. Body, the result of an update, is not part
 // of the message.
 func EncodeOutcome(o query.Outcome) *Outcome {
-	w := &Outcome{
+	message := &Outcome{
 		Call: o.Call, Kind: uint32(o.Kind), Reason: string(o.Reason),
 		RetryAfterMs: uint32(o.RetryAfter), TookMs: uint32(o.Took), Strikes: uint32(o.Strikes),
 	}
 	for _, r := range o.Rows {
-		w.Rows = append(w.Rows, &Row{Key: r.Key, Score: r.Score, Text: r.Text})
+		message.Rows = append(message.Rows, &Row{Key: r.Key, Score: r.Score, Text: r.Text})
 	}
 	if o.Feedback != nil {
-		w.Feedback = EncodeFeedback(*o.Feedback)
+		message.Feedback = EncodeFeedback(*o.Feedback)
 	}
-	return w
+	return message
 }
 
 // DecodeOutcome converts a message to an outcome. An unrecognized kind becomes
-// query.Unknown, which guarantees the least.
-func DecodeOutcome(w *Outcome) query.Outcome {
+// query.Unknown, since the request may have run.
+func DecodeOutcome(message *Outcome) query.Outcome {
 	o := query.Outcome{
-		Call: w.GetCall(), Kind: DecodeKind(w.GetKind()), Reason: query.Reason(w.GetReason()),
-		RetryAfter: clock.Milli(w.GetRetryAfterMs()), Took: clock.Milli(w.GetTookMs()), Strikes: int(w.GetStrikes()),
+		Call: message.GetCall(), Kind: DecodeKind(message.GetKind()), Reason: query.Reason(message.GetReason()),
+		RetryAfter: clock.Milli(message.GetRetryAfterMs()), Took: clock.Milli(message.GetTookMs()), Strikes: int(message.GetStrikes()),
 	}
-	for _, r := range w.GetRows() {
+	for _, r := range message.GetRows() {
 		o.Rows = append(o.Rows, query.Row{Key: r.GetKey(), Score: r.GetScore(), Text: r.GetText()})
 	}
-	if w.GetFeedback() != nil {
-		fb := DecodeFeedback(w.GetFeedback())
+	if message.GetFeedback() != nil {
+		fb := DecodeFeedback(message.GetFeedback())
 		o.Feedback = &fb
 	}
 	return o
@@ -52,21 +52,21 @@
 
 // EncodeFeedback converts feedback to its message.
 func EncodeFeedback(fb query.Feedback) *Feedback {
-	w := &Feedback{
+	message := &Feedback{
 		Leaf: fb.Leaf, Busy: uint32(fb.Busy), Limit: uint32(fb.Limit), Queued: uint32(fb.Queued), Closed: fb.Closed, PaceMs: float32(fb.CallTime),
 	}
 	for _, s := range fb.Holds {
-		w.Holds = append(w.Holds, &Snapshot{Layout: s.Layout, Version: s.Version})
+		message.Holds = append(message.Holds, &Snapshot{Layout: s.Layout, Version: s.Version})
 	}
-	return w
+	return message
 }
 
 // DecodeFeedback converts a message to feedback; a nil message gives the zero value.
-func DecodeFeedback(w *Feedback) query.Feedback {
+func DecodeFeedback(message *Feedback) query.Feedback {
 	fb := query.Feedback{
-		Leaf: w.GetLeaf(), Busy: int(w.GetBusy()), Limit: int(w.GetLimit()), Queued: int(w.GetQueued()), Closed: w.GetClosed(), CallTime: float64(w.GetPaceMs()),
+		Leaf: message.GetLeaf(), Busy: int(message.GetBusy()), Limit: int(message.GetLimit()), Queued: int(message.GetQueued()), Closed: message.GetClosed(), CallTime: float64(message.GetPaceMs()),
 	}
-	for _, s := range w.GetHolds() {
+	for _, s := range message.GetHolds() {
 		fb.Holds = append(fb.Holds, topo.SnapshotID{Layout: s.GetLayout(), Version: s.GetVersion()})
 	}
 	return fb
