--- a/bench/cmds/load.go
+++ b/bench/cmds/load.go
@@ -68,8 +68,8 @@
 	if err := engine.Start(); err != nil {
 		return err
 	}
-	defer func() { _ = engine.Close() }() // all queries have ended
-	t := &tally{latency: hdrhistogram.New(1, 600000, 3), refused: map[string]int{}}
+	defer func() { _ = engine.Close() }()                                           // all queries have ended
+	t := &tally{latency: hdrhistogram.New(1, 600000, 3), refused: map[string]int{}} // up to 60 s
 	due := make(chan int, maxRate)
 	var wg sync.WaitGroup
 	for w := range c.Workers {
@@ -148,7 +148,7 @@
 	case reply.Status != http.StatusOK:
 		t.refused[a.Reason]++
 	default:
-		_ = t.latency.RecordValue(min(elapsed.Microseconds()/100, 600000)) // in range
+		_ = t.latency.RecordValue(min(elapsed.Microseconds()/100, 600000)) // within the range of the histogram
 		t.extra += a.Extra
 		if a.Complete {
 			t.complete++
--- a/bench/cmds/plot.go
+++ b/bench/cmds/plot.go
@@ -86,8 +86,8 @@
 	return errors.Wrap(p.Save(width, height, filepath.Join(c.Out, "p99-"+deployment+".png")), "save plot")
 }
 
-// plotCurve runs stragglers on kumomaru with several patience settings and plots the
-// results.
+// plotCurve runs stragglers on kumomaru, with the product's policies and several
+// patience settings, and plots the results.
 func (c *plotCommand) plotCurve() error {
 	s, _ := scene.ByName("stragglers")
 	var tasks []task
--- a/bench/deploy/deploy.go
+++ b/bench/deploy/deploy.go
@@ -12,7 +12,8 @@
 // Service describes a service and its size.
 type Service struct {
 	Name string
-	// Instances is the number of backend servers, Leaves the leaves on each.
+	// Instances is the number of backend servers, Leaves the leaves on each. Slots and
+	// Connections are limits of each leaf.
 	Instances   int
 	Leaves      int
 	Slots       int
@@ -94,7 +95,8 @@
 // Times that apply to every service.
 const (
 	// WarmUp is the time that a cold leaf needs until it has all of its slots.
-	WarmUp   = 5 * clock.Second
+	WarmUp = 5 * clock.Second
+	// Deadline is the time budget of a query.
 	Deadline = clock.Second
 )
 
@@ -116,8 +118,8 @@
 			for j := range v.Leaves {
 				// Consecutive instances are in different domains; the leaves of an
 				// instance hold different shards.
-				slot := j*v.Instances + i
-				shard := slot / v.Replicas % v.Shards()
+				leafIndex := j*v.Instances + i
+				shard := leafIndex / v.Replicas % v.Shards()
 				s.Leaves = append(s.Leaves, topo.Leaf{
 					Name: fmt.Sprintf("%s-%d-%d", v.Name, i, j), Slots: v.Slots, Connections: v.Connections,
 					Holds: []topo.Hold{{Layout: 1, Shard: shard}, {Layout: 2, Shard: shard % v.mergedShards()}},
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -62,7 +62,7 @@
 	hostSets       map[string]*syncer.Set
 	pendingWatches []pendingWatch
 	partitions     map[[2]string]bool // pairs of failure domains, in both orders
-	changed        int                // parts that the latest version changed
+	changedParts   int                // parts that the latest version changed
 }
 
 // pendingWatch is a watch that waits for a change of its key. done becomes true once
@@ -82,17 +82,18 @@
 	Engine *syncer.Engine
 	links  map[string]bool // names of the peers
 	// Bytes counts the bytes sent and received.
-	Bytes  int
-	Down   bool
-	Frozen bool
+	Bytes int
+	Down  bool
+	// Paused makes the host put off what it would run until Resume.
+	Paused bool
 	// Isolated cuts the host off from the platform.
 	Isolated  bool
-	backlog   []func()     // what the host runs after the thaw
+	backlog   []func()     // what the host runs when it resumes
 	inForce   syncer.Stamp // the version of the configuration that is in force
 	adoptedAt map[uint64]clock.Milli
 }
 
-// configKey is the key of the configuration.
+// configKey is the key of the configuration. The other keys hold host lists.
 const configKey = "config"
 
 // Start builds the hosts with empty state and schedules their timers.
@@ -130,7 +131,7 @@
 // boot gives the host an engine with empty state. The hosts of a failure domain
 // are ranked by hash, and the first in rank watch the platform.
 func (n *Node) boot(list []topo.Host) {
-	n.Engine = &syncer.Engine{WatchKeys: []string{configKey, "hosts/" + n.Domain}, Rank: -1}
+	n.Engine = &syncer.Engine{WatchKeys: []string{configKey, "hosts/" + n.Domain}, Rank: -1} // the rank is set below
 	n.inForce = syncer.Stamp{}
 	var domain []topo.Host
 	for _, h := range list {
@@ -145,13 +146,16 @@
 	}
 }
 
-// link connects the hosts to the neighbors that the programs choose.
+// link links each host, in both directions, to the hosts that assign.Neighbours
+// selects for its aggregator. In the simulation a host's name is also the link address
+// of its aggregator.
 func (f *Fleet) link(list []topo.Host) {
 	for i := range list {
 		list[i].Aggregator = list[i].Name
 	}
 	empty := &topo.Config{}
 	for _, n := range f.Nodes {
+		// The numbers of links are those of aggregator/core.
 		network := assign.Network{Self: n.Name, Domain: n.Domain, FullMeshMaxHosts: 16, LocalLinks: 3, RemoteLinks: 2}
 		for _, peer := range assign.Neighbours(network, empty, list) {
 			if peer != n.Name {
@@ -193,21 +197,21 @@
 	f.Clock.After(phase, heartbeat)
 }
 
-// do runs f on the host: now, after the thaw if the host is frozen, or never if
+// do runs f on the host: now, after the resume if the host is paused, or never if
 // it is down.
 func (n *Node) do(f func()) {
 	switch {
 	case n.Down: // f is lost
-	case n.Frozen:
+	case n.Paused:
 		n.backlog = append(n.backlog, f)
 	default:
 		f()
 	}
 }
 
-// Thaw continues a frozen host and runs its backlog.
-func (n *Node) Thaw() {
-	n.Frozen = false
+// Resume continues a paused host and runs its backlog.
+func (n *Node) Resume() {
+	n.Paused = false
 	backlog := n.backlog
 	n.backlog = nil
 	for _, f := range backlog {
@@ -358,7 +362,7 @@
 // parts, one read each.
 func (f *Fleet) answerRead(n *Node, key string, set *syncer.Set) {
 	if key == configKey && n.Engine.Set(configKey) != nil {
-		f.Reads += max(1, f.changed)
+		f.Reads += max(1, f.changedParts)
 	}
 	f.Clock.After(readLatency, func() {
 		n.do(func() { n.apply(n.Engine.HandleRead(f.Clock.Now(), syncer.ReadResult{Key: key, Set: set})) })
@@ -374,7 +378,7 @@
 	body[f.Random.IntN(len(body))]++
 	items[i].Body = body
 	f.config = syncer.NewSet(f.config.Version+1, items)
-	f.changed = 1
+	f.changedParts = 1
 	watches := f.pendingWatches
 	f.pendingWatches = nil
 	for _, w := range watches {
@@ -391,18 +395,19 @@
 	return f.config.Version
 }
 
-// AllHave reports whether every running host has a version or a later one.
+// AllHave reports whether every running host, that is neither down nor paused, has a
+// version or a later one.
 func (f *Fleet) AllHave(version uint64) bool {
 	for _, n := range f.Nodes {
-		if !n.Down && !n.Frozen && n.Engine.Stamp(configKey).Version < version {
+		if !n.Down && !n.Paused && n.Engine.Stamp(configKey).Version < version {
 			return false
 		}
 	}
 	return true
 }
 
-// RunUntil runs until a condition holds, or for the limit, and returns the elapsed
-// time.
+// RunUntil runs until a condition holds, which it checks every 5 ms, or for the limit,
+// and returns the elapsed time.
 func (f *Fleet) RunUntil(limit clock.Milli, cond func() bool) clock.Milli {
 	begin := f.Clock.Now()
 	for f.Clock.Now()-begin < limit {
--- a/bench/fleet/fleet_test.go
+++ b/bench/fleet/fleet_test.go
@@ -51,19 +51,19 @@
 	assert.Assert(t, elapsed <= 3*clock.Second, "took %d ms", elapsed)
 }
 
-// Both watchers of a failure domain freeze before a change is published. The
+// Both watchers of a failure domain are paused before a change is published. The
 // next hosts in rank must take over the watch without an election.
 func TestFrozenWatchersAreReplaced(t *testing.T) {
 	f := start(21)
 	for _, n := range f.Nodes {
-		n.Frozen = n.Engine.Rank == 0 || n.Engine.Rank == 1
+		n.Paused = n.Engine.Rank == 0 || n.Engine.Rank == 1
 	}
 	f.Clock.Run(f.Clock.Now() + 10*clock.Second)
 	v := f.Publish()
 	elapsed := f.RunUntil(20*clock.Second, func() bool { return f.AllHave(v) })
 	assert.Assert(t, f.AllHave(v), "not in force after %d ms", elapsed)
 	for _, n := range f.Nodes {
-		n.Thaw()
+		n.Resume()
 	}
 	f.Clock.Run(f.Clock.Now() + 5*clock.Second)
 	assert.Assert(t, f.AllHave(v))
@@ -72,7 +72,7 @@
 
 // After its own restart the platform returns an old version for a while. A host
 // that adopted it would return a failure domain to service that operators have
-// taken out.
+// taken out of service.
 func TestStalePlatformNeverReverts(t *testing.T) {
 	f := start(21)
 	v := f.Publish()
--- a/bench/virt/host.go
+++ b/bench/virt/host.go
@@ -22,20 +22,20 @@
 	Sched  *sched.Engine
 	cfg    *topo.Config
 
-	incarnation uint64
-	down        bool
-	leaving     bool
-	paused      bool
-	frozen      bool            // paused longer than detectionTime: the peers closed their links
-	backlog     []func()        // what the host runs when it resumes
-	linked      map[string]bool // hosts with an open link
+	incarnation   uint64
+	down          bool
+	leaving       bool
+	paused        bool
+	pauseDetected bool            // paused longer than detectionTime: the peers closed their links
+	backlog       []func()        // what the host runs when it resumes
+	linked        map[string]bool // hosts with an open link
 }
 
 // boot starts the host's programs with empty state.
 func (h *Host) boot() {
 	w := h.World
 	h.incarnation++
-	h.down, h.leaving, h.paused, h.frozen, h.backlog = false, false, false, false, nil
+	h.down, h.leaving, h.paused, h.pauseDetected, h.backlog = false, false, false, false, nil
 	h.linked = map[string]bool{}
 	h.Fanout = &fanout.Engine{
 		Self: h.Name, Domain: h.Domain, Policy: w.Policies.Fanout,
@@ -44,7 +44,7 @@
 	h.Fanout.SetIncarnation(h.incarnation)
 	h.Sched = &sched.Engine{Self: h.Name, Domain: h.Domain, Policy: w.Policies.Sched}
 	h.configure(w.Config)
-	w.Clock.After(1, h.relinkAll)
+	w.Clock.After(1, h.relinkAll) // when Start has booted the other hosts too
 }
 
 // do runs f on the host: now, after the resume if the host is paused, or never
@@ -59,13 +59,13 @@
 	}
 }
 
-// Pause suspends the host, which cannot notice it. The peers close their links
-// after detectionTime.
+// Pause suspends the host, whose engines don't notice it. The peers close their
+// links after detectionTime.
 func (h *Host) Pause() {
 	h.paused = true
 	h.World.Clock.After(detectionTime, func() {
 		if h.paused {
-			h.frozen = true
+			h.pauseDetected = true
 			h.relinkAll()
 		}
 	})
@@ -80,7 +80,7 @@
 
 // Resume continues a paused host and runs its backlog.
 func (h *Host) Resume() {
-	h.paused, h.frozen = false, false
+	h.paused, h.pauseDetected = false, false
 	backlog := h.backlog
 	h.backlog = nil
 	for _, f := range backlog {
@@ -101,7 +101,9 @@
 // Restart starts the programs of a host that is down.
 func (h *Host) Restart() { h.boot() }
 
-// Leave begins a graceful shutdown and calls done when the host is down.
+// Leave begins a graceful shutdown: the scheduler stops admission after 500 ms, and the
+// programs end once they are idle, but not before 2 s. It calls done when the host is
+// down.
 func (h *Host) Leave(done func()) {
 	h.leaving = true
 	for _, other := range h.World.Hosts {
@@ -142,7 +144,7 @@
 func (h *Host) relink() {
 	now := h.World.Now()
 	for _, other := range h.World.Hosts {
-		up := !other.down && !other.frozen && !h.World.partitioned(h.Domain, other.Domain)
+		up := !other.down && !other.pauseDetected && !h.World.partitioned(h.Domain, other.Domain)
 		if up == h.linked[other.Name] {
 			continue
 		}
@@ -271,8 +273,9 @@
 	}))
 }
 
-// forward sends an update to the host that minted its ID and returns the result to
-// this host. It fails at once if the other host cannot be reached.
+// forward sends an update to the host that minted its ID, where it runs under another
+// request ID, and returns the result to this host. It fails at once if the other host
+// is down or partitioned.
 func (h *Host) forward(a fanout.Forward) {
 	w := h.World
 	owner := w.host(a.Host)
--- a/bench/virt/leaf.go
+++ b/bench/virt/leaf.go
@@ -264,7 +264,7 @@
 			f.excessWarm++
 		case f.unseen:
 			f.excessUnseen++
-			w.Clock.After(3, func() { f.unseen = false }) // when the reply has arrived
+			w.Clock.After(3, func() { f.unseen = false }) // a reply counts as received after 3 ms
 		default:
 			f.excessCold++
 		}
@@ -337,7 +337,7 @@
 	return m.ServiceTime * math.Exp(m.LogStdDev*normal-m.LogStdDev*m.LogStdDev/2)
 }
 
-// uniform returns a number in (0, 1] that depends on its arguments alone.
+// uniform returns a pseudo-random number in (0, 1] that depends on its arguments alone.
 func uniform(a, b, c uint64) float64 {
 	x := a*0x9e3779b97f4a7c15 ^ b*0xbf58476d1ce4e5b9 ^ c*0x94d049bb133111eb
 	x ^= x >> 31
--- a/bench/virt/property_test.go
+++ b/bench/virt/property_test.go
@@ -255,6 +255,7 @@
 			w.SetDraining(s.Name, false)
 		}
 		for _, f := range w.leafOrder {
+			// Newer than the versions that switchSnapshots draws.
 			f.SetSnapshots(topo.SnapshotID{Layout: 1, Version: 9})
 		}
 		w.Publish(topo.Rules{}, 200)
--- a/bench/virt/stats.go
+++ b/bench/virt/stats.go
@@ -14,7 +14,7 @@
 	"dandelionstile/share/topo"
 )
 
-// errRefused is the error of a probe to a server that is down.
+// errRefused is the error of a health check whose connection was refused or has closed.
 var errRefused = errors.New("connection refused")
 
 // Second counts the queries that were sent in one second, and the leaf calls that
@@ -190,7 +190,7 @@
 		delete(s.onAnswer, a.Query)
 		done(a.Answer)
 	}
-	now := w.Now() + w.Deployment.CallerLatency
+	arrivedAt := w.Now() + w.Deployment.CallerLatency
 	// A query counts in the second in which it was sent; otherwise a slower query
 	// would look like a lost one.
 	sec := s.second(q.sentAt)
@@ -203,9 +203,9 @@
 	}
 	w.verify(q, a.Answer)
 	s.Answered++
-	_ = s.Latency.RecordValue(int64(max(1, now-q.sentAt))) // the query's budget keeps it in range
+	_ = s.Latency.RecordValue(int64(max(1, arrivedAt-q.sentAt))) // the query's budget keeps it in range
 	if q.caller != GreedyCaller {
-		_ = s.OthersLatency.RecordValue(int64(max(1, now-q.sentAt)))
+		_ = s.OthersLatency.RecordValue(int64(max(1, arrivedAt-q.sentAt)))
 	}
 	s.Shards += a.Answer.Coverage.Shards
 	s.Covered += a.Answer.Coverage.Answered
--- a/bench/virt/world.go
+++ b/bench/virt/world.go
@@ -190,14 +190,15 @@
 // partitioned reports whether a partition separates two failure domains.
 func (w *World) partitioned(a, b string) bool { return w.partitions[domainPair{a, b}] }
 
-// deliver runs f at a host after the network latency, unless the domains are
-// partitioned or the host is down by then. A paused host runs f when it resumes.
-func (w *World) deliver(from string, to *Host, f func()) {
-	if w.partitioned(from, to.Domain) {
+// deliver runs f at a host after the network latency from a failure domain, unless the
+// domains are partitioned or the host is down by then. A paused host runs f when it
+// resumes.
+func (w *World) deliver(fromDomain string, to *Host, f func()) {
+	if w.partitioned(fromDomain, to.Domain) {
 		return
 	}
-	w.Clock.After(w.delay(from, to.Domain), func() {
-		if !w.partitioned(from, to.Domain) {
+	w.Clock.After(w.delay(fromDomain, to.Domain), func() {
+		if !w.partitioned(fromDomain, to.Domain) {
 			to.do(f)
 		}
 	})
