--- a/soak/play/cancelled.go
+++ b/soak/play/cancelled.go
@@ -15,18 +15,18 @@
 	// machine, a host may not have been scheduled in time.
 	maxLateRequests = 3
 	// maxUnstoppedShare is the tolerated share of requests that leaves still run
-	// after the bound, among those that would have run on without a cancellation.
+	// after the bound, among those that would have run longer without a cancellation.
 	maxUnstoppedShare = 0.25
 )
 
-// checkCanceled checks that hosts and leaves stop working on a request once its
+// checkCancelled checks that hosts and leaves stop working on a request once its
 // caller has disconnected.
-func (t *testbed) checkCanceled(traces map[string]*requestTrace) {
+func (t *testbed) checkCancelled(traces map[string]*requestTrace) {
 	sentLate, unstopped, stoppable := 0, 0, 0
 	lastSentLate, lastUnstopped := "", ""
 	for _, r := range t.results.requests {
 		trace := traces[r.id]
-		if !r.canceled || trace == nil {
+		if !r.cancelled || trace == nil {
 			continue
 		}
 		deadline := r.ended.Add(cancelBound)
--- a/soak/play/check.go
+++ b/soak/play/check.go
@@ -77,7 +77,7 @@
 	for _, r := range t.results.requests {
 		t.checkRequest(r, traceOf(r.id))
 	}
-	t.checkCanceled(traces)
+	t.checkCancelled(traces)
 	t.checkHarmful(traces)
 	t.checkBudget(repeats)
 	t.checkRecovery()
@@ -95,7 +95,7 @@
 	if update && r.status == http.StatusServiceUnavailable && trace.runCount > 0 {
 		t.results.addViolation("REFUSED: %s got status 503 but ran", r.id)
 	}
-	if r.status != 0 || r.canceled || r.host.hadFaultDuring(r) {
+	if r.status != 0 || r.cancelled || r.host.hadFaultDuring(r) {
 		return
 	}
 	elapsed := r.ended.Sub(r.sent)
@@ -154,8 +154,9 @@
 	return true // not from a host but a probe of the soak, which is not checked
 }
 
-// collectRepeats adds the times of retries and hedges: all arrivals of a request at
-// a service but one. It reduces the counts in arrivalsByService to 1.
+// collectRepeats adds the times of retries and hedges at a leaf's service to repeats:
+// all arrivals of a request at a service but one. Over all leaves of a
+// service, it reduces the counts in arrivalsByService to 1.
 func (t *testbed) collectRepeats(l *leaf, traces map[string]*requestTrace, repeats map[string][]time.Time) {
 	arrivals, _ := l.Requests()
 	for _, a := range arrivals {
@@ -175,7 +176,7 @@
 // window, the one before it and the one that starts half a window earlier; the
 // highest count applies.
 func (t *testbed) checkBudget(repeats map[string][]time.Time) {
-	sent := map[bool][]time.Time{}
+	sent := map[bool][]time.Time{} // by whether the request goes to all shards
 	for _, r := range t.results.requests {
 		sharded := strings.HasPrefix(r.path, "/all/")
 		sent[sharded] = append(sent[sharded], r.sent)
@@ -221,7 +222,7 @@
 		if r.sent.Before(from) {
 			continue
 		}
-		if r.canceled {
+		if r.cancelled {
 			continue
 		}
 		total++
--- a/soak/play/client.go
+++ b/soak/play/client.go
@@ -27,7 +27,7 @@
 	maxAttempts = 2
 	// One in largeBodyOneIn requests has a large body and a large answer.
 	largeBodyOneIn = 8
-	// One in cancelOneIn requests is canceled within maxCancelDelay.
+	// One in cancelOneIn requests is cancelled within maxCancelDelay.
 	cancelOneIn    = 12
 	maxCancelDelay = 150 * time.Millisecond
 )
@@ -46,13 +46,13 @@
 
 // request is one attempt and its result.
 type request struct {
-	id, path string
-	host     *host
-	sent     time.Time
-	ended    time.Time
-	status   int  // 0: the connection closed without an answer
-	reused   bool // the connection had served another request
-	canceled bool // the caller closed the connection at ended without waiting for the answer
+	id, path  string
+	host      *host
+	sent      time.Time
+	ended     time.Time
+	status    int  // 0: the connection closed without an answer
+	reused    bool // the connection had served another request
+	cancelled bool // the caller closed the connection at ended without waiting for the answer
 }
 
 // run sends requests until the testbed stops, at random intervals of meanInterval on
@@ -77,7 +77,7 @@
 		path = "/one" + fake.LargePath
 	}
 	if c.rand.IntN(cancelOneIn) == 0 {
-		c.sendCanceled(path)
+		c.sendCancelled(path)
 		return
 	}
 	for range maxAttempts {
@@ -97,8 +97,8 @@
 	}
 }
 
-// sendCanceled sends a request and closes the connection before the answer.
-func (c *caller) sendCanceled(path string) {
+// sendCancelled sends a request and closes the connection before the answer.
+func (c *caller) sendCancelled(path string) {
 	if c.conn == nil && !c.connect() {
 		return
 	}
@@ -109,7 +109,7 @@
 	}
 	time.Sleep(time.Duration(c.rand.Int64N(int64(maxCancelDelay))))
 	c.disconnect()
-	r.ended, r.canceled = time.Now(), true
+	r.ended, r.cancelled = time.Now(), true
 	c.testbed.results.addRequest(r)
 }
 
--- a/soak/play/fault.go
+++ b/soak/play/fault.go
@@ -77,7 +77,8 @@
 }
 
 // injectFaults starts random faults until the end of the fault phase and returns
-// their number. Each fault ends by itself.
+// their number. Each fault ends by itself; the duration that it is given ends at most
+// one second after the fault phase.
 func (t *testbed) injectFaults() int {
 	end := t.startedAt.Add(warmUpTime + t.FaultTime)
 	meanInterval := float64(meanFaultInterval)
@@ -182,7 +183,7 @@
 			t.results.addViolation("EXIT: %s exited with status %d after SIGTERM", h.name, code)
 		}
 	case <-time.After(shutdownTimeout):
-		// Another fault, such as a SIGSTOP, may have delayed the shutdown.
+		// A fault may have delayed the shutdown; a paused process doesn't handle SIGTERM.
 		if !h.hadRecentFault() {
 			t.results.addViolation("EXIT: %s was still running %s after SIGTERM", h.name, shutdownTimeout)
 		}
@@ -199,8 +200,8 @@
 
 func openInterval(from time.Time) interval { return interval{from: from} }
 
-// hadRecentFault reports whether another fault affected the host within the last
-// shutdownTimeout.
+// hadRecentFault reports whether one of the host's faults, which don't include
+// terminations, overlaps the last shutdownTimeout.
 func (h *host) hadRecentFault() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -224,7 +225,7 @@
 	t.chooseHost(draw).signal(syscall.SIGHUP, false)
 }
 
-// addStoreFault records a fault of the store that starts now.
+// addStoreFault records a fault of the store that starts now and lasts for duration.
 func (t *testbed) addStoreFault(duration time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
