--- a/fakes/lab/lab.go
+++ b/fakes/lab/lab.go
@@ -98,7 +98,7 @@
 	l.Specs = l.Layout.Servers(func(string) string { return "" }) // addresses are set below
 	for i := range l.Specs {
 		// A server listens on the same port again after a crash.
-		if l.Specs[i].Address, err = portPool.Free("127.0.0.1"); err != nil {
+		if l.Specs[i].Address, err = portPool.Allocate("127.0.0.1"); err != nil {
 			return err
 		}
 		s := leaf.New(l.Specs[i], l.Model)
@@ -133,7 +133,7 @@
 // assignAddresses allocates the addresses of a host and starts its relays.
 func (l *Lab) assignAddresses(h *Host) error {
 	for _, target := range []*string{&h.CallerAddress, &h.RouteAddress, &h.gossipAddress, &h.forwardAddress, &h.EntryAdminAddress, &h.AggAdminAddress, &h.entryListen, &h.aggListen} {
-		addr, err := portPool.Free(h.IP)
+		addr, err := portPool.Allocate(h.IP)
 		if err != nil {
 			return err
 		}
--- a/fakes/lab/lab_test.go
+++ b/fakes/lab/lab_test.go
@@ -250,8 +250,8 @@
 	assert.Equal(t, excess(l), 0)
 }
 
-// Guards against new work for a draining backend server. The host list lags, so
-// that the state in its replies must suffice.
+// Guards against new work for a draining backend server. The configuration doesn't
+// say that it drains; the hosts learn it only from the state in its replies.
 func TestDrainingServerGetsNoNewWork(t *testing.T) {
 	l, _ := startLab(t, nil)
 	name := "subscriber-app-4"
@@ -451,8 +451,8 @@
 		return true
 	}))
 	for _, other := range l.Layout.Domains[1:] {
-		// A silenced connection stays silent; blocking closes it, so that a new one can
-		// be opened.
+		// A connection that has dropped bytes stays silent when its source is open
+		// again; Blocked closes it, and the hosts dial again.
 		l.SetDomainLinks(isolated, other, relay.Blocked)
 		l.SetDomainLinks(isolated, other, relay.Open)
 	}
--- a/fakes/lab/layout.go
+++ b/fakes/lab/layout.go
@@ -49,8 +49,8 @@
 }
 
 // Servers returns the backend servers of a layout. The function address returns
-// the IP and port of each. The replicas of a shard are in different domains as
-// far as there are enough.
+// the address (IP and port) of each. The replicas of a shard are in different domains
+// as far as there are enough.
 func (l Layout) Servers(address func(name string) string) []topo.Server {
 	var list []topo.Server
 	for _, v := range l.Services {
--- a/fakes/lab/load_test.go
+++ b/fakes/lab/load_test.go
@@ -44,11 +44,11 @@
 	if time.Since(seen.checked) < balancerLag {
 		return seen.ready
 	}
-	now := readiness{time.Now(), c.Ready(h.CallerAddress)}
+	current := readiness{time.Now(), c.Ready(h.CallerAddress)}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ready[h.Name] = now
-	return now.ready
+	d.ready[h.Name] = current
+	return current.ready
 }
 
 // startLoad starts workers that each send one query after the other, to all hosts in
--- a/fakes/lab/routes_test.go
+++ b/fakes/lab/routes_test.go
@@ -62,8 +62,8 @@
 	return list
 }
 
-// topRecords returns the greatest records of these servers, which a merged answer must
-// consist of.
+// topRecords returns the greatest records, of 16 bytes each, of these servers, which a
+// merged answer must consist of.
 func topRecords(servers []string, path string, top int) []byte {
 	var records [][]byte
 	for _, s := range servers {
--- a/fakes/leaf/leaf.go
+++ b/fakes/leaf/leaf.go
@@ -231,9 +231,10 @@
 	MaxBusy int    `json:"max-busy"`
 	Crashes int    `json:"crashes"`
 	// Cancelled counts attempts that were cancelled while they ran.
-	Cancelled int            `json:"cancelled"`
-	LastUse   int64          `json:"last-use-ms-ago"`
-	Executed  map[string]int `json:"executed"`
+	Cancelled int `json:"cancelled"`
+	// LastUse is the time since the last request started, in ms; -1 if there was none.
+	LastUse  int64          `json:"last-use-ms-ago"`
+	Executed map[string]int `json:"executed"`
 }
 
 // Stats returns the counters, summed over all leaves.
--- a/fakes/plat/plat.go
+++ b/fakes/plat/plat.go
@@ -82,7 +82,7 @@
 	p.Put("hosts/"+domain, Value{Version: list.Version, Body: list.Encode()})
 }
 
-// SetMode replaces the simulated failures.
+// SetMode replaces the simulated failures, also for the watches that are waiting.
 func (p *Platform) SetMode(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/fakes/ports/ports.go
+++ b/fakes/ports/ports.go
@@ -40,8 +40,8 @@
 	end  int
 }
 
-// Free returns an address on an IP that no program listens on.
-func (p *Pool) Free(ip string) (string, error) {
+// Allocate returns an address on an IP, with a port that no program listens on.
+func (p *Pool) Allocate(ip string) (string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.end == 0 {
--- a/fakes/ports/ports_test.go
+++ b/fakes/ports/ports_test.go
@@ -21,7 +21,7 @@
 	var pool Pool
 	var addresses []string
 	for range 300 {
-		address, err := pool.Free(ip)
+		address, err := pool.Allocate(ip)
 		assert.NilError(t, err)
 		addresses = append(addresses, address)
 	}
@@ -49,7 +49,7 @@
 	var pool Pool
 	seen := map[string]bool{}
 	for range 3000 {
-		address, err := pool.Free("127.0.251.3")
+		address, err := pool.Allocate("127.0.251.3")
 		assert.NilError(t, err)
 		assert.Assert(t, !seen[address], "%s given twice", address)
 		seen[address] = true
@@ -59,13 +59,13 @@
 // A port that another program listens on must be skipped.
 func TestTakenPortIsPassedOver(t *testing.T) {
 	var pool Pool
-	address, err := pool.Free("127.0.251.4")
+	address, err := pool.Allocate("127.0.251.4")
 	assert.NilError(t, err)
-	pool.next--
+	pool.next-- // offers the same port again
 	ln, err := net.Listen("tcp", address)
 	assert.NilError(t, err)
 	defer func() { assert.NilError(t, ln.Close()) }()
-	other, err := pool.Free("127.0.251.4")
+	other, err := pool.Allocate("127.0.251.4")
 	assert.NilError(t, err)
 	assert.Assert(t, other != address)
 }
@@ -92,7 +92,7 @@
 	defer close(stop)
 	var pool Pool
 	for range 2000 {
-		address, err := pool.Free("127.0.251.5")
+		address, err := pool.Allocate("127.0.251.5")
 		assert.NilError(t, err)
 		ln, err := net.Listen("tcp", address)
 		assert.NilError(t, err)
