--- a/bench/cmds/load.go
+++ b/bench/cmds/load.go
@@ -68,8 +68,10 @@
 	if err := engine.Start(); err != nil {
 		return err
 	}
-	defer func() { _ = engine.Close() }()                                           // all queries have ended
-	t := &tally{latency: hdrhistogram.New(1, 600000, 3), refused: map[string]int{}} // up to 60 s
+	defer func() { _ = engine.Close() }() // all queries have ended
+	// The histogram covers latencies up to 60 s.
+	t := &tally{latency: hdrhistogram.New(1, 600000, 3), refused: map[string]int{}}
+	// due holds the queries of at least one second.
 	due := make(chan int, maxRate)
 	var wg sync.WaitGroup
 	for w := range c.Workers {
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -359,7 +359,7 @@
 }
 
 // answerRead answers a read. A host that has a configuration then reads the changed
-// parts, one read each.
+// parts, which counts as one read each and at least as one.
 func (f *Fleet) answerRead(n *Node, key string, set *syncer.Set) {
 	if key == configKey && n.Engine.Set(configKey) != nil {
 		f.Reads += max(1, f.changedParts)
--- a/bench/scene/clairvoyant.go
+++ b/bench/scene/clairvoyant.go
@@ -38,12 +38,12 @@
 func clairvoyantP99(w *virt.World, d deploy.Deployment, load float64, duration clock.Milli) float64 {
 	all := hdrhistogram.New(1, 60000, 3)
 	for i, v := range d.Services {
-		slots := v.Instances * v.Leaves * v.Slots / v.Shards()
+		slots := v.Instances * v.Leaves * v.Slots / v.Shards() // of all replicas of a shard
 		queues := make([]freeHeap, v.Shards())
 		for s := range queues {
 			queues[s] = make(freeHeap, slots)
 		}
-		rate := load * w.Capacity(v) / 1000
+		rate := load * w.Capacity(v) / 1000 // queries per ms
 		arrival, n := 0.0, uint64(0)
 		for arrival < float64(duration) {
 			n++
@@ -80,7 +80,7 @@
 				}
 			}
 		}
-		rate := load * w.Capacity(v) / 1000
+		rate := load * w.Capacity(v) / 1000 // queries per ms
 		arrival, n := 0.0, uint64(0)
 		for arrival < float64(duration) {
 			n++
--- a/bench/scene/scene.go
+++ b/bench/scene/scene.go
@@ -27,7 +27,8 @@
 	Policy     string
 	Seed       uint64
 	Figures    []Figure
-	Faults     []string
+	// Faults lists the violated safety properties.
+	Faults []string
 	// Notes lists the counts of reasons and leaf events.
 	Notes string
 }
--- a/bench/slope/world.go
+++ b/bench/slope/world.go
@@ -70,7 +70,7 @@
 	e.Configure(cfg, hosts)
 	for _, h := range hosts {
 		e.HostUp(h.Name)
-		e.RecordRTT(h.Name, 1)
+		e.RecordRTT(h.Name, 1) // ms
 	}
 	pin := topo.SnapshotID{Layout: 1, Version: 1}
 	for _, s := range cfg.Inventory.Servers {
