--- a/soak/play/client.go
+++ b/soak/play/client.go
@@ -89,6 +89,7 @@
 		if r.status == http.StatusOK {
 			return
 		}
+		// A 503 says that the request has not run.
 		mayHaveRun := strings.HasPrefix(path, "/set/") && r.status != http.StatusServiceUnavailable
 		if mayHaveRun {
 			return // a retry could run it twice
--- a/soak/play/testbed.go
+++ b/soak/play/testbed.go
@@ -20,11 +20,11 @@
 
 // Settings are the settings of a run.
 type Settings struct {
-	Bin, Dir  string
+	Bin, Dir  string // path of the platform program, parent of the run's directory
 	Seed      uint64
-	FaultTime time.Duration
-	Hosts     int
-	Rate      int
+	FaultTime time.Duration // how long faults are injected
+	Hosts     int           // number of hosts
+	Rate      int           // requests per second of all callers
 }
 
 const (
