--- a/fakes/leaf/serve.go
+++ b/fakes/leaf/serve.go
@@ -348,7 +348,8 @@
 	_, _ = w.Write(body)
 }
 
-// handleUpdate counts and runs an update.
+// handleUpdate counts and runs an update. An update that has started can't be
+// cancelled: it is answered as done.
 func (s *Server) handleUpdate(w http.ResponseWriter, r *http.Request) {
 	f := s.acceptRequest(w, r)
 	if f == nil {
@@ -372,7 +373,7 @@
 		s.Crash()
 		panic(http.ErrAbortHandler)
 	}
-	s.wait(r, stop, duration) // an update that has started can't be cancelled
+	s.wait(r, stop, duration) // a cancellation only ends the wait
 	body, err := json.Marshal(wireReply{Attempt: u.Attempt, Body: "done " + u.Key})
 	if err != nil {
 		return
