--- a/bench/cmds/load.go
+++ b/bench/cmds/load.go
@@ -69,7 +69,9 @@
 		return err
 	}
 	defer func() { _ = engine.Close() }() // all queries have ended
+	// The histogram covers latencies up to 60 s.
 	t := &tally{latency: hdrhistogram.New(1, 600000, 3), refused: map[string]int{}}
+	// due holds the queries of at least one second.
 	due := make(chan int, maxRate)
 	var wg sync.WaitGroup
 	for w := range c.Workers {
@@ -148,7 +150,7 @@
 	case reply.Status != http.StatusOK:
 		t.refused[a.Reason]++
 	default:
-		_ = t.latency.RecordValue(min(elapsed.Microseconds()/100, 600000)) // in range
+		_ = t.latency.RecordValue(min(elapsed.Microseconds()/100, 600000)) // within the range of the histogram
 		t.extra += a.Extra
 		if a.Complete {
 			t.complete++
--- a/bench/slope/world.go
+++ b/bench/slope/world.go
@@ -18,7 +18,8 @@
 )
 
 // inventory generates the operators' files for a number of leaves in a number of
-// failure domains.
+// failure domains. The servers of a service are in the failure domains in turn, and
+// their leaves hold its shards in turn.
 func inventory(leaves, domains int) []topo.Part {
 	servers := leaves / leavesPerServer
 	services := max(1, leaves/(shardsPerLayout*replicas))
@@ -69,7 +70,7 @@
 	e.Configure(cfg, hosts)
 	for _, h := range hosts {
 		e.HostUp(h.Name)
-		e.RecordRTT(h.Name, 1)
+		e.RecordRTT(h.Name, 1) // ms
 	}
 	pin := topo.SnapshotID{Layout: 1, Version: 1}
 	for _, s := range cfg.Inventory.Servers {
