--- a/aggregator/core/core.go
+++ b/aggregator/core/core.go
@@ -385,7 +385,7 @@
 // a few, and the other candidates for this host's servers.
 func (d delegate) LinkAddrs(cfg *topo.Config, hosts []topo.Host) []string {
 	self := d.c.Settings.Host
-	return assign.Neighbours(assign.Network{
+	return assign.Neighbors(assign.Network{
 		Self: self.Name, Domain: self.Domain, FullMeshMaxHosts: fullMeshMaxHosts, LocalLinks: localLinks, RemoteLinks: remoteLinks,
 	}, cfg, hosts)
 }
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -157,7 +157,7 @@
 	for _, n := range f.Nodes {
 		// The numbers of links are those of aggregator/core.
 		network := assign.Network{Self: n.Name, Domain: n.Domain, FullMeshMaxHosts: 16, LocalLinks: 3, RemoteLinks: 2}
-		for _, peer := range assign.Neighbours(network, empty, list) {
+		for _, peer := range assign.Neighbors(network, empty, list) {
 			if peer != n.Name {
 				n.links[peer] = true
 				f.Node(peer).links[n.Name] = true
--- a/entry/core/links.go
+++ b/entry/core/links.go
@@ -110,7 +110,7 @@
 // LinkAddrs lists the aggregators to link to: all in a small fleet, some in a large one.
 func (d delegate) LinkAddrs(cfg *topo.Config, hosts []topo.Host) []string {
 	self := d.c.Settings.Host
-	return assign.Neighbours(assign.Network{
+	return assign.Neighbors(assign.Network{
 		Self: self.Name, Domain: self.Domain, FullMeshMaxHosts: fullMeshMaxHosts, LocalLinks: localLinks, RemoteLinks: remoteLinks,
 	}, cfg, hosts)
 }
--- a/share/assign/assign.go
+++ b/share/assign/assign.go
@@ -155,11 +155,11 @@
 	LocalLinks, RemoteLinks int
 }
 
-// Neighbours returns the sorted link addresses of the aggregators to keep links to,
+// Neighbors returns the sorted link addresses of the aggregators to keep links to,
 // including the one on this host. In a large fleet each host chooses a few by rendezvous
 // hashing, which yields a random graph: messages cross it in a few hops, and all hosts
 // have about as many links. The other owners of its servers are added.
-func Neighbours(n Network, cfg *topo.Config, hosts []topo.Host) []string {
+func Neighbors(n Network, cfg *topo.Config, hosts []topo.Host) []string {
 	chosen := map[string]string{} // link addresses by host name
 	if len(hosts) <= n.FullMeshMaxHosts {
 		for _, h := range hosts {
--- a/share/deny/deny.go
+++ b/share/deny/deny.go
@@ -11,11 +11,11 @@
 
 // How long a request is rejected, by the number of servers that it crashed.
 const (
-	// SuspectTime applies after the first crash. The server may have crashed for
+	// SuspectDuration applies after the first crash. The server may have crashed for
 	// another reason, so the request is retried once all hosts know of the strike.
-	SuspectTime = clock.Second
-	// QuarantineTime applies after the second crash, and starts again with each resend.
-	QuarantineTime = 10 * clock.Minute
+	SuspectDuration = clock.Second
+	// QuarantineDuration applies after the second crash, and starts again with each resend.
+	QuarantineDuration = 10 * clock.Minute
 )
 
 // maxStrikes limits the records of a table; the one that expires first is evicted.
@@ -56,9 +56,9 @@
 func (t *Table) Add(now clock.Milli, fingerprint uint64) Strike {
 	rec := t.records[fingerprint]
 	rec.count++
-	rec.until = now + SuspectTime
+	rec.until = now + SuspectDuration
 	if rec.count > 1 {
-		rec.until = now + QuarantineTime
+		rec.until = now + QuarantineDuration
 	}
 	t.put(fingerprint, rec)
 	return Strike{Fingerprint: fingerprint, Count: rec.count, TimeLeft: rec.until - now}
@@ -72,7 +72,7 @@
 	if s.Count <= rec.count {
 		return false
 	}
-	t.put(s.Fingerprint, record{count: s.Count, until: max(rec.until, now+min(s.TimeLeft, QuarantineTime))})
+	t.put(s.Fingerprint, record{count: s.Count, until: max(rec.until, now+min(s.TimeLeft, QuarantineDuration))})
 	return true
 }
 
@@ -84,7 +84,7 @@
 		return 0, false
 	}
 	if rec.count > 1 {
-		rec.until = now + QuarantineTime
+		rec.until = now + QuarantineDuration
 		t.records[fingerprint] = rec
 	}
 	return rec.until - now, true
--- a/share/fanout/canary.go
+++ b/share/fanout/canary.go
@@ -79,7 +79,7 @@
 	if q.crashes >= maxCanaries && strike.Count < maxCanaries {
 		// The aggregator of each server counts one crash and doesn't know of the
 		// other.
-		strike.Count, strike.TimeLeft = maxCanaries, deny.QuarantineTime
+		strike.Count, strike.TimeLeft = maxCanaries, deny.QuarantineDuration
 		e.strikes.Merge(now, strike)
 	}
 	if strike.Count < maxCanaries && len(q.inFlight) > 0 {
--- a/share/fanout/retry.go
+++ b/share/fanout/retry.go
@@ -28,7 +28,7 @@
 		// The aggregator learned of the first canary's crash before the second ran.
 		return e.canaryFailed(now, q, o)
 	case o.Reason == query.ReasonQuarantined:
-		left := max(o.RetryAfter, e.strikes.Get(now, q.fingerprint).TimeLeft, deny.SuspectTime)
+		left := max(o.RetryAfter, e.strikes.Get(now, q.fingerprint).TimeLeft, deny.SuspectDuration)
 		return e.answerRefused(now, q, query.ReasonQuarantined, left)
 	case q.canaryPhase:
 		return e.canaryFailed(now, q, o)
--- a/soak/main.go
+++ b/soak/main.go
@@ -11,7 +11,7 @@
 
 	"github.com/alexflint/go-arg"
 
-	"dandelionstile/soak/play"
+	"dandelionstile/soak/runner"
 )
 
 // sharedFlags are the flags of all subcommands.
@@ -59,7 +59,7 @@
 	case a.Hunt != nil:
 		os.Exit(runSeeds(a.Hunt.sharedFlags, a.Hunt.seeds()))
 	case a.Replay != nil:
-		seeds, err := play.ReadSeeds(a.Replay.Seeds)
+		seeds, err := runner.ReadSeeds(a.Replay.Seeds)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "soak:", err)
 			os.Exit(1)
@@ -88,8 +88,8 @@
 func runSeeds(c sharedFlags, seeds []uint64) int {
 	failed := 0
 	for _, seed := range seeds {
-		s := play.Settings{Bin: c.Bin, Dir: c.Dir, Seed: seed, FaultTime: c.FaultTime, Hosts: c.Hosts, Rate: c.Rate}
-		report, err := play.Run(s)
+		s := runner.Settings{Bin: c.Bin, Dir: c.Dir, Seed: seed, FaultTime: c.FaultTime, Hosts: c.Hosts, Rate: c.Rate}
+		report, err := runner.Run(s)
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "soak: seed %d: %v\n", seed, err)
 			return 1
--- a/soak/play/cancelled.go
+++ b/soak/runner/cancelled.go
@@ -1,4 +1,4 @@
-package play
+package runner
 
 import (
 	"fmt"
--- a/soak/play/testbed.go
+++ b/soak/runner/testbed.go
@@ -1,6 +1,6 @@
-// Package play runs one seed of the soak: it starts the processes with a simulated
+// Package runner runs one seed of the soak: it starts the processes with a simulated
 // environment, sends requests, injects faults and checks the guarantees.
-package play
+package runner
 
 import (
 	"fmt"
