--- a/share/call/call.go
+++ b/share/call/call.go
@@ -31,7 +31,8 @@
 	Status int
 	Header http.Header
 	Body   []byte
-	// Stamp is the leaf's stamp on this reply.
+	// Stamp is the leaf's stamp on this reply; in another host's merged answer, the stamps
+	// of its parts.
 	Stamp string
 	// Missing lists the shards that are missing from another host's merged answer.
 	Missing []string
@@ -40,7 +41,7 @@
 // Successful reports whether the status of a reply is 2xx.
 func (r *Reply) Successful() bool { return r.Status >= 200 && r.Status < 300 }
 
-// Kind is the outcome of a call.
+// Kind is the outcome of a call to a leaf, or to another host in place of one.
 type Kind int
 
 // The outcomes of a call.
