--- a/share/crash/crash.go
+++ b/share/crash/crash.go
@@ -31,7 +31,7 @@
 	// many requests on them.
 	BlockThreshold = 3
 	// ReportTTL is how long reports count, and how long a request is rejected after
-	// the last report.
+	// its last report or retry. The reports on a request expire together, with the newest.
 	ReportTTL = 60 * clock.Second
 	// maxReports bounds the memory; further reports are dropped.
 	maxReports = 4096
@@ -67,7 +67,8 @@
 	at          clock.Milli
 }
 
-// RecordBroken records a broken call; it becomes a report if the leaf is found down.
+// RecordBroken records a broken call; it becomes a report if the leaf is found down within
+// suspectWindow.
 func (t *Tracker) RecordBroken(now clock.Milli, leaf string, fingerprint uint64) {
 	if t.broken == nil {
 		t.broken = map[string][]brokenCall{}
@@ -81,7 +82,8 @@
 
 // RecordDown records that a leaf is down and returns the resulting reports: one for each
 // request whose call to the leaf has broken recently, at most maxReportsSent; further ones
-// are stored and not returned. Requests that leaves have recently answered are not reported.
+// are stored and not returned. Known reports are not returned again, and requests that leaves
+// have recently answered are not reported.
 func (t *Tracker) RecordDown(now clock.Milli, leaf string) []Report {
 	var list []Report
 	for _, b := range t.broken[leaf] {
--- a/share/crash/crash_test.go
+++ b/share/crash/crash_test.go
@@ -31,8 +31,8 @@
 	assert.Assert(t, !tracker.Blocked(now+ReportTTL+1, harmful))
 }
 
-// Leaves lose single replies but stay up, or go down long after a broken call. The request
-// is not the cause, and must not be rejected for it.
+// Leaves go down later than suspectWindow after a call to them broke: the call has only lost
+// its reply. The request is not the cause, and must not be rejected for it.
 func TestBrokenCallAloneIsNoCrash(t *testing.T) {
 	var tracker Tracker
 	for i := range 2 * BlockThreshold {
