--- a/share/limit/limit.go
+++ b/share/limit/limit.go
@@ -12,15 +12,16 @@
 
 import "dandelionstile/share/clock"
 
-// Limiter bounds the queries in flight at one host. The zero value admits all.
+// Limiter bounds the queries in flight at one host. The zero value admits all until too many
+// are late.
 type Limiter struct {
-	// InFlight is the number of queries in flight.
+	// InFlight is the number of queries in flight; the caller keeps it current.
 	InFlight int
 	// limit is the maximum number of queries in flight; 0 means no limit.
 	limit float64
 	// lateRatio is the smoothed share of queries that were not answered in time.
 	lateRatio float64
-	// rejected counts consecutive rejected queries.
+	// rejected counts consecutive rejected queries, without late ones.
 	rejected int
 	// lastDecrease is the time of the last decrease.
 	lastDecrease clock.Milli
@@ -62,12 +63,13 @@
 	// increaseStep is the increase per query answered in time: the limit doubles in
 	// about three rounds of queries.
 	increaseStep = 0.35
-	// maxRejected is the maximum number of consecutive rejections.
+	// maxRejected is the maximum number of consecutive rejections of queries that aren't
+	// late.
 	maxRejected = 4
 	// minLimit admits enough queries to detect that the overload has ended.
 	minLimit = 2.0
 	// liftFactor is the ratio of the limit to the queries in flight above which the
-	// limit is removed: the overload has ended.
+	// limit is removed if few queries are late: the overload has ended.
 	liftFactor = 4.0
 )
 
@@ -120,9 +122,10 @@
 // LateRatio returns the smoothed share of queries that were not answered in time.
 func (l *Limiter) LateRatio() float64 { return l.lateRatio }
 
-// RecordLate records a query that was not answered in time. It lowers the limit, at most
-// once per decreaseInterval: down to minLimit if most queries are late, and during a surge
-// not below surgeHeadroom times the baseline. Otherwise the limit is unchanged.
+// RecordLate records a query that was not answered in time. It sets or lowers the limit, at
+// most once per decreaseInterval: down to minLimit if most queries are late, and during a surge
+// with many late ones to surgeHeadroom times the baseline. A limit below that, from an earlier
+// overload, rises to it. Otherwise the limit is unchanged.
 func (l *Limiter) RecordLate(now clock.Milli) {
 	l.lateRatio += (1 - l.lateRatio) * lateRatioGain
 	l.updateBaseline()
--- a/share/limit/limit_test.go
+++ b/share/limit/limit_test.go
@@ -8,7 +8,7 @@
 	"dandelionstile/share/clock"
 )
 
-// A third of the queries miss their target because one shard of ten is slow now and then.
+// A third of the queries miss their target, as when one shard of ten is slow now and then.
 // That is no overload: rejecting queries would only cost answers.
 func TestNoLimitWhileMostAreInTime(t *testing.T) {
 	var l Limiter
@@ -24,7 +24,7 @@
 }
 
 // All queries miss their target because the leaves are overloaded. Unless the limit falls
-// well below the queries in flight within a second, none is answered in time. One in five
+// well below the queries in flight within about a second, none is answered in time. One in five
 // queries beyond the limit is still admitted, as the leaves may be late for another reason.
 func TestLimitFallsWhenAllAreLate(t *testing.T) {
 	var l Limiter
@@ -43,7 +43,7 @@
 	assert.Equal(t, admitted, 100/(maxRejected+1))
 }
 
-// The surge has ended and answers are in time again. A limit that stayed in force could
+// An overload has ended and answers are in time again. A limit that stayed in force could
 // reject queries that the leaves can serve; it is removed once the queries in flight are
 // well below it.
 func TestLimitIsLiftedAfterSurge(t *testing.T) {
@@ -59,9 +59,9 @@
 	assert.Assert(t, !l.Active(), "limit %.1f, late %.2f", l.limit, l.lateRatio)
 }
 
-// A surge doubles the queries in flight, and four in ten are late: too few for a fault of
-// the leaves, enough for overload. The limit falls towards the baseline, and not below it,
-// since the leaves can serve the usual load.
+// A surge more than doubles the queries in flight, and four in ten are late: fewer than
+// overloadLateRatio, more than surgeLateRatio. The limit falls towards the baseline, and not
+// below surgeHeadroom times it, since the leaves can serve the usual load.
 func TestSurgeLowersLimitToBaseline(t *testing.T) {
 	l, now := steadyLimiter(6)
 	assert.Assert(t, !l.Surge())
