--- a/share/budget/budget_test.go
+++ b/share/budget/budget_test.go
@@ -7,8 +7,8 @@
 )
 
 // Guards against a retry storm: a slow service makes every request worth an additional call.
-// The number of additional calls stays within the ratio plus the capacity, however long the
-// service was idle before.
+// The number of additional calls stays within the ratio plus the capacity, also after many
+// requests that needed none.
 func TestAdditionalCallsStayWithinRatioAndCapacity(t *testing.T) {
 	const ratio, capacity, requests = 0.2, 10, 1000
 	var b Budget
@@ -28,7 +28,7 @@
 	assert.Assert(t, spent >= ratio*requests-1, "%d", spent)
 }
 
-// All hosts restart at the same moment. With full budgets they could spend their capacity
+// A new budget is half full: with a full one, a host that restarts could spend its capacity
 // twice. A lower capacity, set when there are more hosts, takes effect at once: otherwise
 // the hosts' budgets would together exceed the total.
 func TestNewBudgetIsHalfFull(t *testing.T) {
