--- a/share/warmup/warmup_test.go
+++ b/share/warmup/warmup_test.go
@@ -39,10 +39,10 @@
 	return peak, float64(len(sent)) / float64(span/clock.Second)
 }
 
-// Every host of a large fleet sends to one cold leaf at the same time, because the
+// Every host of a small or large fleet sends to one cold leaf at the same time, as when the
 // other leaves of its shard are down. The leaf, which can serve ten requests a second,
-// gets no more than the operators' bound (half as many again, plus five) and at least
-// half of its rate.
+// gets no more than the operators' bound (half as many again, plus five) in any second, and
+// on average at least half of its rate.
 func TestColdLeafOfManyHostsIsNotOverrun(t *testing.T) {
 	const rate = 10.0
 	for _, hosts := range []int{7, 30, 85, 300} {
