--- a/share/router/aggregators.go
+++ b/share/router/aggregators.go
@@ -76,7 +76,7 @@
 	recentMaxWindow = 30 * clock.Second
 )
 
-// recentMax is the largest recent value of a number; at is when it was last reached.
+// recentMax is the largest recent value of a number; at is when the number last reached it.
 type recentMax struct {
 	value int
 	at    clock.Milli
@@ -91,7 +91,7 @@
 }
 
 // canClaim reports whether this host may take an aggregator's part: it is an aggregator
-// and sees most of its failure domain.
+// and sees most of its failure domain. It also records the number of hosts that it sees.
 func (e *Engine) canClaim(now clock.Milli) bool {
 	visible := len(e.peersByDomain[e.Self.Domain]) + 1 // with this host
 	recent := e.domainHosts.observe(now, visible)
--- a/share/router/arrive.go
+++ b/share/router/arrive.go
@@ -9,7 +9,7 @@
 	"dandelionstile/share/route"
 )
 
-// defaultWait is the wait of callers that name none, on routes without a timeout.
+// defaultWait is the wait that is assumed for callers that name none.
 const defaultWait = 10 * clock.Second
 
 // arrive admits or refuses a request, and sends the shards of an admitted one to leaves
@@ -84,7 +84,8 @@
 
 // admitByLimit reports whether the limiter admits a query: it counts the query as in
 // flight, or refuses it. Late queries are counted only while a limit is in force: their
-// outcome says nothing about queries that can still be in time.
+// outcome says nothing about queries that can still be in time. Requests for a single leaf
+// and parts of other hosts' queries are always admitted and never counted.
 func (e *Engine) admitByLimit(now clock.Milli, q *query) bool {
 	if !q.route.Sharded() || q.forwarded {
 		return true
@@ -104,7 +105,8 @@
 }
 
 // requestedServices returns the services that a request is for; false if another host
-// forwarded it, and the route here is not sharded or lacks one of its shards.
+// forwarded it, and it names no shard, or the route here is not sharded or lacks one of its
+// shards.
 func (e *Engine) requestedServices(r *route.Route, a Arrival) ([]string, bool) {
 	if !r.Sharded() {
 		return []string{e.nextService(r)}, !a.Forwarded
@@ -168,13 +170,14 @@
 // the target counts as missed and the query as late.
 const minAnswerTime clock.Milli = 15
 
-// roundRobin distributes a route's requests over its services by weight.
+// roundRobin distributes a route's requests over its services by weight; credit is by
+// service.
 type roundRobin struct{ credit map[string]float64 }
 
 // nextService chooses the service of the next request: each service earns its
 // weight, and the one with most credit is chosen and pays the sum of all weights.
-// The shares are exact over any run of requests and don't follow the services'
-// load: the operators' weights are a decision, not a hint.
+// The shares are exactly those of the weights, apart from credit still unspent, and don't
+// follow the services' load: the operators' weights are a decision, not a hint.
 func (e *Engine) nextService(r *route.Route) string {
 	if len(r.Services) == 1 {
 		return r.Services[0].Service
@@ -208,7 +211,7 @@
 	need := 1
 	switch {
 	case q.forwarded:
-		// An answer without any shard is better than a refusal: after that, the
+		// An answer without any shard is better than a refusal: after a refusal, the
 		// other host would call the same leaves again.
 		need = 0
 	case q.route.Sharded():
@@ -220,7 +223,7 @@
 	return "too few shards have a usable leaf"
 }
 
-// reachable reports whether a shard has a leaf that may be called.
+// reachable reports whether a shard has a leaf that may be called once it has capacity.
 func (e *Engine) reachable(now clock.Milli, s *shard) bool {
 	for _, f := range e.services[s.service].leaves {
 		if e.usable(f, s) && (!f.unhealthy || now >= f.probeAt) {
--- a/share/router/calldone.go
+++ b/share/router/calldone.go
@@ -36,7 +36,8 @@
 	e.dispatchWaiting(now, svc)
 }
 
-// observeCall updates a leaf's statistics and health.
+// observeCall updates a leaf's statistics and health with the outcome of a call. If the call
+// may have ended with a crash of the leaf, it also checks or reports that.
 func (e *Engine) observeCall(now clock.Milli, a *attempt, d CallDone) {
 	f := a.leaf
 	took := float64(now - a.sent)
@@ -106,7 +107,8 @@
 }
 
 // applyResult applies the end of a call to its shard: the shard is answered, waits for
-// its other calls, is sent to another leaf, or is abandoned.
+// its other calls, is sent to another leaf or queued, or is abandoned. A shard that is settled
+// already is left as it is.
 func (e *Engine) applyResult(now clock.Milli, a *attempt, d CallDone) {
 	s := a.shard
 	q := s.query
@@ -143,8 +145,8 @@
 		return
 	}
 	if d.Kind.Unsent() {
-		// A call that never left this host cost no leaf anything, so that another
-		// one isn't charged to the budget.
+		// A request that never left this host cost no leaf anything, so another call
+		// isn't charged to the budget.
 		e.dispatch(now, s)
 		return
 	}
@@ -154,16 +156,17 @@
 }
 
 // canCall reports whether one more leaf may be called for a shard: the route's attempts
-// are not used up, and the route is idempotent or notRun is set. notRun states that no
-// call of the shard is in flight or may have run the request.
+// are not used up by calls that may have run the request, there are not yet maxRejectedCalls
+// more calls than attempts, and the route is idempotent or notRun is set. notRun states that
+// no call of the shard is in flight or may have run the request.
 func (e *Engine) canCall(s *shard, notRun bool) bool {
 	q := s.query
 	return (q.route.Idempotent || notRun) && s.possibleRuns < q.route.Attempts && len(s.calls) < q.route.Attempts+maxRejectedCalls
 }
 
-// acceptsReply reports whether a shard is answered by a reply. A leaf's failure is never
-// a part of a merged answer; as the reply to a request for one leaf it is returned to
-// the caller if no other leaf may be called.
+// acceptsReply reports whether a shard is answered by a reply. An unsuccessful reply is never
+// a part of a merged answer. As the reply to a request for one leaf it is returned to the
+// caller, but if its status is 500 or more only if no other leaf can be called.
 func (e *Engine) acceptsReply(now clock.Milli, q *query, r *call.Reply) bool {
 	if r.Successful() {
 		return true
@@ -176,16 +179,17 @@
 }
 
 // canRetry reports whether another leaf can run the request in place of one that
-// failed.
+// failed: a call is allowed, the deadline hasn't passed, the budget has a token, and a leaf
+// has capacity.
 func (e *Engine) canRetry(now clock.Milli, s *shard) bool {
 	return e.canCall(s, false) && now < s.query.deadline && e.services[s.service].budget.Tokens >= 1 && e.selectLeaf(now, s, false /* allowProbe */).leaf != nil
 }
 
-// maxRejectedCalls bounds the calls for one shard that leaves rejected: a service
-// without capacity is not tried at every leaf.
+// maxRejectedCalls bounds the calls for one shard beyond the route's attempts, which calls
+// that didn't run the request allow: a service without capacity is not tried at every leaf.
 const maxRejectedCalls = 3
 
-// logWithheld logs once per query that a hedge or retry was not made.
+// logWithheld logs once per query that a hedge or retry was not made, and marks the query.
 func (e *Engine) logWithheld(now clock.Milli, s *shard, cause string) {
 	if s.query.withheld {
 		return
--- a/share/router/caller.go
+++ b/share/router/caller.go
@@ -12,7 +12,8 @@
 // not shorten the targets of other callers at the address.
 
 const (
-	// maxCallers bounds the number of remembered addresses and connections.
+	// maxCallers bounds the number of remembered addresses, which are all forgotten when
+	// it is reached, and that of the connections in each of recent and former.
 	maxCallers = 4096
 	// maxRoundTrip is the longest plausible round trip to a caller: a first
 	// request that took longer is a retry.
@@ -32,7 +33,8 @@
 // unknown, after it has learned from the request's elapsed time. A caller that opens a
 // connection spends one round trip on it before its first request, so the elapsed time
 // at that request is the round trip. Later requests on the connection name their full
-// wait. A request and its answer take one more round trip, which no elapsed time includes.
+// wait. A request and its answer take one more round trip, which no elapsed time includes;
+// setDeadlines therefore takes it off the target.
 func (c *callers) learnRoundTrip(remote string, elapsed clock.Milli) clock.Milli {
 	address := remote
 	if i := strings.LastIndexByte(remote, ':'); i >= 0 {
--- a/share/router/crash.go
+++ b/share/router/crash.go
@@ -25,8 +25,8 @@
 	return deny.Fingerprint(r.Method+" "+r.Host+r.Target, string(r.Body))
 }
 
-// addCrashReports adds other hosts' crash reports and forwards the new ones. Expired
-// reports, and those on requests that leaves have recently answered, are dropped.
+// addCrashReports adds other hosts' crash reports and forwards the new ones. Expired or
+// known reports, and those on requests that leaves have recently answered, are dropped.
 func (e *Engine) addCrashReports(now clock.Milli, s CrashReports) {
 	var added []crash.Report
 	for _, r := range s.List {
@@ -51,8 +51,8 @@
 	e.emit(CheckConn{Leaf: f.ID, Address: f.Address})
 }
 
-// handleConnRefused marks a leaf as unhealthy at whose address no process listens, and
-// reports the crash.
+// handleConnRefused records that no process listens at a leaf's address: the leaf becomes
+// unhealthy, and the requests that it was running are reported.
 func (e *Engine) handleConnRefused(now clock.Milli, a ConnRefused) {
 	f := e.leaves[a.Leaf]
 	if f == nil {
@@ -62,8 +62,8 @@
 	e.recordFailedCall(now, f, unhealthyAtOnce, "connection refused", 0) // 0: there was no call
 }
 
-// reportCrash sends crash reports on the requests that a leaf was running when it went
-// down.
+// reportCrash sends crash reports on the requests that a leaf is taken to have been running
+// when it went down: those whose calls to it have just broken. There may be none.
 func (e *Engine) reportCrash(now clock.Milli, f *leaf) {
 	list := e.crashes.RecordDown(now, f.ID)
 	if len(list) == 0 {
--- a/share/router/crash_test.go
+++ b/share/router/crash_test.go
@@ -123,9 +123,9 @@
 }
 
 // Many callers send the same request, and leaves answer it. Then four leaves crash for
-// another reason while they run it, one after the other or at once. The request must still
-// be served: once blamed for the crashes, it would be refused for as long as callers send
-// it.
+// another reason while they run it, one after the other or at once, or another host reports
+// five crashes before or after such an answer. The request must still be served: once blamed
+// for the crashes, it would be refused for as long as callers send it.
 func TestPopularRequestIsNotBlamedForCrashes(t *testing.T) {
 	t.Run("one after the other", func(t *testing.T) {
 		r := crashRig(t)
--- a/share/router/dispatch.go
+++ b/share/router/dispatch.go
@@ -11,8 +11,8 @@
 	e.dispatchTo(now, s, e.selectLeaf(now, s, true /* allowProbe */))
 }
 
-// dispatchTo is dispatch with the chosen leaf. It also probes the service's unhealthy
-// leaves if one is due.
+// dispatchTo is dispatch with the chosen leaf. If it sends the shard, or only unhealthy leaves
+// are left, it also probes the service's unhealthy leaves that are due.
 func (e *Engine) dispatchTo(now clock.Milli, s *shard, c choice) {
 	switch {
 	case c.leaf != nil:
@@ -76,8 +76,8 @@
 	return max(slow, minHedgeDelay)
 }
 
-// probeUnhealthy probes unhealthy leaves while others serve the requests, so that a
-// recovery is detected without delaying a caller.
+// probeUnhealthy probes the unhealthy leaves of a shard's service that are due for it, so that
+// a recovery is detected without sending them a caller's request.
 func (e *Engine) probeUnhealthy(now clock.Milli, s *shard) {
 	svc := e.services[s.service]
 	for _, f := range svc.leaves {
@@ -89,7 +89,8 @@
 	}
 }
 
-// handleProbeResult handles the result of an unhealthy leaf's health check.
+// handleProbeResult handles the result of a health check. It ignores leaves that have been
+// removed or are healthy again.
 func (e *Engine) handleProbeResult(now clock.Milli, p ProbeResult) {
 	f := e.leaves[p.Leaf]
 	if f == nil || !f.unhealthy {
@@ -104,8 +105,8 @@
 	e.dispatchWaiting(now, e.services[f.Service])
 }
 
-// enqueue queues a shard until one of its leaves has capacity, by priority and then by
-// arrival.
+// enqueue queues a shard until one of its leaves has capacity: behind those of queries that
+// go before its own, and of queries equal in that. A queued shard keeps its place.
 func (e *Engine) enqueue(s *shard) {
 	if s.queued {
 		return
--- a/share/router/engine.go
+++ b/share/router/engine.go
@@ -57,7 +57,8 @@
 	calls         map[uint64]*attempt
 	lastCall      uint64
 	timers        timerHeap
-	// leafLogsAt and leafLogs limit the log lines on leaves added or removed.
+	// leafLogs is the number of log lines on leaves added or removed in the second that
+	// began at leafLogsAt.
 	leafLogsAt clock.Milli
 	leafLogs   int
 	actions    []Action
@@ -99,7 +100,8 @@
 	e.calls = map[uint64]*attempt{}
 }
 
-// Handle processes an event and returns the actions to take, in order.
+// Handle processes an event and the timers that are due, and returns the actions to take, in
+// order.
 func (e *Engine) Handle(now clock.Milli, ev Event) []Action {
 	e.start(now)
 	e.actions = nil
@@ -169,7 +171,8 @@
 	e.updateShares(now)
 }
 
-// setRegions sets the regions of failure domains.
+// setRegions sets the regions of failure domains, and with them those of this host, of the
+// other hosts and of the leaves.
 func (e *Engine) setRegions(regions map[string]string) {
 	e.Regions = regions
 	e.Self.Region = regions[e.Self.Domain]
@@ -201,14 +204,14 @@
 	}
 }
 
-// configureBudget sets this host's part of a service's budget, which is part of the
-// reserve of all hosts.
+// configureBudget sets the ratio of a service's budget, and its capacity: this host's part of
+// the reserve of all hosts.
 func (e *Engine) configureBudget(s *service) {
 	s.budget.Configure(e.Policy.BudgetRatio, e.Policy.BudgetReserve/e.budgetSharers(s))
 }
 
 // setLeafShare sets the number of connections that this host may use to a leaf, which
-// the leaf's slots limit further.
+// the leaf's slots limit further if their number is known.
 func (e *Engine) setLeafShare(f *leaf, s *service) {
 	f.sharers = e.leafSharers(f)
 	f.connLimit = connectionLimit(s.config, f.sharers)
@@ -266,7 +269,8 @@
 )
 
 // connectionLimit returns the number of connections that each of several hosts uses
-// to a leaf of a service, so that all of them together stay within the leaf's limit.
+// to a leaf of a service, so that all of them together stay within the leaf's limit. It
+// is at least one, even if that exceeds the limit with very many hosts.
 func connectionLimit(s route.Service, hosts float64) int {
 	if s.Connections == 0 {
 		return defaultConnections
@@ -307,7 +311,7 @@
 const maxLeafLogs = 8
 
 // logLeaves logs leaves that were added or removed: each in a record of its own, or all
-// in one record if that would exceed maxLeafLogs in this second.
+// in one record, with the first few names, if that would exceed maxLeafLogs in this second.
 func (e *Engine) logLeaves(now clock.Milli, list []*leaf, each, all LogKind) {
 	if now >= e.leafLogsAt+clock.Second {
 		e.leafLogsAt, e.leafLogs = now, 0
@@ -326,7 +330,7 @@
 	}
 }
 
-// updateLeaf applies the inventory entry of a leaf and reports whether it is new. A leaf
+// updateLeaf applies the roster entry of a leaf and reports whether it is new. A leaf
 // that has restarted, or has another address or service than before, is a new one: what
 // was measured of the old one is dropped.
 func (e *Engine) updateLeaf(now clock.Milli, l roster.Leaf) bool {
@@ -356,7 +360,8 @@
 	return !same
 }
 
-// removeLeaf removes a leaf that is no longer listed. Calls in flight to it continue.
+// removeLeaf removes a leaf that is no longer listed or is replaced. Calls in flight to it
+// continue.
 func (e *Engine) removeLeaf(f *leaf) {
 	f.removed = true
 	delete(e.leaves, f.ID)
--- a/share/router/finish.go
+++ b/share/router/finish.go
@@ -83,7 +83,8 @@
 	e.setTimer(q, due)
 }
 
-// unsent reports whether no leaf has been called yet.
+// unsent reports whether no leaf has been called from here and no forward is in flight. A
+// query whose forwards have all ended without a call from here counts as unsent again.
 func (q *query) unsent() bool {
 	for _, s := range q.shards {
 		if len(s.calls) > 0 || s.forward != nil {
@@ -117,8 +118,9 @@
 	return q.answered >= q.route.MinShards()
 }
 
-// tryFinish answers a query that has all its shards or, after its target, enough of them,
-// and refuses one that can't get enough. Otherwise the query continues.
+// tryFinish answers a query that has enough of its shards, if nothing more is done for the
+// others, if its target has passed, or if it is late and the limiter is active. It refuses a
+// query that can't get enough. Otherwise the query continues.
 func (e *Engine) tryFinish(now clock.Milli, q *query) {
 	if q.ended {
 		return
@@ -228,7 +230,8 @@
 	retrySpreadMs = 200
 )
 
-// retryAfter returns how long a refused caller should wait before it retries.
+// retryAfter returns how long a refused caller should wait before it retries. For NoRoute,
+// Failed and Late that is only the spread.
 func (e *Engine) retryAfter(now clock.Milli, q *query, reason Refusal) clock.Milli {
 	// Multiples of the golden ratio spread consecutive requests evenly, without
 	// randomness.
@@ -256,7 +259,8 @@
 	return spread
 }
 
-// closeQuery removes a request and orphans its calls and forwards in flight.
+// closeQuery removes a request, also from the limiter's count, and orphans its calls and
+// forwards in flight.
 func (e *Engine) closeQuery(now clock.Milli, q *query) {
 	q.ended = true
 	delete(e.queries, q.id)
--- a/share/router/forward.go
+++ b/share/router/forward.go
@@ -54,7 +54,8 @@
 }
 
 // endForward handles the end of a forward. It merges an answer; the shards of a forward
-// that failed are called from this host or abandoned.
+// that failed are called from this host or abandoned. An orphaned forward only updates the
+// state of its host.
 func (e *Engine) endForward(now clock.Milli, fwd *forward, d CallDone) {
 	delete(e.forwards, fwd.id)
 	fwd.ended = true
@@ -104,7 +105,8 @@
 }
 
 // mergeAnswer applies another host's answer to the shards of a forward. Shards that the
-// answer lacks are retried from here as far as the query needs them, or abandoned.
+// answer lacks are retried from here as far as the query needs them and the budget lasts, or
+// abandoned.
 func (e *Engine) mergeAnswer(now clock.Milli, fwd *forward, reply *call.Reply) {
 	q := fwd.query
 	q.maybeRan = true
--- a/share/router/forward_test.go
+++ b/share/router/forward_test.go
@@ -95,7 +95,7 @@
 }
 
 // A forwarded part names a configuration or a shard that this host does not know. It is
-// refused as not run: an answer by the older configuration would undo the newer.
+// refused as Stale: an answer by the older configuration would undo the newer.
 func TestOlderHostRefusesAForward(t *testing.T) {
 	r := newRig(t)
 	r.handle(Topology{Table: table(6, shardedRoute(2)), Leaves: leafPairs(2)})
@@ -169,9 +169,9 @@
 	assert.DeepEqual(t, r.answers[1].Merged.Missing, []string{"s0"})
 }
 
-// Another host answers at the target and lacks shards that the query needs. They are called
-// from here, at the expense of the budget, so that the caller gets an answer and need not
-// retry all shards.
+// Another host's answer lacks two shards, and the query can do without one of them. The other
+// is called from here, at the expense of the budget, so that the caller gets an answer and
+// need not retry all shards.
 func TestShardsMissingFromAForwardAreRetriedLocally(t *testing.T) {
 	r := newRig(t)
 	r.handle(Topology{Table: table(1, shardedRoute(4)), Leaves: farLeaves(4)})
--- a/share/router/hedge.go
+++ b/share/router/hedge.go
@@ -4,7 +4,8 @@
 	"dandelionstile/share/clock"
 )
 
-// hedgeSlow hedges or retries the shards of a query that are not expected in time.
+// hedgeSlow hedges or retries the shards of a query that are due for it, and abandons those
+// that have no call in flight and can't get one.
 func (e *Engine) hedgeSlow(now clock.Milli, q *query) {
 	for _, s := range q.shards {
 		if s.hedgeDue(now) {
@@ -18,8 +19,9 @@
 // call.
 const hedgeRetryInterval clock.Milli = 20
 
-// abandonHopeless abandons a shard that has no call in flight if its target has passed,
-// the budget is empty, or no leaf can take another call.
+// abandonHopeless abandons a shard that has no call in flight if the query's target has
+// passed, a hedge or retry of the query was withheld for lack of budget, or no leaf can take
+// another call, now or when it has capacity.
 func (e *Engine) abandonHopeless(now clock.Milli, s *shard) {
 	if s.pending() > 0 || s.queued || s.settled() {
 		return
@@ -30,15 +32,16 @@
 	}
 }
 
-// hedge calls a second leaf for a shard: a hedge beside a call in flight, or a retry
-// after a failed one. It makes no call, and sets when to try again, if the route's
-// attempts are used up, no free leaf can answer in time, or the budget is empty.
+// hedge calls another leaf for a shard: a hedge beside a call in flight, or a retry
+// after a failed one. It makes no call, and sets when to try again, if the query is late and
+// its new target hasn't passed, no further call is allowed, no free leaf can answer in time, or
+// the budget is empty.
 func (e *Engine) hedge(now clock.Milli, s *shard) {
 	q := s.query
 	s.hedgeAt = now + hedgeRetryInterval
 	if q.late && s.pending() > 0 && now < q.target {
-		// The query is late already: it is hedged only where it can't be answered
-		// without the shard.
+		// The query is late already: it is hedged only after its new target, and so
+		// only if it couldn't be answered without the shard.
 		s.hedgeAt = q.target
 		return
 	}
--- a/share/router/leaf.go
+++ b/share/router/leaf.go
@@ -15,7 +15,8 @@
 	leaf  *leaf
 	shard *shard
 	sent  clock.Milli
-	// orphaned calls belong to a request or shard that no longer needs them.
+	// orphaned calls belong to a request or shard that no longer needs them; after
+	// orphanGrace they are cancelled.
 	orphaned bool
 	ended    bool
 }
@@ -28,7 +29,7 @@
 	connLimit int
 	inFlight  []*attempt // calls in flight, oldest first
 	// latency and deviation are the smoothed reply time and its mean deviation, in
-	// ms; latencyAt is when they were last updated.
+	// ms; latencyAt is when they were last updated, 0 if never.
 	latency, deviation float64
 	latencyAt          clock.Milli
 	// failureRatio is the smoothed share of failed calls at failureRatioAt.
@@ -42,7 +43,7 @@
 	// connCheckAt is when a broken call may next trigger a connection check.
 	connCheckAt clock.Milli
 	// flaps counts how often in a row the leaf became unhealthy again soon after a
-	// successful probe.
+	// successful probe, up to maxProbeDoublings.
 	flaps int
 	// recoveredAt is when the last probe passed; 0 if none has.
 	recoveredAt clock.Milli
@@ -92,7 +93,8 @@
 	probeInterval     clock.Milli = 500
 	maxProbeDoublings             = 3
 	flapWindow                    = 3 * clock.Second
-	// probeTimeout is when an unanswered probe counts as failed.
+	// probeTimeout is how long after a probe without a result the leaf may be probed
+	// again.
 	probeTimeout = 2 * clock.Second
 )
 
--- a/share/router/limit_test.go
+++ b/share/router/limit_test.go
@@ -38,8 +38,8 @@
 	assert.Equal(t, len(r.sends), 4)
 }
 
-// On-call needs to see why callers were refused. One line logs that the limit is set, with
-// the share of late answers, and one that it is lifted.
+// On-call needs to see why callers were refused: it is logged when the limit is set, and when
+// it is lifted.
 func TestLimitIsLogged(t *testing.T) {
 	r := newRig(t)
 	r.handle(Topology{Table: table(1, shardedRoute(4)), Leaves: leafPairs(4)})
--- a/share/router/overload.go
+++ b/share/router/overload.go
@@ -10,7 +10,7 @@
 // Three rules follow. A slow leaf gets few calls at a time, so that these are in time.
 // A query whose weak shards cannot be in time is refused on arrival, before a leaf is
 // called. While queries are refused, all hosts refuse the same ones, by consistent
-// sampling: those whose sample, a hash of the request, is below the refused share.
+// sampling: those whose sample, a hash of the request's ID, is below the refused share.
 
 // shedder holds the share of a route's queries that is refused by sampling. The zero
 // value refuses none.
@@ -47,16 +47,16 @@
 	return true
 }
 
-// prospect is a query's expected chance of an answer in time.
+// prospect is what is expected of a query's answer at its arrival.
 type prospect int
 
 // Prospects of queries.
 const (
-	// unservable queries lack too many shards at their target.
+	// unservable queries lack too many shards even after unservableShare of their time.
 	unservable prospect = iota
-	// tight queries are neither.
+	// tight queries are between the two.
 	tight
-	// ample queries are answered within ampleShare of their time.
+	// ample queries have enough shards within ampleShare of their time.
 	ample
 )
 
@@ -69,7 +69,7 @@
 )
 
 // slowShare is the share of a route's target above which a leaf's expected time
-// counts as slow: two such calls in sequence would be late.
+// counts as slow: two such calls in sequence take more than four fifths of the target.
 const slowShare = 0.4
 
 // idleRecovery is how long after its last call a slow leaf without calls is assumed
@@ -80,13 +80,15 @@
 const slowCallLimit = 1
 
 // slow reports whether a leaf is slow for a query's route. It is false for every leaf
-// unless the route is sharded and this host's failure domain uses aggregators.
+// unless the route is sharded and has a target, and this host's failure domain uses
+// aggregators.
 func (e *Engine) slow(now clock.Milli, f *leaf, q *query) bool {
 	return q.route.Sharded() && q.route.Target > 0 && e.usesAggregators(e.Self.Domain) && f.expected(now, e.typicalLatency(f)) > slowShare*float64(q.route.Target)
 }
 
 // expectedAnswerAt returns when a shard is expected to be answered if it were requested
-// now, after the shards that precede it in the queue; false if no leaf can be called.
+// now; false if no leaf can be called. Of the queued shards, it counts those that go first by
+// lateness or priority, and not those that only arrived earlier.
 func (e *Engine) expectedAnswerAt(now clock.Milli, s *shard) (clock.Milli, bool) {
 	svc := e.services[s.service]
 	ahead := 0
@@ -145,7 +147,9 @@
 }
 
 // admitBySampling reports whether a query over shards is admitted, by its prospect and
-// its sample. A late query is admitted only while no query is refused.
+// its sample. A late query is admitted only while no query is refused and its prospect is
+// ample. All queries are admitted if this host calls no leaf for them or its failure domain
+// doesn't use aggregators.
 func (e *Engine) admitBySampling(now clock.Milli, q *query, local []*shard) bool {
 	if !q.route.Sharded() || len(local) == 0 || !e.usesAggregators(e.Self.Domain) {
 		return true
--- a/share/router/peer.go
+++ b/share/router/peer.go
@@ -32,7 +32,7 @@
 	// minPeerBackoff and maxPeerBackoff bound the backoff after failed forwards.
 	minPeerBackoff = clock.Second
 	maxPeerBackoff = 8 * clock.Second
-	// forwardGrace is how long past its target a forwarded answer may be before
+	// forwardGrace is how long past its query's target a forwarded answer may be before
 	// its host gets no further requests.
 	forwardGrace clock.Milli = 60
 	// minForwardShards is the least number of shards that is worth forwarding.
@@ -88,7 +88,10 @@
 }
 
 // splitShards divides a query's shards into those requested from here and those forwarded
-// to other hosts.
+// to other hosts. An aggregator requests the shards that have a leaf in its own failure domain.
+// The others are grouped by the nearest failure domain with a leaf, or by region if none is in
+// this one; a group below minForwardShards, or for which no host is available, is requested
+// from here.
 func (e *Engine) splitShards(now clock.Milli, q *query) (local []*shard, remote []forwardGroup) {
 	if !q.route.Sharded() || len(e.peers) == 0 {
 		return q.shards, nil
@@ -126,8 +129,8 @@
 }
 
 // splitByDomain divides shards that have leaves in p's region into groups to forward: one
-// to a host in each failure domain that has leaves of them and uses aggregators, and the
-// rest to p.
+// to a host in each failure domain that has leaves of at least minForwardShards of them and
+// uses aggregators, and the rest to p.
 func (e *Engine) splitByDomain(now clock.Milli, q *query, p *peer, group []*shard) []forwardGroup {
 	domains := map[string][]*shard{}
 	for _, s := range group {
@@ -183,7 +186,7 @@
 }
 
 // nearestDomain returns the failure domain in this region that has a healthy leaf for
-// a shard, preferably this host's own; "" if there is none.
+// a shard: preferably this host's own, else the first by name; "" if there is none.
 func (e *Engine) nearestDomain(s *shard) string {
 	found := ""
 	for _, f := range e.services[s.service].leaves {
@@ -211,7 +214,8 @@
 }
 
 // selectPeerIn chooses the host of a failure domain that shards are forwarded to, by round
-// trip and load among the first available ones; nil if none can answer in time.
+// trip and load among the first Policy.Aggregators available ones; nil if no host is available
+// that can answer in time.
 func (e *Engine) selectPeerIn(now clock.Milli, q *query, domain string) *peer {
 	var best *peer
 	var cost float64
@@ -233,7 +237,7 @@
 
 // selectFarPeer chooses a host in another region for shards that have no leaf in this
 // one, and splits them into those that have a leaf in its region and the others. It
-// returns no host if none has leaves for minForwardShards of them.
+// returns no host if no available one has leaves for minForwardShards of them in its region.
 func (e *Engine) selectFarPeer(now clock.Milli, q *query, far []*shard) (best *peer, group, other []*shard) {
 	var cost float64
 	for domain := range e.peersByDomain {
@@ -292,13 +296,15 @@
 	return defaultFarRoundTripMs
 }
 
-// hasOverdueForward reports whether a host's oldest forward is past its target by more
-// than forwardGrace: the host has stalled or is unreachable.
+// hasOverdueForward reports whether a host's oldest forward is past its query's target by
+// more than forwardGrace: the host is taken to have stalled or to be unreachable.
 func (e *Engine) hasOverdueForward(now clock.Milli, p *peer) bool {
 	return len(p.inFlight) > 0 && now > p.inFlight[0].query.target+forwardGrace
 }
 
-// recordForward updates a host's round trip and backoff with the outcome of a forward.
+// recordForward updates a host's round trip and backoff with the outcome of a forward. A
+// failure, or a refusal other than for lack of capacity, starts a backoff, which doubles
+// with each in a row.
 func (e *Engine) recordForward(now clock.Milli, fwd *forward, d CallDone) {
 	p := fwd.peer
 	if d.Refusal == NoCapacity {
@@ -318,7 +324,7 @@
 	}
 	gaveUp := d.Kind == call.Cancelled || d.Kind == call.Withdrawn
 	if gaveUp && now < fwd.query.target+forwardGrace {
-		return // the caller disconnected
+		return // the query ended early, such as when its caller disconnected
 	}
 	p.backoff = min(max(minPeerBackoff, 2*p.backoff), maxPeerBackoff)
 	p.backoffUntil = now + p.backoff
--- a/share/router/query.go
+++ b/share/router/query.go
@@ -15,7 +15,7 @@
 	// a leaf has answered it properly.
 	fingerprint uint64
 	proven      bool
-	// sample is a hash of the request, from 0 to 1, the same on all hosts.
+	// sample is a hash of the request's ID, from 0 to 1, the same on all hosts.
 	sample float64
 	route  *route.Route
 	// version is that of the configuration when the query arrived.
@@ -24,7 +24,7 @@
 	// target is when an answer must be sent to be in time; deadline is when a query
 	// without an answer is refused.
 	target, deadline clock.Milli
-	// late queries arrived after their route's target. Their answer is still of
+	// late queries arrived too late to be answered by their route's target. Their answer is still of
 	// use, but answering sooner gains them nothing, while their load can make
 	// queries late that can still be in time.
 	late   bool
@@ -33,8 +33,10 @@
 	answered, abandoned int
 	// lastAnswered is the shard that was answered last.
 	lastAnswered *shard
-	extraCalls   int
-	// withheld is set once a hedge or retry was withheld, which is logged once.
+	// extraCalls is the number of hedges and retries that were charged to the budget.
+	extraCalls int
+	// withheld is set once a hedge or retry was withheld for lack of budget, which is
+	// logged once.
 	withheld bool
 	// timerAt is when the query is checked next; 0 if no check is scheduled.
 	timerAt clock.Milli
@@ -60,7 +62,7 @@
 	service string
 	calls   []*attempt
 	// answered is set once the shard has a reply, from a leaf or within the answer
-	// of the host to which it is forwarded; forward is set until then.
+	// of the host to which it is forwarded; forward is set while that forward is in flight.
 	answered bool
 	reply    *call.Reply
 	forward  *forward
@@ -68,8 +70,10 @@
 	possibleRuns int
 	// abandoned is set once the query does without the shard.
 	abandoned bool
-	queued    bool
-	// sentAt is when the last call was sent, hedgeAt when another leaf may be called.
+	// queued is set while the shard waits for a leaf with capacity.
+	queued bool
+	// sentAt is when the last call or forward was sent, hedgeAt when another leaf may be
+	// called.
 	sentAt, hedgeAt clock.Milli
 	// cause is why the last call gave no reply, or why the shard was abandoned.
 	cause      string
@@ -79,7 +83,7 @@
 // settled reports whether nothing more is done for the shard.
 func (s *shard) settled() bool { return s.answered || s.abandoned }
 
-// tried reports whether a leaf has been called for this shard.
+// tried reports whether leaf f has been called for this shard.
 func (s *shard) tried(f *leaf) bool {
 	for _, a := range s.calls {
 		if a.leaf == f {
@@ -173,12 +177,12 @@
 	// about twenty per host and route, are retries; without an initial value the
 	// first of them would count as a full wait and all others as being in time.
 	initialVotes = 25
-	// nearVote is the weight of a wait that is shorter by at most a round trip:
-	// that of a first request on a new connection.
+	// nearVote is the weight against the estimate of a wait that is shorter by at most
+	// maxRoundTrip: it may be that of a first request on a new connection.
 	nearVote = 0.1
 )
 
-// newWaitEstimate starts from a route's timeout; 0 is none.
+// newWaitEstimate starts from a route's timeout, or from no estimate if that is 0.
 func newWaitEstimate(timeout clock.Milli) *waitEstimate {
 	if timeout <= 0 {
 		return &waitEstimate{}
@@ -200,8 +204,8 @@
 	}
 }
 
-// sinceFirstAttempt returns how long ago the first attempt of a caller began that will
-// wait that long from now.
+// sinceFirstAttempt estimates how long ago a caller's first attempt began, from the wait that
+// its request names. It returns 0 for a first attempt, and if there is no estimate.
 func (w *waitEstimate) sinceFirstAttempt(wait clock.Milli) clock.Milli {
 	if wait <= 0 || wait >= w.value {
 		return 0
--- a/share/router/query_test.go
+++ b/share/router/query_test.go
@@ -139,10 +139,10 @@
 	assert.Assert(t, !answered)
 }
 
-// Both replicas of a shard have become ten times slower under a steady load, so that every
-// query needs a hedge or retry for it. Retries of queued shards must not bypass the
-// budget: over any ten seconds, hedges and retries stay within the operators' bound of a
-// fifth of the requests plus the reserve.
+// Both replicas of a shard reject all calls, a third of them at once and the others after
+// 300 ms, so that every query needs a hedge or retry. Retries of queued shards must not bypass
+// the budget: over ten seconds, hedges and retries stay within 0.19 of the requests, less than
+// the operators' bound of a fifth, plus this host's part of the reserve.
 func TestSecondCallsStayWithinTheBudget(t *testing.T) {
 	r := newRig(t)
 	r.engine.Policy = Policy{BudgetRatio: 0.19, BudgetReserve: 40, MinHosts: 6}
@@ -161,7 +161,8 @@
 		}
 		r.advance(1)
 		for ; seen < len(r.sends); seen++ {
-			// Every third call is rejected at once, the others after 300 ms.
+			// Every third call is rejected at once, the others after 300 ms: all are
+			// handled in the very step in which they are due.
 			due := r.now + 300
 			if seen%3 == 0 {
 				due = r.now
@@ -192,8 +193,8 @@
 	assert.Assert(t, extraCalls > 10, "the budget was hardly used")
 }
 
-// Near leaves reject most calls, while those in the other region answer all. A preference for
-// near leaves would keep sending them calls; within a second most must go to the far leaves.
+// The near leaf rejects three of five calls, while the one in the other region answers all. A
+// preference for near leaves would keep sending it calls; most of sixty must go to the far one.
 func TestRejectingLeavesAreAvoided(t *testing.T) {
 	r := newRig(t)
 	r.handle(Topology{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
@@ -241,7 +242,7 @@
 }
 
 // A shard has no leaf. The query must not wait for it until its target: it is answered as
-// soon as the other shards have replied.
+// soon as the other shards have replied. With one leaf left, it is refused on arrival.
 func TestShardWithoutLeafIsNotWaitedFor(t *testing.T) {
 	r := newRig(t)
 	r.handle(Topology{Table: table(1, shardedRoute(4)), Leaves: leafPairs(3)})
@@ -256,8 +257,8 @@
 }
 
 // All leaves lose four of ten replies: they accept connections and reset them. Lost
-// replies are retried at other leaves while the budget lasts; no query is refused for lack
-// of a leaf, since every second attempt would be answered.
+// replies are retried at other leaves, for which the budget is large enough here; no query is
+// refused for lack of a leaf, since most attempts are answered.
 func TestLeavesThatLoseRepliesAreStillCalled(t *testing.T) {
 	r := newRig(t)
 	r.engine.Policy = Policy{BudgetRatio: 1, BudgetReserve: 1000, MinHosts: 1}
--- a/share/router/replay_test.go
+++ b/share/router/replay_test.go
@@ -119,8 +119,8 @@
 
 // 2.2 times as many requests arrive as usual, at leaves with one slot each or for queries
 // that need nearly all shards, so that the leaves can't serve them all. Excess queries
-// must be refused on arrival as not run, so that their callers know that they may retry.
-// Otherwise they would fail after work at some of their shards.
+// must be refused as not run, so that their callers know that they may retry; at most one
+// request in twenty may fail after work at some of its shards.
 func TestSurgeIsRefusedAndNotFailed(t *testing.T) {
 	for _, c := range []struct {
 		name                         string
--- a/share/router/replica.go
+++ b/share/router/replica.go
@@ -22,15 +22,15 @@
 // choice is the result of selecting a leaf.
 type choice struct {
 	leaf *leaf
-	// full is set if there are leaves but none has capacity now.
+	// full is set if a leaf was excluded for lack of capacity.
 	full bool
-	// unhealthy is set if there are unhealthy leaves that may not be tried yet.
+	// unhealthy is set if an unhealthy leaf was excluded since it may not be tried now.
 	unhealthy bool
 }
 
 // selectLeaf chooses the leaf that is expected to answer a shard first, among those
 // not called for it yet. With allowProbe, an unhealthy leaf may be tried if there is no
-// other and its next probe is due.
+// other, not even a full one, and its next probe is due.
 func (e *Engine) selectLeaf(now clock.Milli, s *shard, allowProbe bool) choice {
 	var c choice
 	var best float64
@@ -90,7 +90,7 @@
 }
 
 // admitsCold reports whether a leaf can take one more request: a cold one only at the
-// operators' rate, of which this host has its part.
+// operators' rate, of which this host has its part. Without a rate, every leaf can.
 func (e *Engine) admitsCold(now clock.Milli, f *leaf) bool {
 	rate := e.services[f.Service].config.ColdRate
 	if rate <= 0 || !f.cold(now) {
@@ -132,10 +132,11 @@
 )
 
 // minLatency returns the lowest recent latency of any leaf of the region: about the
-// network round trip.
+// network round trip. It is 0 until one is measured.
 func (e *Engine) minLatency(f *leaf) float64 { return e.regions[f.region].minLatency }
 
-// typicalLatency returns the typical latency of healthy leaves of the region.
+// typicalLatency returns the typical latency of successful calls in a leaf's region, or a
+// default until one is measured.
 func (e *Engine) typicalLatency(f *leaf) float64 {
 	if latency := e.regions[f.region].typicalLatency; latency > 0 {
 		return latency
@@ -156,8 +157,8 @@
 type region struct{ minLatency, typicalLatency float64 }
 
 // observe updates the latencies with a reply time. The minimum falls at once and rises
-// slowly, so that it follows a round trip that has become longer. A single reply counts
-// for at most three times the typical latency.
+// slowly, so that it follows a round trip that has become longer. In the typical latency, a
+// single reply counts for at most three times its former value.
 func (r *region) observe(took float64) {
 	if r.typicalLatency == 0 {
 		r.minLatency, r.typicalLatency = took, took
--- a/share/router/reports.go
+++ b/share/router/reports.go
@@ -55,8 +55,8 @@
 	e.emit(SendLeafReports{List: []report.Leaf{r}})
 }
 
-// applyLeafReports applies another host's reports where this host has no fresher
-// measurement.
+// applyLeafReports applies another host's reports where no call of this host has ended
+// within ownCallFresh. It records the others as well as the last reports on their leaves.
 func (e *Engine) applyLeafReports(now clock.Milli, list []report.Leaf) {
 	for _, r := range list {
 		f := e.leaves[r.ID]
--- a/share/router/router_test.go
+++ b/share/router/router_test.go
@@ -96,7 +96,7 @@
 	return r.queries
 }
 
-// request returns the next request of a caller or another host.
+// request returns the request of the query that was numbered last.
 func (r *rig) request(path string) *call.Request {
 	return &call.Request{ID: fmt.Sprintf("q%d", r.queries), Method: "GET", Target: path, Host: "h"}
 }
--- a/share/router/single_test.go
+++ b/share/router/single_test.go
@@ -103,8 +103,8 @@
 	assert.Equal(t, len(r.sends), sent)
 }
 
-// Two services share a route three to one. The operators' weights must hold exactly, whatever
-// the services' latency.
+// Two services share a route three to one, and both answer at once. The operators' weights must
+// hold exactly.
 func TestWeightsAreKept(t *testing.T) {
 	weighted := singleRoute(true)
 	weighted.Services = []route.WeightedService{{Service: "s", Weight: 3}, {Service: "t", Weight: 1}}
--- a/share/router/types.go
+++ b/share/router/types.go
@@ -56,12 +56,13 @@
 	ProcessingTime clock.Milli
 }
 
-// Topology replaces the known routes, leaves and failure domains. A nil Table, or one that
-// isn't newer than the table in force, is ignored.
+// Topology replaces the known leaves and the failure domains out of service, and the routes
+// if its Table is newer than the one in force; another Table, or nil, leaves them as they are.
 type Topology struct {
-	Table  *route.Table
+	Table *route.Table
+	// Leaves are all leaves; a known one that isn't listed is removed.
 	Leaves []roster.Leaf
-	// DomainsOut are the failure domains that get no new work.
+	// DomainsOut are all failure domains that get no new work.
 	DomainsOut map[string]bool
 	// Regions maps failure domains to regions; nil keeps the known map.
 	Regions map[string]string
@@ -131,7 +132,8 @@
 	// Target is the time until the answer must leave that host, Timeout the time
 	// until the request ends.
 	Target, Timeout clock.Milli
-	Version         uint64
+	// Version is the configuration version by which this host handles the request.
+	Version uint64
 	// Late reports that the caller's target had passed when the request arrived.
 	Late bool
 }
@@ -139,7 +141,7 @@
 // Preconnect opens a connection to another host before it is needed.
 type Preconnect struct{ Address string }
 
-// Cancel aborts a call by closing its connection.
+// Cancel aborts a call to a leaf or to another host by closing its connection.
 type Cancel struct{ Call uint64 }
 
 // Probe checks a leaf's health.
@@ -172,17 +174,19 @@
 
 // Merged is a complete or partial answer to a query over shards.
 type Merged struct {
+	// Parts are the replies of leaves and the merged answers of other hosts.
 	Parts []*call.Reply
 	// Missing names the shards that the answer lacks.
 	Missing []string
-	TopK    int
+	// TopK is the maximum number of records in the answer.
+	TopK int
 }
 
 // Refusal is the reason for which a request got no leaf's reply.
 type Refusal int
 
-// Reasons for refusals. For those up to NoCapacity, callers are told that the request
-// did not run.
+// Reasons for refusals. Failed and Late leave open whether the request has run; with the
+// others, apart from None, callers are told that no leaf has run it.
 const (
 	// None: the request was answered.
 	None Refusal = iota
@@ -190,18 +194,22 @@
 	NoConfig
 	// NoRoute: no route matches.
 	NoRoute
-	// NoLeaf: no leaf of the service can serve it now.
+	// NoLeaf: too few shards have a leaf that can serve them now; if leaves were called,
+	// none has run the request.
 	NoLeaf
-	// NoCapacity: the load exceeds what can be served in time.
+	// NoCapacity: the load exceeds what can be served in time, or the time has passed
+	// before a leaf can have run the request.
 	NoCapacity
-	// Failed: leaves were called, and none returned a proper reply. The request may
-	// have run.
+	// Failed: leaves or other hosts were called, and too few shards have a proper reply.
+	// The request may have run.
 	Failed
 	// Harmful: leaves have crashed while they ran this request.
 	Harmful
-	// Stale: another host has a newer configuration than this one.
+	// Stale: the host that forwarded the request has a newer configuration than this one,
+	// or requests shards that the route doesn't have here.
 	Stale
-	// Late: the caller's deadline or the route's timeout has passed.
+	// Late: the caller's deadline or the route's timeout has passed. The request may have
+	// run.
 	Late
 )
 
@@ -242,12 +250,12 @@
 	Took clock.Milli
 	// Count and Total are numbers of shards; for the limiter, queries in flight
 	// and the limit; for changes, the number of routes, leaves or hosts; for a crash,
-	// that of requests in flight.
+	// that of the crash reports sent.
 	Count, Total int
 	// Missing lists the shards that the answer lacks, each with its last known
 	// state.
 	Missing []MissingShard
-	// Extra is the number of calls beyond the first per shard.
+	// Extra is the number of hedges and retries that were charged to the budget.
 	Extra int
 	// Wait is how long the caller said it would wait, SinceFirstAttempt the
 	// estimated time since its first attempt, in ms.
@@ -267,8 +275,10 @@
 // MissingShard is a shard that an answer lacks.
 type MissingShard struct {
 	Service string
-	Leaf    string
-	Cause   string
+	// Leaf is the leaf, or the address of the host, that was called last; "" if none was.
+	Leaf string
+	// Cause is why the shard has no reply.
+	Cause string
 }
 
 // LogKind is the subject of a log record.
@@ -315,8 +325,9 @@
 // String returns the kind's name in logs and metrics.
 func (k LogKind) String() string { return logNames[k] }
 
-// Important reports whether the record explains a request that was not served in
-// full, or a state change; such records are kept when others are dropped.
+// Important reports whether the record is about a refusal, a partial answer, a failed call,
+// a withheld one, a caller that disconnected or a state change; such records are kept when
+// others are dropped.
 func (k LogKind) Important() bool {
 	switch k {
 	case LogAdmitted, LogAnswered, LogHedged, LogForwarded, LogLeafReport:
--- a/share/router/world_test.go
+++ b/share/router/world_test.go
@@ -70,11 +70,12 @@
 }
 
 // failed reports whether a request ended without an answer although a leaf may have
-// run it.
+// run it. None is the reason if the caller gave up without even a refusal.
 func (r *simRequest) failed() bool {
 	return r.value == 0 && (r.lastRefusal == Failed || r.lastRefusal == Late || r.lastRefusal == None)
 }
 
+// simEvent runs a function at a time; seq orders events of the same time.
 type simEvent struct {
 	at  clock.Milli
 	seq int
@@ -407,7 +408,7 @@
 	}
 }
 
-// cancel ends a call and closes its connection.
+// cancel ends a call, closes its connection and frees its slot, if it has one, for the next.
 func (l *simLeaf) cancel(j *simJob) {
 	if !j.ended {
 		l.connsInUse[j.engine]--
@@ -429,6 +430,7 @@
 	l.w.schedule(l.w.now+h.delay(l.region), func() { h.endCall(j, d) })
 }
 
+// kindOf returns the kind of a request by its route's prefix.
 func (w *world) kindOf(r *call.Request) *simKind {
 	for i := range w.kinds {
 		if len(r.Target) >= len(w.kinds[i].route.Prefix) && r.Target[:len(w.kinds[i].route.Prefix)] == w.kinds[i].route.Prefix {
@@ -464,7 +466,8 @@
 	})
 }
 
-// attempt sends a request to a random host; a retry opens a new connection.
+// attempt sends a request to a random host; a retry opens a new connection. The request ends
+// when the caller's wait is over.
 func (w *world) attempt(r *simRequest) {
 	h := w.hosts[w.rng.Intn(len(w.hosts))]
 	if h.down {
