--- a/share/sched/flow.go
+++ b/share/sched/flow.go
@@ -7,8 +7,8 @@
 )
 
 // Submit handles a new call. It is rejected, sent, or queued until a slot is
-// free; a canary is also rejected, with ReasonProven, if a leaf has completed its
-// request before.
+// free. The canary of a query that a leaf has completed on the same snapshot is also
+// rejected, with ReasonProven, so that the entry sends the query to all shards.
 func (e *Engine) Submit(now clock.Milli, call Call) []Action {
 	e.init(now)
 	f := e.leaves[call.Leaf]
@@ -44,7 +44,8 @@
 // shortRetryAfter is the Retry-After for rejections whose cause is brief.
 const shortRetryAfter = 100 * clock.Milli(1)
 
-// rejectReason returns why a call is rejected and when to retry, or ReasonNone.
+// rejectReason returns why a call is rejected and its Retry-After, which may be 0, or
+// ReasonNone.
 func (e *Engine) rejectReason(now clock.Milli, f *leaf, call Call) (query.Reason, clock.Milli) {
 	if now < e.suspendedUntil {
 		return query.ReasonSuspended, e.suspendedUntil - now
@@ -71,8 +72,9 @@
 	return query.ReasonNone, 0
 }
 
-// secondCanaryAllowed reports whether a blocked request may run as the second canary
-// of the query whose first canary crashed a server. After a second crash, none may run.
+// secondCanaryAllowed reports whether a call of a blocked request may run because it
+// belongs to the query whose first canary crashed a server. After a second crash, none
+// may run.
 func (e *Engine) secondCanaryAllowed(now clock.Milli, call Call) bool {
 	return call.SecondCanary && e.strikes.Get(now, call.Fingerprint).Count < 2
 }
@@ -104,7 +106,8 @@
 }
 
 // dispatch rejects expired calls and sends queued ones while the leaf has free
-// slots and this host may open connections.
+// slots and a connection is idle or may be opened. Then it rejects the one call by
+// which the queue may exceed its limit.
 func (e *Engine) dispatch(now clock.Milli, f *leaf) []Action {
 	out := e.expire(now, f)
 	if len(f.queue) == 0 {
@@ -114,7 +117,7 @@
 		return out
 	}
 	limit := e.limit(now, f)
-	for len(f.queue) > 0 && f.busy+f.orphanCount(now) < limit {
+	for len(f.queue) > 0 && f.busy+f.lostCount(now) < limit {
 		i := e.next(f)
 		if i < 0 {
 			break
@@ -180,8 +183,8 @@
 }
 
 // next returns the index of the queued call to send, or -1 if none may be sent.
-// It selects the caller with the fewest calls in flight at this leaf, then by
-// Policy.Order.
+// It selects the caller with the fewest calls in flight at this leaf, unless
+// Policy.NoFairness is set, then by Policy.Order.
 //
 // Only one canary per fingerprint runs at a time: if it crashes its server, the
 // others have not run.
@@ -229,7 +232,8 @@
 	return a.Deadline < b.Deadline
 }
 
-// finish reports the outcome of a call and removes it. It returns nil for a call
+// finish reports the outcome of a call with the state of its leaf and removes the call,
+// after which another canary of its fingerprint may run. It returns nil for a call
 // that already has an outcome, such as one that was cancelled at its leaf.
 func (e *Engine) finish(now clock.Milli, call *activeCall, o query.Outcome) []Action {
 	if call.answered {
@@ -254,14 +258,16 @@
 	// Outcome holds the kind, reason and rows.
 	Outcome query.Outcome
 	Status  LeafStatus
-	// ConnLost is set if the connection was lost.
+	// ConnLost is set if the connection was lost, or delivered a reply to another
+	// request. It is not used again.
 	ConnLost bool
 	// DialFailed is set if the connection could not be opened.
 	DialFailed bool
 }
 
 // CallDone handles the result of a call: it frees the connection, updates the
-// leaf, replies to the entry, and sends the next queued calls.
+// leaf, hands over its server if the other candidate waits for that, replies to the
+// entry unless the call was cancelled, and sends the next queued calls.
 func (e *Engine) CallDone(now clock.Milli, r Result) []Action {
 	f := e.leaves[r.Leaf]
 	if f == nil {
@@ -340,7 +346,8 @@
 // are rejected. Otherwise the outcome becomes Unknown, without a strike: a request that
 // crashes every server never gets past its canary, so one that a leaf has completed
 // before is not the cause. Without this distinction, the loss of a failure domain would
-// quarantine each popular query that was running on two of its servers.
+// quarantine each popular query that was running on two of its servers. In both cases
+// the request needs a canary again.
 func (e *Engine) recordCrash(now clock.Milli, call *activeCall, o *query.Outcome) []Action {
 	e.proven.Remove(call.Fingerprint)
 	if !call.Canary {
--- a/share/sched/health.go
+++ b/share/sched/health.go
@@ -13,7 +13,7 @@
 	incarnation     uint64
 	meanLatency     float64 // moving average in ms
 	failures        int     // in a row
-	down            bool    // no new calls until a probe succeeds
+	down            bool    // no new calls until a probe or a running call succeeds
 	nextProbeAt     clock.Milli
 	backoff         clock.Milli // delay of the next probe: minProbeBackoff after the first failure, doubled up to maxProbeBackoff
 	draining        bool
@@ -24,7 +24,7 @@
 
 const (
 	// ejectAfter is the number of consecutive failures that take a leaf out of
-	// service until a probe succeeds.
+	// service until a probe or a running call succeeds.
 	ejectAfter = 3
 	// minProbeBackoff and maxProbeBackoff limit the time between probes of a leaf that
 	// is down.
@@ -76,8 +76,8 @@
 }
 
 // applyStatus updates a leaf from the status in a reply or probe. A restart of
-// the server starts the ramp and ends a drain. A drain also ends with a probe
-// that doesn't report it, drainHold after the last status that did.
+// the server starts the ramp and ends a drain. A drain rejects the queue. It also ends
+// with a probe that doesn't report it, drainHold after the last status that did.
 func (e *Engine) applyStatus(now clock.Milli, f *leaf, s LeafStatus, fromProbe bool) []Action {
 	var out []Action
 	h := &f.health
@@ -144,7 +144,8 @@
 // Probes keep connections open, detect unresponsive ones, and report restarts,
 // drains and snapshots. While the leaf has fewer connections than this host may
 // use, each probe opens another and the next follows after connectInterval; a leaf that
-// is down gets a new connection only if none is idle.
+// is down gets a new connection only if none is idle. It returns nil if no probe is due,
+// this host is not a candidate for the server, or no connection is available.
 func (e *Engine) probeIfDue(now clock.Milli, f *leaf) []Action {
 	h := &f.health
 	if f.rank < 0 || now < h.nextProbeAt {
@@ -195,8 +196,9 @@
 	return c
 }
 
-// ProbeDone handles the result of a probe or an abort. A successful abort frees
-// the slot that the aborted call occupied.
+// ProbeDone handles the result of a probe or an abort. An error closes the connection
+// and counts as a failure of the leaf. Otherwise it updates the leaf and sends queued
+// calls. A successful abort of a lost call frees its slot.
 func (e *Engine) ProbeDone(now clock.Milli, leafName string, id ConnID, s LeafStatus, err error) []Action {
 	f := e.leaves[leafName]
 	if f == nil {
@@ -213,7 +215,7 @@
 		return append(out, e.publish(f, now)...)
 	}
 	if aborted := c.aborting; aborted != (Key{}) {
-		f.removeOrphans(func(o orphan) bool { return o.key == aborted })
+		f.removeLost(func(o lostCall) bool { return o.key == aborted })
 	}
 	c.probing, c.opened, c.lastUsed, c.aborting = false, true, now, Key{}
 	f.recordSuccess(now)
@@ -240,11 +242,12 @@
 	return e.probeIfDue(now, f)
 }
 
-// watchdog closes connections that make no progress. A device on the path may
-// have removed the state of one connection, which then stays silent while new
-// ones work. The leaf is only charged with a failure if none of its connections
-// makes progress. A call on a closed connection ends as Unknown and counts as an
-// orphan, since the leaf may still be working on it.
+// watchdog closes connections whose call or probe got no reply in time. A device on
+// the path may have removed the state of one connection, which then stays silent while
+// new ones work. The leaf is only charged with a failure if none of its connections
+// made progress in that time. A call on a closed connection ends as Unknown, the leaf
+// is asked to abort it, and it counts as a lost call, since the leaf may still be
+// working on it.
 func (e *Engine) watchdog(now clock.Milli, f *leaf) []Action {
 	var out []Action
 	callTimeout := e.silenceTimeout(f)
@@ -266,7 +269,7 @@
 			out = append(out, e.recordFailure(now, f, !c.opened, query.ReasonSilent)...)
 		}
 		if lost != nil {
-			f.orphans = append(f.orphans, orphan{lost.Key, min(lost.Deadline, now+probeTimeout)})
+			f.lostCalls = append(f.lostCalls, lostCall{lost.Key, min(lost.Deadline, now+probeTimeout)})
 			out = append(out, e.abort(now, f, lost)...)
 			out = append(out, e.finish(now, lost, query.Outcome{Kind: query.Unknown, Reason: query.ReasonSilent})...)
 		}
@@ -288,24 +291,25 @@
 	return []Action{Abort{Leaf: f.Name, Conn: c.id, NewConn: newConn, Call: call.Call}}
 }
 
-// orphanCount returns how many calls may still be running at the leaf although
-// their connections were closed. Without it, a leaf that is merely slow would get
-// more calls than it has slots, shed, and be treated as cold. An orphan ends when
-// the leaf confirms the abort, after probeTimeout, or at its deadline.
-func (f *leaf) orphanCount(now clock.Milli) int {
-	f.removeOrphans(func(o orphan) bool { return now >= o.until })
-	return len(f.orphans)
+// lostCount returns how many calls may still be running at the leaf although
+// their connections were closed, and forgets those that have ended. Without it, a leaf
+// that is merely slow would get more calls than it has slots, shed, and be treated as
+// cold. A lost call ends when the leaf confirms the abort, after probeTimeout, or at its
+// deadline.
+func (f *leaf) lostCount(now clock.Milli) int {
+	f.removeLost(func(o lostCall) bool { return now >= o.until })
+	return len(f.lostCalls)
 }
 
-// removeOrphans removes the orphans that match.
-func (f *leaf) removeOrphans(match func(orphan) bool) {
-	kept := f.orphans[:0]
-	for _, o := range f.orphans {
+// removeLost removes the lost calls that match.
+func (f *leaf) removeLost(match func(lostCall) bool) {
+	kept := f.lostCalls[:0]
+	for _, o := range f.lostCalls {
 		if !match(o) {
 			kept = append(kept, o)
 		}
 	}
-	f.orphans = kept
+	f.lostCalls = kept
 }
 
 // Bounds of the timeout for calls without progress.
@@ -315,8 +319,9 @@
 )
 
 // silenceTimeout returns how long a call may go without a reply: silenceFactor
-// times the leaf's mean latency, so that a straggler keeps its connection, and at
-// most Policy.SilenceTimeout, which also applies while the mean is unknown.
+// times the leaf's mean latency, so that a straggler keeps its connection, at least
+// minSilenceTimeout, and at most Policy.SilenceTimeout, which also applies while the
+// mean is unknown.
 func (e *Engine) silenceTimeout(f *leaf) clock.Milli {
 	timeout := e.Policy.SilenceTimeout
 	if timeout == 0 {
@@ -337,7 +342,8 @@
 	delete(f.conns, c.id)
 }
 
-// publish sends the state of a leaf to the entries if it changed.
+// publish sends the state of a leaf to the entries if the leaf was opened or closed, or
+// its limit or snapshots changed. A change of the other figures alone sends nothing.
 func (e *Engine) publish(f *leaf, now clock.Milli) []Action {
 	if f.rank < 0 || e.leases.granted(now, f.server) {
 		return nil // left to the other candidate
--- a/share/sched/lease.go
+++ b/share/sched/lease.go
@@ -34,7 +34,8 @@
 type ServerAges struct {
 	Server string
 	Leaves []LeafAge
-	// Granted is set if the sender won't send calls to the server's leaves.
+	// Granted is set, in a Grant, if the sender sends no calls to the server's leaves
+	// while the lease lasts.
 	Granted bool
 }
 
@@ -59,8 +60,8 @@
 	peer         string      // the other candidate, or ""
 	heldUntil    clock.Milli // end of the lease held by this host
 	grantedUntil clock.Milli // end of the lease granted to the peer
-	// changedAt is when the candidates last changed, or a granted lease last
-	// ended early.
+	// changedAt is when the candidates last changed, a granted lease last ended early,
+	// or this process last continued after a pause.
 	changedAt clock.Milli
 	// pendingClaim is the claim to answer once this host's calls have ended.
 	pendingClaim uint64
@@ -69,7 +70,8 @@
 }
 
 // ensure returns the lease of a server, and creates it if there is none. If the
-// other candidate has changed, the lease held from the former one ends.
+// other candidate has changed, the lease held from the former one ends; a lease granted
+// to it stays in force.
 func (l *leases) ensure(now clock.Milli, server, peer string) *lease {
 	if l.servers == nil {
 		l.servers = map[string]*lease{}
@@ -122,7 +124,8 @@
 func (e *Engine) PeerUp() { e.leases.renewedAt = 0 }
 
 // renewClaims claims the servers for which this host is primary from their other
-// candidates, every leaseRenewInterval. It skips servers whose lease it has granted.
+// candidates, every leaseRenewInterval. It skips servers whose lease it has granted. A
+// leaving host claims nothing.
 func (e *Engine) renewClaims(now clock.Milli) []Action {
 	l := &e.leases
 	if e.leaving || (l.renewedAt != 0 && now-l.renewedAt < leaseRenewInterval) {
@@ -178,7 +181,7 @@
 	busy := false
 	for _, f := range e.byName {
 		if f.server == server {
-			busy = busy || f.busy+f.orphanCount(now) > 0
+			busy = busy || f.busy+f.lostCount(now) > 0
 			s.Leaves = append(s.Leaves, f.age(now))
 		}
 	}
@@ -188,8 +191,10 @@
 // ClaimReceived answers another host's claim. A leaving host grants every server.
 // Others grant a server unless they are primary for it or its candidates changed
 // less than leaseDuration ago: entries learn of new owners at different times, and
-// until all know, both hosts send half the load each. The answer always includes
-// the known ages, so that a newly started host needn't treat warm leaves as cold.
+// until all know, both hosts send half the load each. While calls of this host still
+// run at a server, its grant is withheld, and sent by handOver. The answer always
+// includes the known ages, so that a newly started host needn't treat warm leaves as
+// cold.
 func (e *Engine) ClaimReceived(now clock.Milli, host string, id uint64, servers []ServerAges) []Action {
 	e.init(now)
 	g := Grant{Host: host, ID: id, Duration: leaseDuration}
@@ -241,7 +246,8 @@
 }
 
 // handOver sends the grant or release of a server that was waiting for this host's
-// calls there to end. It returns nil while there are any.
+// calls there to end. It returns nil while there are any. A grant whose lease has ended
+// meanwhile is not sent.
 func (e *Engine) handOver(now clock.Milli, server string) []Action {
 	l := e.leases.servers[server]
 	if l == nil || (l.pendingClaim == 0 && !l.releasing) {
@@ -284,8 +290,9 @@
 }
 
 // GrantReceived handles the answer to a claim. It starts the leases granted, unless
-// this host has meanwhile granted the server itself, and sends queued calls. The
-// answer to an unknown or expired claim is ignored.
+// this host has meanwhile granted the server itself, and sends queued calls. A lease
+// counts from when its claim was sent. The answer to an unknown or expired claim is
+// ignored.
 func (e *Engine) GrantReceived(now clock.Milli, host string, id uint64, servers []ServerAges, duration clock.Milli) []Action {
 	e.init(now)
 	sent, ok := e.leases.claims[id]
--- a/share/sched/ramp.go
+++ b/share/sched/ramp.go
@@ -13,8 +13,8 @@
 	// known is false while neither this host nor another candidate has evidence
 	// of the leaf's age. Such a leaf is treated as just started.
 	known       bool
-	slowReplies int // in a row, see detectColdStart
-	shedAt      clock.Milli
+	slowReplies int         // in a row, see detectColdStart
+	shedAt      clock.Milli // when a shed last restarted the ramp
 }
 
 // restart starts the ramp from the beginning. known is unset if there is no evidence
@@ -60,10 +60,12 @@
 // while the leaf is cold, and of the slots of a warm leaf while the other candidate
 // may still have calls there. Two hosts may both act as primary when host lists are
 // stale or processes pause; without halving, the leaf would get twice its capacity.
-// Two halves never exceed the whole, whichever host is the primary.
+// Two halves never exceed the whole, except at a warm leaf with a single slot, where
+// each host that acts as primary may send one call.
 //
-// The limit is 0 shortly after this process started, and for a cold leaf while the
-// other candidate may still have calls there.
+// Without a lease, the limit is 0 shortly after this process started, for a cold leaf
+// while the other candidate may still have calls there, and where the half of a single
+// call is left.
 func (e *Engine) limit(now clock.Milli, f *leaf) int {
 	if e.Policy.NoRamp {
 		return f.slotLimit
@@ -96,11 +98,11 @@
 	shedRampInterval = 200 * clock.Milli(1)
 )
 
-// detectColdStart reports whether a reply that took this long shows a cold start
-// that the server didn't announce: the same incarnation takes several times its
-// own mean latency while the other leaves of its service do not. Without the
-// comparison, a heavier mix of queries, which slows down all leaves alike, would
-// reduce the capacity of the whole service. Replies that are not slow update the
+// detectColdStart reports whether a reply that took this long, the last of
+// slowReplyLimit in a row, shows a cold start that the server didn't announce: the same
+// incarnation takes several times its own mean latency and that of its service. Without
+// the second comparison, a heavier mix of queries, which slows down all leaves alike,
+// would reduce the capacity of the whole service. Replies that are not slow update the
 // leaf's mean latency.
 func (e *Engine) detectColdStart(f *leaf, took clock.Milli) bool {
 	mean := f.health.meanLatency
@@ -131,8 +133,8 @@
 	return f.health.meanLatency
 }
 
-// updateServiceMeans recomputes the mean latencies. It runs once per tick, since
-// each published leaf state needs the mean of its service.
+// updateServiceMeans recomputes the mean latencies, which are at least 1 ms. It runs
+// once per tick, since each published leaf state needs the mean of its service.
 func (e *Engine) updateServiceMeans() {
 	type sum struct {
 		total float64
--- a/share/sched/sched.go
+++ b/share/sched/sched.go
@@ -34,9 +34,12 @@
 	// Deadline is the time after which the answer is of no use.
 	Deadline    clock.Milli
 	Fingerprint uint64
-	Canary      bool
-	// SecondCanary is set when a server crashed under the first canary of the
-	// same query.
+	// Canary is set for the calls of a query that no leaf is known to have completed,
+	// and for every update. Of the canaries with one fingerprint, one runs at a time,
+	// and a crash of its server is a strike against the request.
+	Canary bool
+	// SecondCanary is set for all calls of a query after a server crashed under its
+	// first canary. Such a call runs although that crash blocks the request.
 	SecondCanary bool
 	// Pin is the snapshot that the query runs on.
 	Pin topo.SnapshotID
@@ -75,7 +78,8 @@
 	Call    Call
 }
 
-// CloseConn closes a connection. Its call, if any, has already been answered.
+// CloseConn closes a connection. Its call, if any, has been answered, or is answered by
+// a Reply in the same list of actions.
 type CloseConn struct {
 	Leaf   string
 	Conn   ConnID
@@ -99,7 +103,8 @@
 	Servers []ServerAges
 }
 
-// Grant answers a claim: the servers with Granted set are leased for Duration.
+// Grant answers a claim: the servers with Granted set are leased for Duration, counted
+// from when the claim was sent.
 type Grant struct {
 	Host     string
 	ID       uint64
@@ -189,7 +194,7 @@
 	byName         []*leaf             // sorted by name
 	calls          map[Key]*activeCall // without an outcome yet
 	strikes        deny.Table
-	proven         deny.ProvenSet
+	proven         deny.ProvenSet // requests that a leaf has completed
 	canaries       map[uint64]Key // the running canary, by fingerprint
 	leases         leases
 	serviceMeans   map[string]float64 // mean latency in ms, by service
@@ -213,8 +218,8 @@
 	outReason query.Reason // why the configuration takes the leaf out of service, or ReasonNone
 
 	conns     map[ConnID]*conn
-	busy      int      // calls in flight, one per connection
-	orphans   []orphan // see orphanCount
+	busy      int        // calls in flight, one per connection
+	lostCalls []lostCall // see lostCount
 	queue     []*activeCall
 	holds     []topo.SnapshotID // snapshots that the leaf last reported
 	ramp      ramp
@@ -225,16 +230,16 @@
 type conn struct {
 	id       ConnID
 	call     *activeCall // nil if idle
-	probing  bool
+	probing  bool        // a probe or an abort is in flight
 	aborting Key         // the call that the current probe aborts
 	sentAt   clock.Milli // when the call or probe was sent
 	lastUsed clock.Milli // when it last made progress
 	opened   bool        // set once a reply has arrived over it
 }
 
-// orphan is a call whose connection was closed while the leaf may still be
-// working on it.
-type orphan struct {
+// lostCall is a call whose connection was closed while the leaf may still be working
+// on it.
+type lostCall struct {
 	key   Key
 	until clock.Milli // when it stops counting against the leaf's slots
 }
@@ -252,7 +257,8 @@
 // Configure applies a configuration and a host list. The engine keeps the leaves
 // in this failure domain whose server this host is a candidate for or still has
 // calls at. Configure rejects queued calls for leaves that were removed or taken
-// out of service, and publishes changed states.
+// out of service, closes the connections of removed ones that have no call, and
+// publishes changed states.
 func (e *Engine) Configure(now clock.Milli, cfg *topo.Config, hosts []topo.Host) []Action {
 	e.init(now)
 	var out []Action
@@ -326,7 +332,7 @@
 }
 
 // hasCalls reports whether leaves of a server still run calls. Such a server is
-// kept until they end, even if this host no longer owns it.
+// kept until a later Configure finds none, even if this host no longer owns it.
 func (e *Engine) hasCalls(s topo.Server) bool {
 	for _, l := range s.Leaves {
 		if f := e.leaves[l.Name]; f != nil && f.busy > 0 {
@@ -346,7 +352,7 @@
 	return -1
 }
 
-// otherCandidate returns the first candidate that is not self.
+// otherCandidate returns the name of the first candidate that is not self, or "".
 func otherCandidate(owners []topo.Host, self string) string {
 	for _, h := range owners {
 		if h.Name != self {
--- a/share/sched/sched_test.go
+++ b/share/sched/sched_test.go
@@ -118,8 +118,8 @@
 	assert.Assert(t, got[0].RetryAfter > 0)
 }
 
-// A server restarts under load, gets calls for all its slots while its caches are
-// empty, and collapses again.
+// A server restarts, gets calls for all its slots while its caches are empty, and
+// collapses.
 func TestRestartedLeafIsWarmedUp(t *testing.T) {
 	e, now := warmEngine(t)
 	e.ProbeDone(now, "l", e.leaves["l"].sortedConns()[0].id, LeafStatus{Incarnation: 2}, nil)
@@ -145,8 +145,9 @@
 	assert.Equal(t, e.leaves["l"].busy, 0)
 }
 
-// A process is paused while a rule takes its failure domain out. If it sent the
-// calls from its queue when it continues, they would run in that domain.
+// A process is paused, and a rule may take its failure domain out meanwhile. A call that
+// it admits when it continues could run in that domain, so calls must be rejected until
+// the configuration is confirmed.
 func TestPauseHoldsNewWorkBack(t *testing.T) {
 	e, now := warmEngine(t)
 	now += 5 * pauseThreshold
--- a/share/sched/state.go
+++ b/share/sched/state.go
@@ -6,15 +6,17 @@
 	"dandelionstile/share/query"
 )
 
-// Idle reports whether no calls are queued or running.
+// Idle reports whether every call has an outcome. Leaves may still be working on
+// cancelled calls.
 func (e *Engine) Idle() bool { return len(e.calls) == 0 }
 
 // Strikes returns the requests that are currently blocked.
 func (e *Engine) Strikes(now clock.Milli) []deny.Strike { return e.strikes.Active(now) }
 
 // MergeStrike applies a strike reported by another host and reports whether it
-// was new. A new strike makes the request unproven; if it blocks the request, the
-// queued calls with its fingerprint are rejected as not run.
+// was new. A new strike removes the request from those that a leaf is known to have
+// completed, so that a canary of it runs again; if it blocks the request, the queued
+// calls with its fingerprint are rejected as not run.
 func (e *Engine) MergeStrike(now clock.Milli, s deny.Strike) (bool, []Action) {
 	e.init(now)
 	if !e.strikes.Merge(now, s) {
