--- a/share/fanout/answer.go
+++ b/share/fanout/answer.go
@@ -6,7 +6,7 @@
 )
 
 // answerIfComplete answers a query once all shards are settled. It returns nil while
-// any is open or a strike of the query is being reported.
+// any is open or a strike of the query is being reported, and if it has been answered.
 func (e *Engine) answerIfComplete(now clock.Milli, q *activeQuery) []Action {
 	if q.openShards > 0 || q.done || q.sharingStrike {
 		return nil
@@ -31,8 +31,8 @@
 	return e.answer(now, q)
 }
 
-// answer ends a query with its rows and coverage. Coverage is counted shard by
-// shard over the pinned partition map, never inferred from the replies.
+// answer ends a query with its rows and coverage and cancels its calls. Coverage is
+// counted shard by shard over the pinned partition map, never inferred from the replies.
 func (e *Engine) answer(now clock.Milli, q *activeQuery) []Action {
 	out := e.cancelAll(q)
 	c := query.Coverage{Shards: len(q.shards)}
@@ -50,7 +50,8 @@
 	}})
 }
 
-// answerRefused ends a query without rows. The wait is the answer's Retry-After.
+// answerRefused ends a query without rows and cancels its calls. The wait is the answer's
+// Retry-After.
 func (e *Engine) answerRefused(now clock.Milli, q *activeQuery, reason query.Reason, wait clock.Milli) []Action {
 	out := e.cancelAll(q)
 	q.addStep(now, Step{Event: EventRefused, Cause: reason})
@@ -61,8 +62,8 @@
 	}})
 }
 
-// CancelQuery ends a query whose caller has disconnected. Nobody reads its answer,
-// and its calls occupy slots that other callers need.
+// CancelQuery ends a query whose caller has disconnected, with a refusal that nobody
+// reads, and cancels its calls, which occupy slots that other callers need.
 func (e *Engine) CancelQuery(now clock.Milli, id uint64) []Action {
 	e.init()
 	e.now = now
@@ -73,8 +74,8 @@
 	return e.answerRefused(now, q, query.ReasonCallerGone, 0)
 }
 
-// callCounts returns the number of leaf calls of a query, and how many of them
-// were beyond the first per shard. All calls for former pins count as extra.
+// callCounts returns the number of a query's calls that may have reached a leaf, and how
+// many of them were beyond the first per shard. All calls for former pins count as extra.
 func (q *activeQuery) callCounts() (calls, extra int) {
 	calls, extra = q.priorCalls, q.priorCalls
 	for i := range q.shards {
--- a/share/fanout/budget.go
+++ b/share/fanout/budget.go
@@ -8,9 +8,9 @@
 )
 
 // budget limits the extra leaf calls of one service: each first call earns a
-// fraction of a token, each retry or hedge costs one. Without it, a slow or
-// failing backend gets even more load, which keeps it slow after the cause is
-// gone. An empty budget disables retries and hedges; it never queues them.
+// fraction of a token; a hedge, and a retry of a call that reached a leaf, cost one.
+// Without it, a slow or failing backend gets even more load, which keeps it slow after
+// the cause is gone. An empty budget disables them; it never queues them.
 type budget struct {
 	tokens      float64
 	initialized bool // set once the initial tokens have been added
@@ -19,7 +19,8 @@
 // budgetBurst is the maximum number of extra calls that can be saved up.
 const budgetBurst = 20
 
-// earn adds percent/100 tokens for each first call. A new budget is full.
+// earn adds percent/100 tokens for each first call. The first time, it fills the budget,
+// which is empty until then.
 func (b *budget) earn(calls, percent int) {
 	if !b.initialized {
 		b.initialized = true
@@ -77,8 +78,8 @@
 }
 
 // delay returns how long a call runs before it is hedged: longer than the quantile, in
-// percent, of recent call times, computed again every hedgeUpdateInterval. It also
-// updates the median.
+// percent, of recent call times, computed again every hedgeUpdateInterval, or
+// defaultHedgeDelay while there are too few of them. It also updates the median.
 func (t *timing) delay(now clock.Milli, quantile float64) clock.Milli {
 	if t.current == nil {
 		return defaultHedgeDelay
--- a/share/fanout/canary.go
+++ b/share/fanout/canary.go
@@ -31,8 +31,8 @@
 
 // provenElsewhere handles an aggregator's report that a leaf has completed the
 // query before, so the canary was not run. In the canary phase the query is sent to
-// all shards; otherwise a replica is called for the shard of that canary. The leaf
-// that didn't run the canary may be called again.
+// all shards; otherwise a replica is called for the shard of that canary, if there is
+// one. The leaf that didn't run the canary may be called again.
 func (e *Engine) provenElsewhere(now clock.Milli, q *activeQuery, a *attempt) []Action {
 	st := &q.shards[a.shard]
 	delete(st.tried, a.leaf.name)
@@ -90,15 +90,16 @@
 	return append(e.cancelAll(q), ShareStrike{Query: q.ID, Strike: strike})
 }
 
-// recordCrash merges a crash report. Only aggregators count crashes; counting here
-// as well would count each crash twice.
+// recordCrash merges a crash report with its strike count, and how long the request is
+// blocked, and removes the request from those that a leaf has completed. Only aggregators
+// count crashes; counting here as well would count each crash twice.
 func (e *Engine) recordCrash(now clock.Milli, fingerprint uint64, strikes int, left clock.Milli) {
 	e.strikes.Merge(now, deny.Strike{Fingerprint: fingerprint, Count: max(1, strikes), TimeLeft: left})
 	e.proven.Remove(fingerprint)
 }
 
 // StrikeShared continues a query once the peers know of its strike, or after
-// strikeShareTimeout: with a second canary if one is left, or else with a refusal.
+// strikeShareTimeout: with a second canary if one may be sent, or else with a refusal.
 func (e *Engine) StrikeShared(now clock.Milli, id uint64) []Action {
 	q := e.queries[id]
 	if q == nil || !q.sharingStrike {
--- a/share/fanout/choose.go
+++ b/share/fanout/choose.go
@@ -77,7 +77,7 @@
 }
 
 // choose selects a candidate. Nearby ones are preferred; a distant one is chosen if
-// its expected latency is lower despite the longer round trip.
+// its expected latency is lower despite the longer round trip. ChooseRandom ignores both.
 func (e *Engine) choose(list []candidate) candidate {
 	if e.Policy.Choice == ChooseRandom {
 		return list[e.Random.IntN(len(list))]
@@ -130,10 +130,10 @@
 	return near[i]
 }
 
-// canaryLeaf chooses the leaf that runs an unproven request first, and its shard. Leaves
-// of this failure domain are preferred. All entries of a failure domain choose the same
-// leaf, so one aggregator sees all canaries of a fingerprint and runs one at a time. It
-// reports false if no leaf can be called.
+// canaryLeaf chooses the leaf that runs the query's next canary, and its shard. Leaves of
+// this failure domain are preferred. All entries of a failure domain that know the same
+// leaves as usable choose the same one, so one aggregator sees all canaries of a
+// fingerprint and runs one at a time. It reports false if no leaf can be called.
 func (e *Engine) canaryLeaf(now clock.Milli, q *activeQuery) (candidate, int, bool) {
 	var names []string
 	var found []candidate
--- a/share/fanout/engine.go
+++ b/share/fanout/engine.go
@@ -22,11 +22,14 @@
 
 // CallSpec is a call to one leaf for one shard.
 type CallSpec struct {
-	ID     uint64
-	Leaf   string
-	Shard  int
+	ID    uint64
+	Leaf  string
+	Shard int
+	// Canary is set for the calls that are sent before the others while no leaf is known
+	// to have completed the query. A crash of its server is a strike.
 	Canary bool
-	// SecondCanary is set when a server crashed under the query's first canary.
+	// SecondCanary is set for all calls of a query after a server crashed under its
+	// first canary. The aggregator runs them although that crash blocks the query.
 	SecondCanary bool
 }
 
@@ -38,7 +41,7 @@
 	Text        string
 	Caller      string
 	Pin         topo.SnapshotID
-	Limit       int
+	Limit       int // of rows
 	Deadline    clock.Milli
 	Fingerprint uint64
 	Calls       []CallSpec
@@ -89,7 +92,7 @@
 	EventPinned       Event = "pinned"
 	EventRepinned     Event = "repinned"
 	EventCanary       Event = "canary"
-	EventSent         Event = "sent"
+	EventSent         Event = "sent" // an ordinary call, which is not recorded as a step
 	EventRetried      Event = "retried"
 	EventHedged       Event = "hedged"
 	EventFailed       Event = "failed"
@@ -121,8 +124,8 @@
 	NoCanary      bool
 	// NoBackpressure admits every query. Only the benchmark's baseline sets it.
 	NoBackpressure bool
-	// FixedRetries, if set, raises maxAttempts by that many and disables the budget.
-	// Only the benchmark's baseline sets it.
+	// FixedRetries is how many attempts per shard are allowed beyond maxAttempts. If it
+	// is set, there is no budget. Only the benchmark's baseline sets it.
 	FixedRetries int
 }
 
@@ -130,13 +133,14 @@
 const (
 	defaultBudgetPercent = 5
 	defaultHedgeQuantile = 95
-	// maxAttempts limits the attempts per shard regardless of the budget.
+	// maxAttempts limits the attempts per shard between two waits, and the canaries sent
+	// per query, regardless of the budget.
 	maxAttempts = 4
 	// nearbyMarginMS is how much higher than the lowest round-trip time that of a
 	// nearby replica may be.
 	nearbyMarginMS = 2.0
-	// strikeShareTimeout is how long an answer waits until the peers know of a
-	// crash.
+	// strikeShareTimeout is how long a second canary or a refusal waits until the peers
+	// know of a crash.
 	strikeShareTimeout = 200 * clock.Milli(1)
 	// replyReserve is the part of a deadline reserved for the reply to the caller.
 	replyReserve = 2 * clock.Milli(1)
@@ -165,7 +169,7 @@
 	lastCall      uint64
 	owners        assign.OwnerCache
 	updates       updates
-	now           clock.Milli // time of the current event
+	now           clock.Milli // time of the last query event or tick, for host.silent
 }
 
 // service is the state of one service.
@@ -176,7 +180,7 @@
 	budget    budget
 	admission admission
 	pin       topo.SnapshotID
-	pinned    bool
+	pinned    bool // whether pin is set: some leaf was usable when it was chosen
 	dirty     bool // set when the pin must be chosen again
 }
 
@@ -186,8 +190,8 @@
 	server      string
 	domain      string
 	service     *service
-	owners      []string
-	outReason   query.Reason
+	owners      []string     // hosts through which to call the leaf, best first
+	outReason   query.Reason // why the configuration takes the leaf out of service, or ReasonNone
 	feedback    query.Feedback
 	hasFeedback bool
 	inFlight    int         // this entry's calls at the leaf
@@ -196,7 +200,8 @@
 }
 
 // Configure applies a configuration and a host list. Running queries keep their
-// pins. Feedback that arrived before its leaf was configured is applied now.
+// pins. Feedback that arrived before its leaf was configured is applied now; feedback on
+// leaves that this configuration doesn't name either is discarded.
 func (e *Engine) Configure(cfg *topo.Config, hosts []topo.Host) {
 	e.init()
 	e.cfg = cfg
@@ -267,7 +272,7 @@
 	return query.ReasonNone
 }
 
-// init creates the maps at the first call.
+// init creates the maps, and Random if it isn't set, at the first call.
 func (e *Engine) init() {
 	if e.hosts != nil {
 		return
@@ -286,7 +291,8 @@
 func (e *Engine) Config() *topo.Config { return e.cfg }
 
 // SetFeedback applies an aggregator's report on a leaf. It has the service's pin
-// chosen again if the leaf was opened or closed or its snapshots changed.
+// chosen again if the leaf was opened or closed or its snapshots changed. A report on an
+// unknown leaf is kept for Configure.
 func (e *Engine) SetFeedback(fb query.Feedback) {
 	e.init()
 	f := e.leaves[fb.Leaf]
--- a/share/fanout/engine_test.go
+++ b/share/fanout/engine_test.go
@@ -121,8 +121,8 @@
 	assert.Equal(t, a.Extra, 1)
 }
 
-// A call is overtaken and its reply arrives late. It must not be merged into a query
-// that is already answered, or into the next one.
+// An outcome arrives again after its query was answered. It must not be merged into that
+// query or into the next one.
 func TestLateReplyChangesNothing(t *testing.T) {
 	e := newEngineWithoutCanary()
 	sent := calls(startQuery(e, 1, 1))
--- a/share/fanout/hosts.go
+++ b/share/fanout/hosts.go
@@ -53,7 +53,8 @@
 	e.host(name).leaving = leaving
 }
 
-// RecordRTT adds a measured round-trip time in ms to an aggregator's moving average.
+// RecordRTT adds a measured round-trip time in ms to an aggregator's moving average,
+// which begins with the first.
 func (e *Engine) RecordRTT(name string, rtt float64) {
 	e.init()
 	h := e.host(name)
@@ -73,8 +74,8 @@
 	return h
 }
 
-// HostDown handles the loss of the link to an aggregator. Calls sent over it may
-// have run.
+// HostDown handles the loss of the link to an aggregator. Calls and updates sent over it
+// end as Unknown, since they may have run. The pins of all services are chosen again.
 func (e *Engine) HostDown(now clock.Milli, name string) []Action {
 	e.init()
 	e.host(name).up = false
--- a/share/fanout/outcome.go
+++ b/share/fanout/outcome.go
@@ -88,9 +88,9 @@
 	return e.cancel(q, func(a *attempt) bool { return a.shard == shard })
 }
 
-// recordOvertaken records the time that overtaken calls of a shard have run as a
-// lower bound of their latency. Otherwise a straggler whose calls are always
-// overtaken would keep its former mean latency.
+// recordOvertaken records the time that a shard's calls in flight have run, when another
+// of its calls has succeeded, as a lower bound of their latency. Otherwise a straggler
+// whose calls are always overtaken would keep its former mean latency.
 func (e *Engine) recordOvertaken(now clock.Milli, q *activeQuery, shard int) {
 	for _, a := range q.inFlight {
 		if a.shard == shard && float64(now-a.sentAt) > a.leaf.meanLatency {
--- a/share/fanout/pins.go
+++ b/share/fanout/pins.go
@@ -98,8 +98,8 @@
 }
 
 // noReplicaReason returns why no replica of a shard can be called: unreachable if no
-// aggregator of one that is in service is connected, and else why replicas are out of
-// service.
+// aggregator of one that is in service is connected, else why replicas are out of
+// service, else no-replica.
 func (e *Engine) noReplicaReason(replicas []*leaf) query.Reason {
 	reason := query.ReasonNoReplica
 	for _, f := range replicas {
--- a/share/fanout/query.go
+++ b/share/fanout/query.go
@@ -15,7 +15,7 @@
 	Service  string
 	Text     string
 	Caller   string
-	Limit    int
+	Limit    int // of rows in the answer
 	Deadline clock.Milli
 }
 
@@ -32,12 +32,12 @@
 	shards         []shardState
 	openShards     int  // shards that are not settled
 	canaryPhase    bool // only canaries are sent; the other calls wait for one to succeed
-	canaries       int  // canaries that are running or may have run, at most maxCanaries
+	canaries       int  // canaries that are running or may have run; maxCanaries if no more may be sent
 	canaryAttempts int  // canaries sent, also those that were rejected
 	inFlight       []*attempt
 	rows           []query.Row
 	priorCalls     int         // calls for former pins
-	firstCalls     int         // shards of the current pin that were called
+	firstCalls     int         // calls for the current pin to shards whose former calls, if any, reached no leaf
 	crashes        int         // servers that crashed under its canaries
 	sharingStrike  bool        // the answer or next canary waits for StrikeShared
 	strikeDeadline clock.Milli // when it stops waiting
@@ -52,13 +52,13 @@
 	attempts      int          // calls since the last wait, also those that reached no leaf
 	reached       int          // calls that may have reached a leaf
 	inFlight      int
-	tried         map[string]bool // leaves that were called
-	rejectedBy    map[string]bool // aggregators that rejected a call for reasons of their own
+	tried         map[string]bool // leaves that were called since the last wait
+	rejectedBy    map[string]bool // aggregators that rejected a call since then for reasons of their own
 	lastReason    query.Reason    // why the last call failed
 	retryAt       clock.Milli     // when to retry after a wait; 0 if not waiting
 	waits         int             // how often it was retried after a wait
 	sentAt        clock.Milli     // when the latest attempt was sent
-	hedged        bool
+	hedged        bool            // a hedge was sent, or withheld by the budget; there is no other
 }
 
 // attempt is a call without an outcome yet.
@@ -76,8 +76,8 @@
 	q.steps = append(q.steps, s)
 }
 
-// StartQuery starts a query: it is refused, or pinned to a snapshot and sent to a
-// canary or to all shards. The answer may be among the returned actions.
+// StartQuery starts a query: it is refused, or pinned to a snapshot and sent to
+// canaries or to all shards. The answer may be among the returned actions.
 func (e *Engine) StartQuery(now clock.Milli, r Request) []Action {
 	e.init()
 	e.now = now
@@ -137,7 +137,8 @@
 	return []Action{Answered{Query: id, Answer: query.Answer{Refused: reason, RetryAfter: wait}}}
 }
 
-// pinTo pins a query to a snapshot and discards its results for the former pin.
+// pinTo pins a query to a snapshot and discards its results and the state of its shards
+// for the former pin.
 func (q *activeQuery) pinTo(pin topo.SnapshotID, shards int) {
 	q.priorCalls, _ = q.callCounts()
 	q.pin = pin
@@ -150,7 +151,7 @@
 
 // fanOut ends the canary phase: it calls a leaf for every open shard without a call
 // in flight, gives up the shards that no leaf can serve, and answers the query if
-// none is left open.
+// none is left open. The first calls earn budget.
 func (e *Engine) fanOut(now clock.Milli, q *activeQuery) []Action {
 	q.canaryPhase = false
 	b := batches{}
--- a/share/fanout/retry.go
+++ b/share/fanout/retry.go
@@ -52,9 +52,9 @@
 	return e.answerIfComplete(now, q)
 }
 
-// retry calls another replica, or the same leaf through its other candidate. It
+// retry calls the same leaf through its other candidate, or another replica. It
 // reports false, and adds no call, if the time or the attempts are used up, no replica
-// is left, or the budget is empty.
+// is left, or the call reached a leaf and the budget is empty.
 func (e *Engine) retry(now clock.Milli, q *activeQuery, a *attempt, o query.Outcome, b *batches) bool {
 	st := &q.shards[a.shard]
 	if now >= q.answerBy || st.attempts >= maxAttempts+e.Policy.FixedRetries {
@@ -80,7 +80,7 @@
 }
 
 // otherAggregator returns the same leaf through its other candidate if the first
-// rejected the call for reasons of its own.
+// rejected the call for reasons of its own, and remembers the first.
 func (e *Engine) otherAggregator(now clock.Milli, q *activeQuery, a *attempt, o query.Outcome) (candidate, bool) {
 	if o.Kind != query.NotRun {
 		return candidate{}, false
@@ -106,8 +106,9 @@
 
 // retryWait returns how long to wait before a shard is retried, and whether to
 // retry at all: only if nothing ran, the cause is brief, and the wait ends before the
-// query must be answered. All services wait for a leaf that changes owner or warms up;
-// only services that favor coverage, with a Patience of 100, wait for a full one.
+// query must be answered. It counts the wait. All services wait for a leaf that changes
+// owner or warms up, and for an aggregator that was paused or whose link is busy; only
+// services that favor coverage, with a Patience of 100, wait for a full leaf.
 func (e *Engine) retryWait(now clock.Milli, q *activeQuery, st *shardState, o query.Outcome) (clock.Milli, bool) {
 	if o.Kind != query.NotRun || st.waits >= maxWaits {
 		return 0, false
@@ -135,8 +136,8 @@
 	maxRetryWait clock.Milli = 50
 )
 
-// repin restarts a query on the snapshot that is now best, if its own is gone. Its
-// results are discarded, since an answer uses a single snapshot. It reports false if
+// repin restarts a query on the snapshot that is now best, if its own is no longer held.
+// Its results are discarded, since an answer uses a single snapshot. It reports false if
 // there is no other snapshot, the query was pinned again before, more than half of its
 // time has passed, or the budget doesn't cover the calls to repeat.
 func (e *Engine) repin(now clock.Milli, q *activeQuery) ([]Action, bool) {
--- a/share/fanout/tick.go
+++ b/share/fanout/tick.go
@@ -89,8 +89,9 @@
 }
 
 // hedge calls a second replica if a call is slow, once per shard. Only leaves with a
-// free slot that can be reached before the query is answered are called, and only within
-// the budget: a queued hedge has no benefit.
+// free slot that can be reached before the query is answered are called, since a queued
+// hedge has no benefit, and only within the budget. A hedge that the budget withholds is
+// not tried again; one without a free leaf is.
 func (e *Engine) hedge(now clock.Milli, q *activeQuery, shard int, b *batches) {
 	if e.Policy.NoHedge {
 		return
--- a/share/fanout/update.go
+++ b/share/fanout/update.go
@@ -79,6 +79,8 @@
 	forwarded map[uint64]*forwardedUpdate // by request id
 }
 
+// runningUpdate is an update that was sent to an aggregator. It is kept after its
+// requests were answered for their deadline, until its outcome is known.
 type runningUpdate struct {
 	Update
 	call    uint64
@@ -115,8 +117,9 @@
 }
 
 // StartUpdate starts an update, or answers it with the result that its id already
-// has. A quarantined update is rejected. An update whose id another host minted is
-// forwarded to that host, the owner of the id, which alone decides whether it runs.
+// has. A quarantined update is rejected before its id is looked up. An update whose id
+// another host minted is forwarded to that host, the owner of the id, which alone decides
+// whether it runs.
 func (e *Engine) StartUpdate(now clock.Milli, u Update) []Action {
 	e.init()
 	registry := &e.updates.registry
@@ -264,8 +267,8 @@
 	return e.ForwardDone(requestID, UpdateResult{Kind: query.Unknown, Reason: query.ReasonOwnerAway, RetryAfter: defaultRetryAfter})
 }
 
-// updatesHostDown ends the updates that were sent over a lost link. They may have
-// run.
+// updatesHostDown ends the updates that were sent over a lost link as Unknown, since they
+// may have run.
 func (e *Engine) updatesHostDown(now clock.Milli, host string) []Action {
 	var lost []uint64
 	for call, r := range e.updates.running {
