--- a/share/deny/deny.go
+++ b/share/deny/deny.go
@@ -12,7 +12,7 @@
 // How long a request is rejected, by the number of servers that it crashed.
 const (
 	// SuspectDuration applies after the first crash. The server may have crashed for
-	// another reason, so the request is retried once all hosts know of the strike.
+	// another reason, so a second canary may run once all hosts know of the strike.
 	SuspectDuration = clock.Second
 	// QuarantineDuration applies after the second crash, and starts again with each resend.
 	QuarantineDuration = 10 * clock.Minute
@@ -21,7 +21,8 @@
 // maxStrikes limits the records of a table; the one that expires first is evicted.
 const maxStrikes = 4096
 
-// Fingerprint identifies a request by the service and the text that a server would run.
+// Fingerprint identifies a request by the service and the text that a server would run. A
+// zero byte separates the two, so that moving a byte from one to the other changes it.
 func Fingerprint(service, text string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -129,7 +130,7 @@
 // evict removes the record that expires first, or expired longest ago.
 func (t *Table) evict() {
 	var victim uint64
-	var earliest clock.Milli = -1 // before the first record
+	var earliest clock.Milli = -1 // no record seen yet
 	for f, rec := range t.records {
 		if earliest < 0 || rec.until < earliest {
 			victim, earliest = f, rec.until
--- a/share/deny/proven.go
+++ b/share/deny/proven.go
@@ -1,9 +1,9 @@
 package deny
 
 // ProvenSet remembers requests that a leaf has completed without crashing. It keeps
-// two generations: when the young one is full it becomes the old one, and the former
-// old one is removed. So its size is bounded and recent requests are kept. The zero
-// value is empty.
+// two generations: when the young one is full, the next request makes it the old one, and
+// the former old one is removed. So its size is bounded and the requests that were added
+// last are kept. The zero value is empty.
 type ProvenSet struct {
 	young, old map[ProvenKey]struct{}
 }
