--- a/share/dedup/dedup.go
+++ b/share/dedup/dedup.go
@@ -25,10 +25,11 @@
 const (
 	// MaxMint is how many ids one call may mint.
 	MaxMint = 1000
-	// Lifetime is how long an id may be used after it was minted.
+	// Lifetime is how long after it was minted an id may start its request, and how long
+	// its result is kept.
 	Lifetime = 10 * clock.Minute
-	// maxRecords limits the ids remembered at once; the oldest is evicted and answered
-	// "unknown" from then on.
+	// maxRecords limits the ids remembered at once; the oldest is evicted, unless its
+	// request is running, and answered "unknown" from then on.
 	maxRecords = 1 << 17
 )
 
@@ -186,7 +187,8 @@
 	return rec.state, rec.result
 }
 
-// Finish stores the result of a request for which Begin returned Run.
+// Finish stores the result of a request for which Begin returned Run. It does nothing if
+// the request is not running.
 func (r *Registry[R]) Finish(id ID, result R) {
 	if rec, ok := r.records[id.Sequence]; ok && rec.state == Join {
 		rec.state, rec.result = Done, result
@@ -194,7 +196,7 @@
 }
 
 // Release resets the id of a request that certainly did not run, so that a resend
-// may run.
+// may run. It does nothing if the request is not running.
 func (r *Registry[R]) Release(id ID) {
 	if rec, ok := r.records[id.Sequence]; ok && rec.state == Join {
 		rec.state, rec.contentHash = 0, 0
