--- a/share/query/query.go
+++ b/share/query/query.go
@@ -16,9 +16,11 @@
 const (
 	// OK means that the leaf ran the request and returned its result.
 	OK Kind = iota + 1
-	// NotRun means that no byte of the request was sent to a leaf.
+	// NotRun means that the request did not run: it was not sent to a leaf, or the leaf
+	// drains or doesn't hold its snapshot.
 	NotRun
-	// Shed means that the leaf received the request and reports that it did not run it.
+	// Shed means that the leaf received the request and did not run it for lack of
+	// capacity.
 	Shed
 	// Unknown means that the request may have run.
 	Unknown
@@ -141,7 +143,7 @@
 	Holds []topo.SnapshotID
 	// Closed is set while the leaf accepts no calls from any host.
 	Closed bool
-	// CallTime is the duration of the leaf's recent calls in ms, or 0 if unknown.
+	// CallTime is the moving average of the leaf's call durations in ms, or 0 if unknown.
 	CallTime float64
 }
 
@@ -180,8 +182,8 @@
 func (c Coverage) Complete() bool { return c.Answered == c.Shards }
 
 // Answer is the answer to a caller's query. If Refused is set, the query was
-// rejected, and RetryAfter is when the caller may retry it. Calls counts the leaf calls
-// of the query, Extra those beyond the first per shard.
+// rejected, and the caller may retry it after RetryAfter. Calls counts the query's calls
+// that may have run or were shed, Extra those beyond the first per shard.
 type Answer struct {
 	Pin        topo.SnapshotID
 	Rows       []Row
