--- a/share/fanout/answer.go
+++ b/share/fanout/answer.go
@@ -74,8 +74,9 @@
 	return e.answerRefused(now, q, query.ReasonCallerGone, 0)
 }
 
-// callCounts returns the number of a query's calls that may have reached a leaf, and how
-// many of them were beyond the first per shard. All calls for former pins count as extra.
+// callCounts returns the number of a query's calls, without those that ended as NotRun, and
+// how many of them were beyond the first per shard. All calls for former pins count as
+// extra.
 func (q *activeQuery) callCounts() (calls, extra int) {
 	calls, extra = q.priorCalls, q.priorCalls
 	for i := range q.shards {
--- a/share/fanout/budget.go
+++ b/share/fanout/budget.go
@@ -8,7 +8,7 @@
 )
 
 // budget limits the extra leaf calls of one service: each first call earns a
-// fraction of a token; a hedge, and a retry of a call that reached a leaf, cost one.
+// fraction of a token; a hedge, and a retry after an outcome other than NotRun, cost one.
 // Without it, a slow or failing backend gets even more load, which keeps it slow after
 // the cause is gone. An empty budget disables them; it never queues them.
 type budget struct {
--- a/share/fanout/query.go
+++ b/share/fanout/query.go
@@ -37,7 +37,7 @@
 	inFlight       []*attempt
 	rows           []query.Row
 	priorCalls     int         // calls for former pins
-	firstCalls     int         // calls for the current pin to shards whose former calls, if any, reached no leaf
+	firstCalls     int         // calls for the current pin to shards whose former calls, if any, were all NotRun
 	crashes        int         // servers that crashed under its canaries
 	sharingStrike  bool        // the answer or next canary waits for StrikeShared
 	strikeDeadline clock.Milli // when it stops waiting
@@ -49,8 +49,8 @@
 type shardState struct {
 	settled       bool         // has a result or was given up
 	missingReason query.Reason // why it has no result; set when settled without one
-	attempts      int          // calls since the last wait, also those that reached no leaf
-	reached       int          // calls that may have reached a leaf
+	attempts      int          // calls since the last wait, also those that did not run
+	reached       int          // calls without an outcome, or with another than NotRun
 	inFlight      int
 	tried         map[string]bool // leaves that were called since the last wait
 	rejectedBy    map[string]bool // aggregators that rejected a call since then for reasons of their own
--- a/share/fanout/retry.go
+++ b/share/fanout/retry.go
@@ -54,7 +54,7 @@
 
 // retry calls the same leaf through its other candidate, or another replica. It
 // reports false, and adds no call, if the time or the attempts are used up, no replica
-// is left, or the call reached a leaf and the budget is empty.
+// is left, or the outcome is not NotRun and the budget is empty.
 func (e *Engine) retry(now clock.Milli, q *activeQuery, a *attempt, o query.Outcome, b *batches) bool {
 	st := &q.shards[a.shard]
 	if now >= q.answerBy || st.attempts >= maxAttempts+e.Policy.FixedRetries {
@@ -68,8 +68,8 @@
 	if len(list) == 0 {
 		return false
 	}
-	// A call that never reached a leaf costs the leaves nothing when repeated; all
-	// other retries draw on the budget.
+	// A call that ended as NotRun took no work of a leaf, so a retry is free; all other
+	// retries draw on the budget.
 	if o.Kind != query.NotRun && !e.spendBudget(q.service) {
 		q.addStep(now, Step{Event: EventHeldByBudget, Shard: a.shard, Cause: o.Reason})
 		st.lastReason = o.Reason
