--- a/share/assign/assign.go
+++ b/share/assign/assign.go
@@ -72,8 +72,8 @@
 // the same. With thousands of servers and hosts, ranking all of them for each change of
 // configuration would take seconds. The zero value is ready to use.
 type OwnerCache struct {
-	hosts  map[string][]topo.Host
-	owners map[string]map[string][]topo.Host // by domain, then server
+	hosts  map[string][]topo.Host            // by failure domain
+	owners map[string]map[string][]topo.Host // by failure domain, then server
 }
 
 // SetHosts replaces the host list. It discards the owners in failure domains whose
