--- a/entry/core/admin.go
+++ b/entry/core/admin.go
@@ -96,8 +96,8 @@
 	return mux
 }
 
-// Ready reports whether at least one shard of a service can be answered and the process
-// is not shutting down.
+// Ready reports whether the node is ready, at least one shard of a service can be
+// answered and the process is not shutting down.
 func (c *Core) Ready() bool {
 	s, ok := c.Status()
 	if !ok || !s.Node.Ready || s.Node.Leaving {
--- a/entry/core/core.go
+++ b/entry/core/core.go
@@ -47,7 +47,7 @@
 	queries         map[uint64]*openQuery
 	updates         map[uint64]*openUpdate
 	pendingForwards map[string][]fanout.Update // by owner; waiting for a link
-	forwarded       map[uint64]forwardedUpdate
+	forwarded       map[uint64]forwardedUpdate // by the request ID on this entry
 	history         queryHistory
 	lastID          uint64 // of queries and updates, which share one sequence
 }
@@ -288,8 +288,8 @@
 const replyTimeoutMargin = 2 * time.Second
 
 // Query runs a query until it is answered or until its context ends because the caller
-// has disconnected. A budget of 0 selects the service's default. The second result is
-// false if there is no answer.
+// has disconnected; the query is then cancelled. A budget of 0 selects the service's
+// default. The second result is false if there is no answer, also none in time.
 func (c *Core) Query(ctx context.Context, req fanout.Request, budget clock.Milli, trace string) (QueryResult, bool) {
 	m := startQuery{req: req, budget: budget, trace: trace, reply: make(chan QueryResult, 1)}
 	if !c.loop.Post(m) {
--- a/entry/core/links.go
+++ b/entry/core/links.go
@@ -56,7 +56,7 @@
 }
 
 // LinkDown removes a link. If it is the one in use for its host, the calls and updates
-// sent to that host end. Updates received over the link need no reply any more.
+// sent to that host end as unknown. Updates received over the link get no reply any more.
 func (d delegate) LinkDown(now clock.Milli, l *mesh.Link, _ error) {
 	c := d.c
 	host := l.Peer.GetHost()
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -169,7 +169,8 @@
 	Rows     []wireRow    `json:"rows"`
 }
 
-// handleQuery runs a query and replies with the answer, or with a refusal.
+// handleQuery runs a query and replies with the answer, or with a refusal. It doesn't
+// reply to a caller that has disconnected.
 func (f *Front) handleQuery(w http.ResponseWriter, r *http.Request) {
 	var q wireQuery
 	if err := httpd.ReadJSON(r, maxBodyBytes, &q); err != nil {
@@ -274,7 +275,7 @@
 	IDs []string `json:"ids"`
 }
 
-// handleIDs mints IDs for updates.
+// handleIDs mints IDs for updates. It mints none while the entry shuts down.
 func (f *Front) handleIDs(w http.ResponseWriter, r *http.Request) {
 	var m wireMint
 	if err := httpd.ReadJSON(r, maxBodyBytes, &m); err != nil {
@@ -381,7 +382,7 @@
 }
 
 // Leave shuts down in order: it fails readiness, serves requests until the load
-// balancer has noticed, and waits for the requests in flight.
+// balancer has noticed, and waits for the requests in flight, at most drainTimeout.
 func (f *Front) Leave() {
 	f.leaving.Store(true)
 	f.Core.Leave()
