--- a/aggregator/core/core.go
+++ b/aggregator/core/core.go
@@ -185,7 +185,7 @@
 }
 
 // reply records the outcome of a call in metrics and its span. It adds the outcome of a
-// query to replies, by link, and sends that of an update to the entry.
+// query's call to replies, by link, and sends that of an update to the entry.
 func (c *Core) reply(a sched.Reply, replies map[uint64]*wire.Outcomes) {
 	call := c.calls[a.Key]
 	delete(c.calls, a.Key)
@@ -232,8 +232,8 @@
 	}
 }
 
-// sendTo sends a message to the aggregator on a host. Without a link to it the message
-// is dropped.
+// sendTo sends a message to the aggregator on a host. Without a link to it, or if the
+// link's queue is full, the message is dropped.
 func (c *Core) sendTo(host string, m *wire.Envelope) {
 	if l := c.aggregators[host]; l != nil {
 		c.node.Send(l, m)
@@ -270,7 +270,7 @@
 
 // Leave hands the leaves over to other aggregators: it announces the shutdown, keeps
 // serving until the peers have received the notice, then rejects new calls and waits
-// for the running ones.
+// for the running ones, at most leaveTimeout.
 func (c *Core) Leave() {
 	m := announceLeaving{done: make(chan struct{})}
 	if c.loop.Post(m) {
@@ -320,7 +320,8 @@
 	c.execute(now, c.sched.Configure(now, cfg, hosts))
 }
 
-// LinkUp registers a link, and sends the state of all leaves to a new entry.
+// LinkUp registers a link. It sends the state of all leaves to a new entry, and has
+// servers claimed at once if the peer is an aggregator.
 func (d delegate) LinkUp(now clock.Milli, l *mesh.Link) {
 	c := d.c
 	c.links[l.ID] = l
@@ -337,8 +338,9 @@
 	}
 }
 
-// LinkDown removes a link and cancels the calls that arrived on it. If another link to
-// the same aggregator is open, it is used from then on.
+// LinkDown removes a link and cancels the calls that arrived on it. If it is the one in
+// use for an aggregator, leases granted to that host end (sched.Engine.HostDown), and
+// another open link to it is used from then on.
 func (d delegate) LinkDown(now clock.Milli, l *mesh.Link, _ error) {
 	c := d.c
 	delete(c.links, l.ID)
@@ -437,7 +439,8 @@
 	}
 }
 
-// handleUpdate submits an update to the scheduler, always as a canary.
+// handleUpdate submits an update to the scheduler, always as a canary, so that a crash
+// of its server counts as a strike and identical updates run one at a time.
 func (c *Core) handleUpdate(now clock.Milli, l *mesh.Link, u *wire.Update) {
 	key := sched.Key{Link: l.ID, ID: u.GetId()}
 	c.calls[key] = &openCall{update: true, service: u.GetService()}
--- a/aggregator/leaves/codec.go
+++ b/aggregator/leaves/codec.go
@@ -155,8 +155,8 @@
 	return o, nil
 }
 
-// parseLeafStatus parses the headers that describe the leaf. Fields without a header stay
-// zero.
+// parseLeafStatus parses the headers that describe the leaf. Fields without a valid
+// header stay zero.
 func parseLeafStatus(h http.Header) sched.LeafStatus {
 	s := sched.LeafStatus{Draining: h.Get(headerState) == stateDraining}
 	s.Incarnation, _ = strconv.ParseUint(h.Get(headerIncarnation), 10, 64) // 0 means unknown
--- a/aggregator/leaves/pool.go
+++ b/aggregator/leaves/pool.go
@@ -65,7 +65,8 @@
 	return c
 }
 
-// Send sends a call to a leaf. The result arrives as CallDone.
+// Send sends a call, whose Request must be a *Job, to a leaf. The result arrives as
+// CallDone.
 func (p *Pool) Send(address string, s sched.Send) {
 	job, ok := s.Call.Request.(*Job)
 	if !ok {
@@ -99,9 +100,9 @@
 const verifyTimeout = 250 * time.Millisecond
 
 // verify checks whether the server behind a broken connection is down. If it does not
-// answer, the outcome stays query.Died. If it answers, only the connection was lost; the
-// scheduler compares its incarnation to detect a server that crashed and has already
-// restarted.
+// answer, the outcome stays query.Died. If it answers, the outcome becomes query.Unknown:
+// only the connection was lost, or the server crashed and has already restarted, which
+// the scheduler detects by comparing incarnations.
 func (p *Pool) verify(r sched.Result, address string) sched.Result {
 	reply, err := fetch.Get(p.HTTP, address, "/v1/leafs/"+r.Leaf+"/state", verifyTimeout)
 	if err != nil {
@@ -112,8 +113,8 @@
 	return r
 }
 
-// do sends a request on its own goroutine, because opening a connection blocks. After
-// Close it does nothing.
+// do sends a request on its own goroutine, because opening a connection blocks, and calls
+// done on another. After Close it does nothing.
 func (p *Pool) do(c *fetch.Conn, r *http.Request, done func(fetch.Reply, error)) {
 	p.mu.Lock()
 	closed := p.closed
@@ -142,7 +143,7 @@
 }
 
 // complete fills in a call's result from the leaf's reply, or from the error if there
-// is none.
+// is none. A broken connection counts as a crash of the server until verify has checked.
 func (j *Job) complete(r sched.Result, reply fetch.Reply, err error) sched.Result {
 	switch {
 	case errors.Is(err, fetch.ErrNotOpened):
@@ -177,7 +178,7 @@
 	}
 }
 
-// ErrProbeFailed means that a probe was answered with a 5xx status.
+// ErrProbeFailed means that a probe or an abort was answered with a 5xx status.
 var ErrProbeFailed = errors.New("probe was answered with a server error")
 
 // probe sends a request without a body and reports the answer as ProbeDone.
