--- a/share/proxy/callers.go
+++ b/share/proxy/callers.go
@@ -117,6 +117,7 @@
 		s.writeText(w, http.StatusBadRequest, "the body cannot be read")
 		return
 	}
+	// The host that forwards a request has checked its size.
 	if limit := s.server.BodyLimit(); !arrival.Forwarded && len(body) > limit {
 		s.writeText(w, http.StatusRequestEntityTooLarge, "the body is over "+strconv.Itoa(limit)+" bytes")
 		return
@@ -148,7 +149,8 @@
 }
 
 // setForwardHeaders sets the headers for the forwarding host: the processing time, the
-// missing shards and, for a refusal, that the request has not run.
+// missing shards if any and, for a refusal after which the request has certainly not run,
+// its reason.
 func (s *Server) setForwardHeaders(w http.ResponseWriter, answer router.Answer, duration clock.Milli) {
 	w.Header()[httpc.HeaderForwardProcessingTime] = []string{strconv.FormatInt(int64(duration), 10)}
 	if answer.Merged != nil && len(answer.Merged.Missing) > 0 {
@@ -162,7 +164,7 @@
 }
 
 // remainingTime returns the time that the caller still waits according to its deadline
-// header, or 0 if the header is missing or malformed.
+// header, or 0 if the header is missing, malformed or negative.
 func (s *Server) remainingTime(r *http.Request) clock.Milli {
 	ms, err := strconv.ParseInt(r.Header.Get(s.Settings.Dialect.Deadline), 10, 64)
 	if err != nil || ms < 0 {
@@ -235,7 +237,8 @@
 	w.WriteHeader(status)
 }
 
-// writeReply writes a leaf's reply without the headers of the leaf's connection.
+// writeReply writes a leaf's reply without the headers of the leaf's connection, or 502 if
+// the reply has an unknown status.
 func (s *Server) writeReply(w http.ResponseWriter, reply *call.Reply) {
 	if http.StatusText(reply.Status) == "" {
 		// nbhttp cannot write a status without a text and would send 200 instead.
@@ -270,8 +273,8 @@
 	_, _ = w.Write(body) // the caller may have disconnected
 }
 
-// writeRefusal writes the reason for a refusal. 503 means that the request has not
-// run; the other codes leave that open.
+// writeRefusal writes the reason for a refusal, and when to retry if the answer says so.
+// 503 and 404 mean that the request has not run; the other codes leave that open.
 func (s *Server) writeRefusal(w http.ResponseWriter, answer router.Answer) {
 	if answer.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(float64(answer.RetryAfter)/float64(clock.Second), 'f', 3, 64))
--- a/share/proxy/notes.go
+++ b/share/proxy/notes.go
@@ -12,7 +12,7 @@
 // maxMissingLogged is the maximum number of missing shards in a log line.
 const maxMissingLogged = 8
 
-// logRecord logs a decision and counts it.
+// logRecord logs a decision, without the fields that have no value, and counts it.
 func (s *Server) logRecord(record router.LogRecord) {
 	level := zerolog.InfoLevel
 	if record.Kind.Important() {
@@ -93,7 +93,8 @@
 	}
 }
 
-// countCall counts a finished call to a leaf by failure domain and outcome.
+// countCall counts a finished call to a leaf by failure domain and outcome, and records
+// its duration by failure domain.
 func (s *Server) countCall(ended router.CountCall) {
 	domain := meter.Label{Name: "domain", Value: ended.Domain}
 	s.Meter.Count("leaf_calls", 1, domain, meter.Label{Name: "end", Value: ended.Kind.String()})
--- a/share/proxy/peers.go
+++ b/share/proxy/peers.go
@@ -36,8 +36,8 @@
 	wake      chan struct{}
 	// crashReports are sent with the packets of the next rounds, several times each.
 	crashReports []queuedCrash
-	// leafReports holds the load reports that flushTimer will send to the hosts of the
-	// same failure domain.
+	// leafReports holds the load reports by leaf that flushTimer will send to the
+	// hosts of the same failure domain.
 	leafReports map[string]report.Leaf
 	// flushTimer is set while load reports are queued.
 	flushTimer *time.Timer
@@ -85,7 +85,8 @@
 	p.send(packets)
 }
 
-// close closes the socket and waits for the goroutines to end.
+// close closes the socket and waits for the goroutines to end. It does nothing on a host
+// that works alone.
 func (p *peers) close() error {
 	if p.conn == nil {
 		return nil
@@ -126,7 +127,7 @@
 }
 
 // handle applies a received packet, sends the replies and passes reports on leaves and
-// crashes to the control loop.
+// crashes to the control loop. If the packet makes the next round due earlier, it wakes run.
 func (p *peers) handle(packet member.Packet) {
 	p.mu.Lock()
 	replies := p.list.Receive(p.server.Clock.Now(), packet)
@@ -144,7 +145,7 @@
 	}
 }
 
-// wakeUp starts the next round at once.
+// wakeUp makes run start the next round at once.
 func (p *peers) wakeUp() {
 	select {
 	case p.wake <- struct{}{}:
@@ -169,10 +170,11 @@
 	}
 }
 
-// crashReportInterval is the interval between two rounds that publish crash reports.
+// crashReportInterval is the shortest interval between two rounds that send additional
+// packets for crash reports.
 const crashReportInterval clock.Milli = 200
 
-// round sends the packets that are due, with crash reports.
+// round sends the packets that are due. Those of kind Publish carry crash reports.
 func (p *peers) round() {
 	p.mu.Lock()
 	now := p.server.Clock.Now()
@@ -200,7 +202,8 @@
 	return max(1, p.nextRound-p.server.Clock.Now()).Duration()
 }
 
-// next returns the time of the next round: when packets or a report of the list are due.
+// next returns the time of the next round: when packets, crash reports or a report of the
+// list are due. The caller holds mu.
 func (p *peers) next() clock.Milli {
 	next := p.list.Next()
 	if len(p.crashReports) > 0 {
@@ -237,7 +240,8 @@
 	maxHostsLogged = 8
 )
 
-// report reports the list if it has changed, at most once per reportInterval.
+// report logs the changes of the list and calls onChange if the list has changed, at most
+// once per reportInterval.
 func (p *peers) report() {
 	p.mu.Lock()
 	now := p.server.Clock.Now()
--- a/share/proxy/peers_test.go
+++ b/share/proxy/peers_test.go
@@ -48,8 +48,8 @@
 	return conn.LocalAddr().String()
 }
 
-// A host finds a leaf slow. The other host of the same failure domain must get a report at
-// once: it would otherwise find out by a late query of its own. A host in another failure
+// A host has a report on a slow leaf. The other host of the same failure domain must get it:
+// it would otherwise find out by a late query of its own. A host in another failure
 // domain, which reaches the leaf over another network path, must get none.
 func TestLeafReportsReachTheDomain(t *testing.T) {
 	gossip := []string{udpAddress(t, "127.81.0.1"), udpAddress(t, "127.81.0.2"), udpAddress(t, "127.81.0.3")}
--- a/share/proxy/reports.go
+++ b/share/proxy/reports.go
@@ -55,9 +55,9 @@
 	maxLeavesPerPacket = 40
 )
 
-// queueLeafReports queues load reports for the hosts of the same failure domain, one for
-// each leaf, and has them sent after leafReportDelay. It drops reports while
-// maxLeavesPerPacket are queued, and all on a host that works alone.
+// queueLeafReports queues load reports for the hosts of the same failure domain, the latest
+// for each leaf, and has them sent after leafReportDelay. It drops reports while
+// maxLeavesPerPacket leaves are queued, and all on a host that works alone.
 func (p *peers) queueLeafReports(list []report.Leaf) {
 	if p.conn == nil {
 		return
--- a/share/proxy/server.go
+++ b/share/proxy/server.go
@@ -62,7 +62,7 @@
 	stopped   chan struct{} // closed when the control loop has ended
 	closeOnce sync.Once     // closes stop
 	queries   atomic.Uint64 // the number of the last query
-	ready     atomic.Bool   // what the engine reports
+	ready     atomic.Bool   // the engine's Ready after the last event
 	leaving   atomic.Bool
 	inFlight  atomic.Int64 // requests of callers and other hosts
 	callers   callers
@@ -114,7 +114,8 @@
 // Ready reports whether new callers should connect to this host.
 func (s *Server) Ready() bool { return s.ready.Load() && !s.leaving.Load() }
 
-// SetTopology applies a new configuration and inventory.
+// SetTopology applies a new configuration and inventory: the limits of callers' requests at
+// once, and the rest in the control loop.
 func (s *Server) SetTopology(topology router.Topology) {
 	if topology.Table != nil {
 		limits := topology.Table.Limits
@@ -229,8 +230,9 @@
 	// that it leaves: the load balancer polls once a second and removes the host after
 	// the second refusal.
 	balancerDelay = 2500 * time.Millisecond
-	// maxLeaveTime is how long Leave waits for requests in flight. Close then gives
-	// them a final answer: the platform kills the process a second later.
+	// maxLeaveTime is how long Leave waits for requests in flight, including
+	// balancerDelay. Close then gives them a final answer: the platform kills the
+	// process a second later.
 	maxLeaveTime      = 5 * time.Second
 	leavePollInterval = 50 * time.Millisecond
 )
--- a/share/proxy/server_test.go
+++ b/share/proxy/server_test.go
@@ -184,7 +184,7 @@
 	assert.Equal(t, res.Header.Get("Missing-Parts"), "1")
 }
 
-// A host has no configuration yet. The caller must learn at once that nothing has run and
+// A host has no configuration yet. The caller must learn that nothing has run and
 // when to retry. An unknown route and a request without an ID must be rejected.
 func TestRefusals(t *testing.T) {
 	r := newRig(t)
@@ -203,7 +203,7 @@
 	assert.Equal(t, res.StatusCode, http.StatusBadRequest)
 }
 
-// A caller pipelines two requests, and the leaf replies to the second first. The caller
+// A caller pipelines two requests, and the leaf takes longer for the first. The caller
 // matches answers to requests by their order, so the second answer must wait for the first.
 func TestPipelinedCallerGetsAnswersInOrder(t *testing.T) {
 	r := newRig(t)
@@ -328,8 +328,8 @@
 	assert.Equal(t, res.StatusCode, http.StatusBadGateway)
 }
 
-// A body over the operators' limit and an incomplete request must be rejected with an
-// answer, and no leaf may get them. A body at the limit must be served.
+// A body or header over the operators' limits and an incomplete request must be rejected
+// with an answer, and no leaf may get them. A body at the limit must be served.
 func TestOperatorsLimitsHold(t *testing.T) {
 	r := newRig(t)
 	var received atomic.Int64
