--- a/share/httpc/conn.go
+++ b/share/httpc/conn.go
@@ -57,6 +57,7 @@
 	done          chan result
 }
 
+// result is the outcome of a job.
 type result struct {
 	reply *call.Reply
 	// keep is set when the connection can carry another call.
@@ -111,7 +112,7 @@
 const newConnWatch = 6 * time.Millisecond
 
 // awaitReset watches a new connection for newConnWatch longer than its opening took. It
-// reports whether the peer closed it in this time.
+// reports whether the connection ended in this time.
 func (c *conn) awaitReset(dialDuration time.Duration) bool {
 	select {
 	case <-c.ended:
@@ -196,8 +197,8 @@
 }
 
 // readOne reads the next reply, apart from interim ones (1xx), and checks that it is
-// complete, belongs to the call and has a stamp if the call needs one. A reply without
-// a request ID counts as belonging to the call.
+// complete, not too large, belongs to the call and, if successful, has a stamp if the call
+// needs one. A reply without a request ID counts as belonging to the call.
 func (c *conn) readOne(br *bufio.Reader, j *job) result {
 	request := j.request
 	res, err := http.ReadResponse(br, request)
--- a/share/httpc/httpc_test.go
+++ b/share/httpc/httpc_test.go
@@ -128,7 +128,7 @@
 }
 
 // net/http's writer would normalise the target (// and %2f). The leaf must get the caller's
-// request with only the headers of the dialect added, and both requests over one connection.
+// request with the headers of the dialect added, and both requests over one connection.
 func TestRequestPassesUnchanged(t *testing.T) {
 	seen := make(chan *http.Request, 2)
 	l := serve(t, func(c net.Conn, r *bufio.Reader) {
@@ -153,7 +153,7 @@
 	assert.Equal(t, l.conns(), 1)
 }
 
-// A leaf truncates its reply: with a length, in chunks, or by a reset where the
+// A leaf truncates its reply: in its head, with a length, in chunks, or by a reset where the
 // reply ends with the connection. A partial reply must not count as a whole one.
 func TestTruncatedReplyIsBroken(t *testing.T) {
 	for name, text := range map[string]string{
@@ -189,8 +189,8 @@
 	assert.Equal(t, string(d.Reply.Body), "whole")
 }
 
-// A leaf sends a second reply to the first request, immediately or while the next
-// request is in flight. The next caller must get its own reply, not the stray one.
+// A leaf sends a second reply to the first request while the next request is in flight.
+// The next caller must get its own reply, not the stray one.
 func TestStrayReplyIsSkipped(t *testing.T) {
 	l := serve(t, func(c net.Conn, r *bufio.Reader) {
 		first := readRequest(t, r)
@@ -341,7 +341,7 @@
 	assert.Assert(t, d.Kind.NotRun())
 }
 
-// The host cancels a call while its connection is being opened. Nothing was sent, and it
+// The host cancels a call before its connection is open. Nothing was sent, and it
 // says nothing about the leaf: when it was reported as a failed dial, such calls made
 // thousands of healthy leaves suspect in a day.
 func TestCallGivenUpBeforeItsConnectionIsWithdrawn(t *testing.T) {
--- a/share/httpc/pool.go
+++ b/share/httpc/pool.go
@@ -69,7 +69,7 @@
 }
 
 // Forward sends a request to another host. Like Send, it ends with one call of OnDone.
-// It also opens a spare connection for the next forwarded request.
+// It also opens a spare connection for the next forwarded request if few are idle.
 func (p *Pool) Forward(forward router.Forward) {
 	send := router.Send{Call: forward.Call, Request: forward.Request, Leaf: forward.Address, Address: forward.Address, Timeout: forward.Timeout}
 	request := p.newRequest(send)
@@ -254,7 +254,8 @@
 	return p.exchange(ctx, c, j, send)
 }
 
-// dialFailure classifies a failed dial.
+// dialFailure classifies a failed dial: Withdrawn if the call was cancelled, Full if the
+// leaf reset the connection, NotSent otherwise.
 func dialFailure(ctx context.Context, err error) router.CallDone {
 	switch {
 	case ctx.Err() != nil:
@@ -321,8 +322,8 @@
 	return done
 }
 
-// classify distinguishes a rejection by a leaf, which has not run the request, from an
-// answer.
+// classify distinguishes an answer from a rejection by the leaf, or by another leaf at its
+// address, which has not run the request.
 func (p *Pool) classify(reply *call.Reply) router.CallDone {
 	switch {
 	case reply.Status == http.StatusMisdirectedRequest:
@@ -377,7 +378,8 @@
 }
 
 // takeIdle assigns a call to the most recently used idle connection, and returns nil if
-// there is none. Less recently used ones may reach their idle timeout and be closed.
+// there is none. Less recently used ones may reach their idle timeout and be closed. It
+// closes the connections that it finds no longer usable.
 func (p *Pool) takeIdle(leaf string, j *job) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
