--- a/share/mirror/follow.go
+++ b/share/mirror/follow.go
@@ -19,7 +19,8 @@
 var errStale = errors.New("page from the host is too old")
 
 // Source is a source of pages. Read waits up to the given time for changes after a
-// revision; it returns a full page at once if the revision is 0.
+// revision; it returns a full page at once if the revision is 0, and ErrCompacted if the
+// source no longer has the changes.
 type Source interface {
 	Read(after int64, wait clock.Milli) (Page, error)
 	// Disconnect closes the source's connection; the next read opens a new one.
@@ -28,7 +29,8 @@
 
 // Sink receives the pages that were read. Its methods are called from one goroutine.
 type Sink interface {
-	// Apply receives each page that was read.
+	// Apply receives each page that was read, except full pages that are older than the
+	// data that it already has, and stale pages without newer data.
 	Apply(now clock.Milli, p Page)
 	// StoreLost reports that no source has fresh data, possibly more than once, and
 	// StoreRecovered that one has again.
@@ -61,8 +63,8 @@
 type Follower struct {
 	Self  Peer
 	Store Source
-	// PollTimeout is how long a read of the store waits for a change. A host may
-	// take twice as long to notice that the host it reads from is unreachable.
+	// PollTimeout is how long a read of the store waits for a change. A read of
+	// another host waits as long, but at most maxPeerWait, and fails peerTimeout later.
 	PollTimeout clock.Milli
 	// DiscoveryTimeout bounds the wait for other hosts before the first read, and
 	// DiscoverySettle is how long the follower then waits for more of them. Hosts
@@ -173,7 +175,8 @@
 }
 
 // step makes one read from the preferred source and applies its result. It returns an
-// error if the source failed or has only stale data.
+// error if the source failed or has only stale data. After ErrCompacted it returns nil, and
+// the next read requests a full page.
 func (f *Follower) step() error {
 	f.selectSource()
 	page, err := f.read()
@@ -292,8 +295,8 @@
 	}
 }
 
-// handlePage ends the backoff of the source, applies its page, and reports a recovery of
-// the store to the sink.
+// handlePage ends the backoff of the source, applies its page unless it is a full one older
+// than this host's data, and reports a recovery to the sink if the store was lost.
 func (f *Follower) handlePage(now clock.Milli, page Page) {
 	f.mu.Lock()
 	f.chooser.recordSuccess(f.source)
--- a/share/mirror/mirror.go
+++ b/share/mirror/mirror.go
@@ -56,7 +56,8 @@
 }
 
 // Apply applies a page that was read at the given time. A full page replaces all items
-// and the history; a page without items only advances the revision.
+// and the history; a page without items only advances the revision. Either may also advance
+// the time at which the store was last reached.
 func (m *Mirror) Apply(now clock.Milli, p Page) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/share/mirror/mirror_test.go
+++ b/share/mirror/mirror_test.go
@@ -49,8 +49,7 @@
 }
 
 // If the hosts of a region chose differently, none or several would read the store. They
-// must agree without messages. A failed source must be skipped for a while, and the store
-// for a shorter time.
+// must agree without messages. A failed source, also the store, must be skipped for a while.
 func TestSources(t *testing.T) {
 	hosts := []Peer{{Address: "a:1", Region: "r"}, {Address: "b:1", Region: "r"}, {Address: "c:1", Region: "r"}, {Address: "d:1", Region: "q"}}
 	reading := 0
@@ -256,8 +255,8 @@
 	return h.follower.chooser.next(h.follower.Clock.Now()) == storeSource
 }
 
-// One host of a region reads the store for all and is killed just before a change. The
-// others wait for its replies, and must still get the change within about one wait.
+// One host of a region reads the store for all and stops just before a change. The others
+// wait for its replies, and must still get the change within a few seconds.
 func TestChangesArriveWhenTheReaderIsKilled(t *testing.T) {
 	store := &scriptedStore{revision: 1}
 	hosts := startRegion(t, store, 4)
@@ -282,8 +281,8 @@
 	}
 }
 
-// The store is down for a while. Each host must keep its data and be notified of the loss
-// and the recovery; otherwise it would remove the leaves whose entries the store lost.
+// The store is down for a while. Each host's sink must be notified of the loss and the
+// recovery; otherwise it would remove the leaves whose entries the store lost.
 func TestStoreOutageIsReported(t *testing.T) {
 	store := &scriptedStore{revision: 1}
 	hosts := startRegion(t, store, 2)
@@ -303,8 +302,8 @@
 	}
 }
 
-// A host starts while the store is down and another host has the store's last data, some
-// seconds old. If it accepted fresh data only, it would have no routes. It must apply the
+// A host starts while the store is down and another host has the store's last data, older
+// than lostAfter. If it accepted fresh data only, it would have no routes. It must apply the
 // old data, and get fresh data once the store is back.
 func TestNewHostAppliesStaleData(t *testing.T) {
 	store := &scriptedStore{revision: 7}
@@ -319,9 +318,9 @@
 	poll.WaitOn(t, fresh.sink.has(8))
 }
 
-// A configuration of a thousand routes goes to a dozen hosts over one host's link at
+// A configuration of thousands of routes goes to a dozen hosts over one host's link at
 // once. Uncompressed, it occupies the link and delays requests; compression must reduce it
-// to less than a tenth.
+// to less than a tenth, and it must be encoded once for all readers.
 func TestLargePagesAreCompressed(t *testing.T) {
 	value := bytes.Repeat([]byte(`{"name":"r-0001","host":"h.example","prefix":"/p/","route_type":"safe"}`), 4000)
 	m := Mirror{}
@@ -350,10 +349,9 @@
 	return Page{}, errors.New("silent")
 }
 
-// A host has recovered and keeps a leaf whose entry was removed for about 2 s. Just
-// before that time is over, its source stops replying. The leaf must still be removed
-// on time: when it was removed only at the end of the read, a second later, requests
-// went to a leaf that no longer ran.
+// A source stops replying while the sink keeps a leaf whose entry was removed about 2 s ago.
+// The sink must get ticks during the read to remove the leaf on time: when it was removed
+// only at the end of the read, a second later, requests went to a leaf that no longer ran.
 func TestSinkGetsTicksWhileAReadHangs(t *testing.T) {
 	source := hangingSource{make(chan struct{})}
 	var sink recordingSink
--- a/share/mirror/serve.go
+++ b/share/mirror/serve.go
@@ -12,7 +12,8 @@
 func IsRead(r *http.Request) bool { return r.Header.Get(headerAfter) != "" }
 
 // Serve replies to another host's read: immediately if there are changes, otherwise at
-// the next change, when the requested wait is over or when stop is closed.
+// the next change, when the requested wait or maxPeerWait is over, or when stop is closed.
+// It replies with 503 if there is no page by then.
 func (m *Mirror) Serve(c clock.Clock, stop <-chan struct{}, w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.Header.Get(headerAfter), 10, 64)
 	if err != nil {
