--- a/share/member/gossip.go
+++ b/share/member/gossip.go
@@ -107,7 +107,8 @@
 	return packets
 }
 
-// sample returns up to limit distinct random hosts of a list, without the excluded one.
+// sample returns up to limit distinct random hosts of a list, without the excluded one if
+// it is not nil.
 func (l *List) sample(candidates []*entry, limit int, excluded *entry) []*entry {
 	if len(candidates) <= 2*limit {
 		// Drawing until enough differ is slow for a short list, and does not end if it
@@ -253,14 +254,14 @@
 	return folded
 }
 
-// fullDigest returns the digest of all hosts, including this one.
+// fullDigest returns the digest of the hosts that are up, including this one.
 func (l *List) fullDigest() [maxBuckets]uint32 {
 	digest := l.digest
 	digest[l.self.bucket()] ^= l.self.fingerprint()
 	return digest
 }
 
-// checksum returns a hash of the whole list.
+// checksum returns a hash of the hosts that are up, including this one.
 func (l *List) checksum() uint32 {
 	var sum uint32
 	for _, part := range l.fullDigest() {
--- a/share/member/member.go
+++ b/share/member/member.go
@@ -1,5 +1,5 @@
-// Package member keeps a SWIM-like list of live hosts. Each host probes a few
-// others in turn, directly and then through other hosts. A host that does not
+// Package member keeps a SWIM-like list of live hosts. Each host probes the next few
+// on a ring of all hosts, directly and then through other hosts. A host that does not
 // reply is suspected; unless it refutes the suspicion with a higher incarnation, it
 // is removed. Every packet carries recent changes, and gossip sends them to random
 // hosts. Periodic comparisons of digests repair lost updates. There is no
@@ -318,7 +318,8 @@
 	l.changes = append(l.changes, Change{Host: e.Host, State: e.State})
 }
 
-// insert adds a host that is up to the digest and the ring.
+// insert adds a host that is up to the digest, the ring and, if it is in the own failure
+// domain, to sameDomain.
 func (l *List) insert(e *entry) {
 	l.toggleDigest(e)
 	index, _ := l.position(e)
@@ -328,7 +329,7 @@
 	}
 }
 
-// remove removes a host from the digest and the ring.
+// remove removes a host from the digest, the ring and sameDomain.
 func (l *List) remove(e *entry) {
 	l.toggleDigest(e)
 	if index, ok := l.position(e); ok {
--- a/share/member/member_test.go
+++ b/share/member/member_test.go
@@ -290,7 +290,7 @@
 	assert.DeepEqual(t, p.Leaves, sent)
 }
 
-// Encoding may lose fields.
+// Guards against fields that encoding loses or alters.
 func TestPacketsAreEncoded(t *testing.T) {
 	sender := Update{Host: Host{GossipAddress: "10.0.0.1:1", ForwardAddress: "10.0.0.1:2", Domain: "d0", Capacity: 800, Started: 7, Incarnation: 2}}
 	other := Update{Host: Host{GossipAddress: "10.0.0.2:1", ForwardAddress: "10.0.0.2:2", Domain: "d1", Started: 8}, State: Suspect}
--- a/share/member/probe.go
+++ b/share/member/probe.go
@@ -63,8 +63,9 @@
 	}
 }
 
-// probeTargets returns the hosts to probe in a round: the alive hosts that follow this
-// host on the ring.
+// probeTargets returns the hosts to probe in a round: of the alive hosts that follow this
+// host on the ring, the first sameDomainProbes of its own failure domain, and the first
+// ringProbes of the others.
 func (l *List) probeTargets() []*entry {
 	start, _ := l.position(&l.self)
 	var list []*entry
--- a/share/member/run.go
+++ b/share/member/run.go
@@ -99,7 +99,7 @@
 }
 
 // onAck ends a probe, or forwards the Ack to the host that requested the probe. If the
-// sender's list differs, the next sync goes to the sender.
+// checksum differs and no updates are queued, the next sync goes to the sender.
 func (l *List) onAck(now clock.Milli, p Packet) []Packet {
 	delete(l.probes, p.Sequence)
 	if p.Checksum != l.checksum() && len(l.queue) == 0 {
@@ -115,8 +115,9 @@
 	return []Packet{l.fillPacket(request.requester, Packet{Kind: Ack, Sequence: request.sequence, Checksum: p.Checksum})}
 }
 
-// reconnect returns a ping for a random dead host, or nil. It rejoins partitions of the
-// system that have removed each other: the ping shows the host that it counts as dead.
+// reconnect returns a ping for a random removed host, or nil if there is none or the host
+// has left. It rejoins partitions of the system that have removed each other: the ping shows
+// the host that it counts as dead.
 func (l *List) reconnect() []Packet {
 	if len(l.removed) == 0 {
 		return nil
