--- a/share/route/check.go
+++ b/share/route/check.go
@@ -10,7 +10,7 @@
 // ErrInvalid marks a table that cannot be applied.
 var ErrInvalid = errors.New("invalid routes")
 
-// Field is the part of a route or service that a fault concerns.
+// Field is the part of a route that a fault concerns.
 type Field string
 
 // The fields of a route that can be invalid; FieldRoute is the route itself.
@@ -35,8 +35,8 @@
 	Problem string
 }
 
-// Check returns all faults of a table as one error that names the route or service of
-// each, or nil.
+// Check returns all faults of a table as one error, or nil. The error names the route or
+// service of each fault and is marked with ErrInvalid.
 func (t *Table) Check() error {
 	var found []string
 	for _, f := range Faults(t.Routes) {
--- a/share/route/route.go
+++ b/share/route/route.go
@@ -87,12 +87,15 @@
 	ColdRate float64
 }
 
-// Limits bounds the requests of callers.
+// Limits bounds the requests of callers. A field that is 0 takes the default of package
+// httpd.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
-	HeaderTimeout  clock.Milli
-	IdleTimeout    clock.Milli
+	// HeaderTimeout is how long a caller may send nothing within a request.
+	HeaderTimeout clock.Milli
+	// IdleTimeout is how long a connection may stay open between requests.
+	IdleTimeout clock.Milli
 }
 
 // Table is one version of the operators' routes.
@@ -104,7 +107,7 @@
 }
 
 // Match returns the route of a request: the route of the host with the longest matching
-// path prefix. It reports false if there is none.
+// path prefix. It returns nil and false if there is none.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	var best *Route
 	for i := range t.Routes {
