--- a/share/httpd/conns.go
+++ b/share/httpd/conns.go
@@ -23,7 +23,7 @@
 // openConn is the state of one connection and of its last request.
 type openConn struct {
 	conn net.Conn
-	// requests counts the requests that were read and not answered yet.
+	// requests counts the requests that were read and whose handler has not returned.
 	requests int
 	// idleSince is when the last handler returned or, before the first request,
 	// when the connection was opened.
@@ -130,8 +130,8 @@
 	return status, status == 0
 }
 
-// recordRequestDone records that the handler of a request has returned; the connection is idle
-// from then on.
+// recordRequestDone records that the handler of a request has returned. The connection is
+// idle from then on unless it has another request.
 func (c *conns) recordRequestDone(remote string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -163,8 +163,8 @@
 	return err == nil && unread
 }
 
-// closeIdle closes the connections that have no request in flight, none unread, and have
-// had none for idleGrace.
+// closeIdle closes the connections that have had no request in flight for idleGrace and
+// have no unread bytes. A request that was read only in part counts as none.
 func (c *conns) closeIdle() {
 	c.mu.Lock()
 	var idle []net.Conn
--- a/share/httpd/limits_test.go
+++ b/share/httpd/limits_test.go
@@ -160,8 +160,8 @@
 	assert.ErrorContains(t, err, "EOF")
 }
 
-// Limits are replaced while a connection is open. They must apply to its next and
-// incomplete requests too.
+// Limits are replaced while a connection is open. They must apply to the incomplete request
+// on it too.
 func TestLimitsAreReplacedWhileOpen(t *testing.T) {
 	s, c := startEcho(t, Limits{})
 	_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\n")
