--- a/share/fetch/fetch.go
+++ b/share/fetch/fetch.go
@@ -155,8 +155,8 @@
 	return conn, nil
 }
 
-// SourceAddr returns the local address to dial from, or nil if the system is to
-// choose one.
+// SourceAddr returns the local address to dial from, or nil, which lets the system choose
+// one, if ip is empty, invalid or unspecified.
 func SourceAddr(ip string) net.Addr {
 	parsed := net.ParseIP(ip)
 	if parsed == nil || parsed.IsUnspecified() {
--- a/share/fetch/fetch_test.go
+++ b/share/fetch/fetch_test.go
@@ -68,8 +68,8 @@
 	assert.Assert(t, errors.Is(err, ErrNotOpened))
 }
 
-// A command line program makes its only call and stops the engine before the event loops
-// run. They miss the stop, and the program never ends.
+// A command line program stops the engine before the event loops run. If they miss the stop,
+// the program never ends.
 func TestCloseRightAfterStart(t *testing.T) {
 	for range 20 {
 		e := &Engine{}
