--- a/share/evloop/evloop.go
+++ b/share/evloop/evloop.go
@@ -133,7 +133,8 @@
 	return &Listener{Listener: l, accepting: make(chan struct{})}
 }
 
-// Accept waits for a connection and returns it.
+// Accept waits for a connection and returns it. Its first call closes the channel that
+// Accepting returns.
 func (l *Listener) Accept() (net.Conn, error) {
 	l.once.Do(func() { close(l.accepting) })
 	return l.Listener.Accept()
