--- a/share/proxy/callers.go
+++ b/share/proxy/callers.go
@@ -15,7 +15,7 @@
 	"dandelionstile/share/topk"
 )
 
-// callers holds the requests whose callers wait for an answer.
+// callers holds the callers that wait for an answer, by the number of their query.
 type callers struct {
 	mu      sync.Mutex
 	waiting map[uint64]chan router.Answer
--- a/share/proxy/server.go
+++ b/share/proxy/server.go
@@ -31,7 +31,7 @@
 	Seeds []string
 	// SourceIP is the local IP of connections to leaves.
 	SourceIP string
-	Self     router.HostInfo
+	Self     router.HostInfo // this host
 	// Regions maps failure domains to regions.
 	Regions map[string]string
 	Policy  router.Policy
--- a/share/proxy/server_test.go
+++ b/share/proxy/server_test.go
@@ -73,7 +73,7 @@
 		if r.server.Ready() {
 			return poll.Success()
 		}
-		return poll.Continue("not ready")
+		return poll.Continue("the server is not ready")
 	})
 }
 
@@ -291,7 +291,7 @@
 		if r.server.inFlight.Load() == 1 {
 			return poll.Success()
 		}
-		return poll.Continue("not arrived")
+		return poll.Continue("the request has not arrived")
 	})
 	left := make(chan struct{})
 	go func() {
@@ -320,7 +320,7 @@
 		if r.server.inFlight.Load() == 1 {
 			return poll.Success()
 		}
-		return poll.Continue("not arrived")
+		return poll.Continue("the request has not arrived")
 	})
 	time.Sleep(20 * time.Millisecond) // until the caller waits for its answer
 	go r.close()
