--- a/share/mirror/choose.go
+++ b/share/mirror/choose.go
@@ -11,6 +11,7 @@
 
 // Peer is another host to read from.
 type Peer struct {
+	// Address is where the host serves its mirror.
 	Address string
 	Region  string
 }
--- a/share/mirror/follow.go
+++ b/share/mirror/follow.go
@@ -117,7 +117,7 @@
 }
 
 // signalPeersKnown closes peersKnown if other hosts are known. It creates the channel
-// on its first call.
+// on its first call. The caller holds mu.
 func (f *Follower) signalPeersKnown() {
 	if f.peersKnown == nil {
 		f.peersKnown = make(chan struct{})
--- a/share/mirror/mirror_test.go
+++ b/share/mirror/mirror_test.go
@@ -172,7 +172,7 @@
 		if k.revision >= revision {
 			return poll.Success()
 		}
-		return poll.Continue("revision %d", k.revision)
+		return poll.Continue("the sink has revision %d", k.revision)
 	}
 }
 
@@ -184,7 +184,7 @@
 	if k.lost > 0 {
 		return poll.Success()
 	}
-	return poll.Continue("not notified")
+	return poll.Continue("the sink was not notified of a loss")
 }
 
 // host is a follower with its server.
