--- a/share/httpd/limits_test.go
+++ b/share/httpd/limits_test.go
@@ -249,7 +249,7 @@
 				return poll.Success()
 			}
 		}
-		return poll.Continue("not read yet")
+		return poll.Continue("no connection has read the bytes yet")
 	}
 }
 
