--- a/share/roster/roster.go
+++ b/share/roster/roster.go
@@ -16,7 +16,7 @@
 	Service string
 	// Address is the IP and port. It may be reused by another leaf later.
 	Address string
-	Domain  string
+	Domain  string // failure domain
 	// Slots is how many requests the leaf runs concurrently.
 	Slots int
 	// Draining leaves receive no new requests.
@@ -46,7 +46,8 @@
 }
 
 // Put records an entry and reports whether it is new or changed. It cancels a removal of
-// the entry, and ignores late entries of an earlier incarnation than the known one.
+// the entry, and ignores late entries of an earlier incarnation than the known one. An entry
+// without a start time counts as the newest.
 func (d *Directory) Put(l Leaf) bool {
 	if d.leaves == nil {
 		d.leaves = map[string]Leaf{}
