--- a/share/route/route.go
+++ b/share/route/route.go
@@ -19,7 +19,7 @@
 // Route says where the requests for one host and path prefix go.
 type Route struct {
 	Name   string
-	Host   string
+	Host   string // in the Host header of the requests
 	Prefix string
 	// Idempotent requests may run more than once; others run at most once.
 	Idempotent bool
