--- a/share/node/heartbeats.go
+++ b/share/node/heartbeats.go
@@ -6,8 +6,10 @@
 	"dandelionstile/share/wire"
 )
 
-// handleHeartbeat records a peer's heartbeat, exchanges stamps if the peer has other
-// versions in force, and answers if the peer asks for an answer.
+// handleHeartbeat records a peer's heartbeat and sends the stamps of this node if the peer
+// has other versions in force. If the peer starts or stops leaving, it reports that to
+// the delegate and configures it again. It answers if the peer asks for an answer, and
+// completes a pending ConfirmVersions if the heartbeat confirms it.
 func (n *Node) handleHeartbeat(now clock.Milli, p *peer, b *wire.Beat) {
 	p.lastHeartbeat = now
 	p.lastSequence, p.digest, p.echoedSequence = b.GetSequence(), b.GetDigest(), b.GetEcho()
@@ -28,7 +30,8 @@
 
 // ConfirmVersions asks the peers whether the versions in force here are current. Once
 // a peer with the same versions answers, the node calls the delegate's
-// VersionsConfirmed. Heartbeats that a peer sent before it received this request do not count.
+// VersionsConfirmed. Heartbeats that a peer sent before it received this request do not
+// count. Without a peer that answers so, the request stays pending.
 func (n *Node) ConfirmVersions(now clock.Milli) {
 	n.confirmSequence = n.sequence + 1
 	for _, p := range n.sortedPeers() {
@@ -64,8 +67,9 @@
 	n.Send(p.link, &wire.Envelope{Body: &wire.Envelope_Beat{Beat: b}})
 }
 
-// tick runs the periodic work: it sends the heartbeats that are due and closes the
-// links whose peers have missed too many.
+// tick runs the periodic work: it carries out the syncer's pulls and reads that are due,
+// sends the heartbeats that are due, and closes the links whose peers have missed more than
+// maxMissedHeartbeats.
 func (n *Node) tick(now clock.Milli) {
 	n.perform(now, n.engine.Tick(now))
 	for _, p := range n.sortedPeers() {
@@ -83,7 +87,8 @@
 }
 
 // heartbeatIntervalOf returns the interval between heartbeats on a link. It is the
-// short one within a host and between aggregators.
+// short one within a host and between aggregators. Both ends of a link compute the same
+// interval, on which the limit of missed heartbeats relies.
 func (n *Node) heartbeatIntervalOf(p *peer) clock.Milli {
 	sameHost := p.link.Peer.GetHost() == n.Settings.Host.Name
 	if sameHost || (p.link.Peer.GetProgram() == Aggregator && n.Program == Aggregator) {
--- a/share/node/loop.go
+++ b/share/node/loop.go
@@ -11,7 +11,8 @@
 const loopQueueLen = 4096
 
 // Loop is a program's control loop: one goroutine that owns all state and
-// handles typed messages in order, so the state needs no locks.
+// handles typed messages in order, so the state needs no locks. Start must be called
+// before the other methods.
 type Loop[M any] struct {
 	// Clock is read once per message.
 	Clock clock.Clock
--- a/share/node/node.go
+++ b/share/node/node.go
@@ -81,13 +81,15 @@
 // Delegate receives a Node's events; the program implements it. All calls come
 // from the control loop.
 type Delegate interface {
-	// Configure puts a configuration and host list in force. It is called again when
-	// a host starts or stops leaving.
+	// Configure puts a configuration and the hosts of all host lists in force. It is called
+	// after each new version of either, and again when a host starts or stops leaving.
 	Configure(now clock.Milli, cfg *topo.Config, hosts []topo.Host)
+	// LinkUp and LinkDown report that a link is ready and that it is closed.
 	LinkUp(now clock.Milli, l *mesh.Link)
 	LinkDown(now clock.Milli, l *mesh.Link, err error)
-	// Frame handles a message that the node does not know.
+	// Frame handles a message that the node does not handle itself.
 	Frame(now clock.Milli, l *mesh.Link, m *wire.Envelope)
+	// RTT reports the round-trip time of a ping on a link.
 	RTT(now clock.Milli, l *mesh.Link, rtt time.Duration)
 	// PeerLeaving reports that a peer is shutting down, or no longer is.
 	PeerLeaving(now clock.Milli, l *mesh.Link, leaving bool)
@@ -120,11 +122,11 @@
 	peers         map[uint64]*peer // by link ID
 	cfg           *topo.Config
 	parser        topo.Parser
-	checkedConfig *topo.Config           // the last configuration that was checked
+	checkedConfig *topo.Config           // the last configuration that was checked; nil if it was invalid
 	hostsByKey    map[string][]topo.Host // host lists as read
 	// checkedHosts are the hosts of the last list that was checked.
 	checkedHosts []topo.Host
-	hosts        []topo.Host
+	hosts        []topo.Host // of all lists in force
 	// dialedAddrs are the addresses that LinkAddrs listed last, and the peers of the
 	// settings.
 	dialedAddrs      map[string]bool
@@ -141,11 +143,11 @@
 type peer struct {
 	link           *mesh.Link
 	name           string
-	lastHeartbeat  clock.Milli
-	lastSequence   uint64 // of the peer's last heartbeat
-	digest         uint64 // of the versions in force at the peer
-	echoedSequence uint64 // of the last heartbeat that the peer had received from here
-	leaving        bool
+	lastHeartbeat  clock.Milli // when the last heartbeat came; until then, when the link came up
+	lastSequence   uint64      // of the peer's last heartbeat
+	digest         uint64      // of the versions in force at the peer
+	echoedSequence uint64      // of the last heartbeat that the peer had received from here
+	leaving        bool        // whether the peer announced that it shuts down
 	// nextHeartbeat is when the next heartbeat is due.
 	nextHeartbeat clock.Milli
 }
@@ -160,7 +162,7 @@
 	n.Log.Error().Err(err).Msg("failed to load tls files; keeping the last valid ones")
 }
 
-// Start listens for links and dials the configured peers.
+// Start loads the TLS files, listens for links and dials the configured peers.
 func (n *Node) Start() error {
 	tlsConfig, err := n.Settings.TLS.Config(n.logTLSFault)
 	if err != nil {
@@ -230,8 +232,9 @@
 	}
 }
 
-// handleLinkUp records the peer of a new link and sends it the first heartbeat. The peer's
-// name contains the link's ID, so that it is unique even if a host has two links.
+// handleLinkUp records the peer of a new link, reports the link to the delegate and sends
+// the first heartbeat. The peer's name contains the link's ID, so that it is unique even if
+// a host has two links.
 func (n *Node) handleLinkUp(now clock.Milli, l *mesh.Link) {
 	n.peers[l.ID] = &peer{link: l, name: l.Peer.GetHost() + "/" + l.Peer.GetProgram() + "#" + itoa(l.ID), lastHeartbeat: now}
 	n.Log.Info().Str("peer", n.peers[l.ID].name).Msg("link up")
@@ -239,8 +242,8 @@
 	n.sendHeartbeat(now, n.peers[l.ID], false /* wantAnswer */)
 }
 
-// handleLinkDown removes the peer of a closed link. Pulls and strikes that waited for the
-// peer continue without it.
+// handleLinkDown removes the peer of a closed link and reports it to the delegate. Pulls and
+// strikes that waited for the peer continue without it.
 func (n *Node) handleLinkDown(now clock.Milli, m LinkDown) {
 	p := n.peers[m.Link.ID]
 	if p == nil {
@@ -257,7 +260,7 @@
 }
 
 // lossCause returns the value of the metric's cause label for the error of a lost
-// link.
+// link. An error of no known kind counts as closed by the peer.
 func lossCause(err error) string {
 	switch {
 	case errors.Is(err, mesh.ErrProtocol):
@@ -332,8 +335,9 @@
 	return err
 }
 
-// NewIncarnation returns a number that no earlier process of this host used: the
-// start time in ms, and 20 random bits in case the clock was set back.
+// NewIncarnation returns a number for this process: the start time in ms, and 20 random
+// bits that make it unlikely that an earlier process of this host had the same one if the
+// clock was set back.
 func NewIncarnation() uint64 {
 	return uint64(clock.Unix())<<20 | uint64(rand.Uint32()&0xfffff)
 }
--- a/share/node/settings.go
+++ b/share/node/settings.go
@@ -8,8 +8,8 @@
 	"dandelionstile/share/conf"
 )
 
-// Settings are the settings that entry and aggregator have in common. The file of each
-// embeds the sections below and adds its own.
+// Settings are the contents of a settings file. Entry and aggregator read the same
+// format; only an entry uses Listen.Callers and Routes.
 type Settings struct {
 	Host     HostSettings
 	Listen   ListenSettings
--- a/share/node/settings_log.go
+++ b/share/node/settings_log.go
@@ -6,7 +6,7 @@
 	Level string
 }
 
-// defaultLevel logs state changes and faults, but not single requests.
+// defaultLevel logs state changes, faults, and each request that an entry routes.
 const defaultLevel = "info"
 
 type fileLog struct {
--- a/share/node/settings_routes.go
+++ b/share/node/settings_routes.go
@@ -19,7 +19,7 @@
 // SecondCallSettings bound the calls beyond the first of each request. The bounds
 // apply to all hosts together; zero means the default.
 type SecondCallSettings struct {
-	// Ratio is how many second calls each request to a service may cause.
+	// Ratio is how many second calls are allowed for each request to a service.
 	Ratio float64
 	// Reserve is how many second calls to a service are allowed in addition within
 	// a short time.
--- a/share/node/settings_tls.go
+++ b/share/node/settings_tls.go
@@ -41,7 +41,8 @@
 	return conf.Faults{src.Fault("tls", "cert, key and ca must be set together", "set all three or none")}
 }
 
-// ErrTLS marks errors of the TLS files and of peer certificates.
+// ErrTLS marks errors of the TLS files, and peer certificates that are missing or cannot
+// be parsed.
 var ErrTLS = errors.New("tls files")
 
 // Config returns the TLS configuration of links, or nil if TLS is disabled. The
--- a/share/node/settings_trace.go
+++ b/share/node/settings_trace.go
@@ -4,7 +4,7 @@
 type TraceSettings struct {
 	// File receives the spans; empty disables tracing.
 	File string
-	// Ratio is the share of requests traced, from 0 to 1.
+	// Ratio is the share of new traces that are recorded, from 0 to 1.
 	Ratio float64
 }
 
--- a/share/node/status.go
+++ b/share/node/status.go
@@ -6,7 +6,7 @@
 	"dandelionstile/share/syncer"
 )
 
-// maxRejected is how many rejected versions the status lists.
+// maxRejected is how many rejected versions, the last ones, the status lists.
 const maxRejected = 8
 
 // recordRejected keeps a rejected version for the status, in place of the oldest one if
--- a/share/node/strikes.go
+++ b/share/node/strikes.go
@@ -8,12 +8,13 @@
 
 // strikeBroadcast is a strike that some peers have not yet acknowledged.
 type strikeBroadcast struct {
-	pendingLinks map[uint64]bool // by link ID
-	done         func(now clock.Milli)
+	pendingLinks map[uint64]bool       // by link ID
+	done         func(now clock.Milli) // may be nil
 }
 
 // ShareStrike sends a strike to all peers and calls done once all of them have
-// acknowledged it. A peer whose link closes counts as if it had.
+// acknowledged it. It does not wait for a peer whose link closes or is too busy to queue
+// the strike.
 func (n *Node) ShareStrike(now clock.Milli, s deny.Strike, done func(now clock.Milli)) {
 	n.lastStrikeID++
 	broadcast := &strikeBroadcast{pendingLinks: map[uint64]bool{}, done: done}
--- a/share/node/tls_test.go
+++ b/share/node/tls_test.go
@@ -159,9 +159,8 @@
 }
 
 // Operators replace keys file by file, so for a moment key and certificate do not
-// match or a file is half written. Links that come up in that moment must use the
-// last valid files: otherwise the host is cut off from all others while it serves
-// callers.
+// match. Links that come up in that moment must use the last valid files: otherwise the
+// host is cut off from all others while it serves callers.
 func TestHalfReplacedKeysKeepTheFormer(t *testing.T) {
 	ours := newAuthority(t)
 	files, other := ours.issue(t), ours.issue(t)
--- a/share/node/versions.go
+++ b/share/node/versions.go
@@ -56,8 +56,9 @@
 	}
 }
 
-// adopt puts a version in force. While a ConfirmVersions is pending, it asks the peers
-// again because their answers refer to the previous versions.
+// adopt puts a version in force here and passes it to the delegate. While a
+// ConfirmVersions is pending, it asks the peers again because their answers refer to the
+// previous versions.
 func (n *Node) adopt(now clock.Milli, a syncer.Adopt) {
 	n.Log.Info().Str("key", a.Key).Uint64("version", a.Stamp.Version).Msg("version in force")
 	if a.Key == KeyConfig {
@@ -85,7 +86,7 @@
 	return keys
 }
 
-// allHosts joins the host lists of all failure domains.
+// allHosts joins the host lists of all failure domains. Other keys have no hosts.
 func (n *Node) allHosts() []topo.Host {
 	var all []topo.Host
 	for _, key := range n.engine.HeldKeys() {
@@ -94,8 +95,9 @@
 	return all
 }
 
-// rank returns this host's rank among the aggregators of its failure domain that
-// may watch the platform, or -1. Every host computes the same order independently.
+// rank returns this host's rank among the hosts of its failure domain, whose aggregators
+// may watch the platform in that order. It returns -1 for an entry, and for a host that is
+// not in the host list. Every host computes the same order independently.
 func (n *Node) rank() int {
 	if n.Program != Aggregator {
 		return -1
@@ -110,8 +112,9 @@
 }
 
 // configure passes the versions in force to the delegate and updates the links. It does
-// nothing until there are a configuration and a host list. Hosts that announced
-// their leaving count as leaving even before the host list marks them.
+// nothing until there are a configuration and a host list. A host whose aggregator
+// announced that it leaves, on a link that is still up, counts as leaving even before the
+// host list marks it.
 func (n *Node) configure(now clock.Milli) {
 	if n.cfg == nil || len(n.hosts) == 0 {
 		return
@@ -133,8 +136,8 @@
 	n.updateLinks(hosts)
 }
 
-// updateLinks dials the addresses that the delegate now lists and disconnects those
-// that it no longer lists. Links to the peers of the settings stay.
+// updateLinks dials the addresses that the delegate now lists, except this process's own,
+// and disconnects those that it no longer lists. Links to the peers of the settings stay.
 func (n *Node) updateLinks(hosts []topo.Host) {
 	want := map[string]bool{}
 	for _, addr := range n.Delegate.LinkAddrs(n.cfg, hosts) {
