--- a/share/mesh/mesh.go
+++ b/share/mesh/mesh.go
@@ -254,7 +254,7 @@
 
 // redial dials an address until ctx ends, with exponential backoff, and serves each
 // link until it closes. An attempt that took longer than maxRedialDelay, such as
-// one whose link lasted, resets the backoff.
+// one whose link lasted or whose dial timed out, resets the backoff.
 func (m *Mesh) redial(ctx context.Context, addr string) {
 	delay := minRedialDelay
 	for ctx.Err() == nil {
@@ -350,8 +350,8 @@
 	r *bufio.Reader
 }
 
-// openStreams opens or accepts all streams. If that takes longer than helloTimeout, it
-// closes the link.
+// openStreams opens all streams if this side dialed, or else accepts them. If that takes
+// longer than helloTimeout, it closes the link.
 func (l *Link) openStreams(dialer bool) ([]stream, error) {
 	timer := time.AfterFunc(helloTimeout, func() { l.Fail(ErrUnresponsive) })
 	defer timer.Stop()
--- a/share/mesh/mesh_test.go
+++ b/share/mesh/mesh_test.go
@@ -97,7 +97,7 @@
 }
 
 // A foreign client or a broken peer connects to the links' port and sends garbage.
-// That must close its own connection and no other link.
+// Another link must still carry messages.
 func TestGarbageEndsOnlyItsOwnLink(t *testing.T) {
 	server, client, addr := startLinkedPair(t)
 	// The last one is a truncated yamux header.
@@ -112,7 +112,8 @@
 	server.await(t, "the good link's frame", func(_, _, frames int) bool { return frames == 1 })
 }
 
-// A message over MaxFrameBytes must close the link before memory is allocated for it.
+// A message over MaxFrameBytes must close the link as a violation of the protocol and not
+// reach the handler. Without the limit, a peer decides how much memory is allocated.
 func TestOversizeMessageClosesTheLink(t *testing.T) {
 	server, client, _ := startLinkedPair(t)
 	big := &wire.Envelope{Body: &wire.Envelope_Delta{Delta: &wire.Delta{Packed: make([]byte, MaxFrameBytes+1)}}}
