--- a/share/syncer/engine.go
+++ b/share/syncer/engine.go
@@ -17,12 +17,14 @@
 	// the host next in rank becomes a watcher too.
 	promoteAfter = 3 * clock.Second
 	// minReadInterval is the minimum time between two reads of a key. It limits the
-	// reads when the platform answers a watch immediately with a stale value.
+	// reads when the platform answers each watch immediately, as with a version that this
+	// host rejected. After a stale version, retryBase applies.
 	minReadInterval clock.Milli = 250
-	// retryBase and retryMax bound the delay after failed reads.
+	// retryBase and retryMax bound the delay after failed reads. retryBase is also the
+	// delay after a stale version.
 	retryBase = clock.Second
 	retryMax  = 10 * clock.Second
-	// maxServes is how many peers are sent a version per serveWindow.
+	// maxServes is how many peers are sent a key's version per serveWindow.
 	maxServes               = 4
 	serveWindow clock.Milli = 400
 	// maxPrevious is how many previous versions are kept to compute deltas from.
@@ -61,8 +63,9 @@
 	Stamps map[string]Stamp
 }
 
-// ReadPlatform asks the platform for a key. If Watch is set, the platform answers only
-// once it has a version other than After, or when the watch times out.
+// ReadPlatform asks the platform for a key. After is the version in force here, 0 for
+// none. If Watch is set, the platform answers only once it has a version other than After,
+// or when the watch times out.
 type ReadPlatform struct {
 	Key   string
 	After uint64
@@ -114,8 +117,8 @@
 	// Watchers is how many hosts of a failure domain watch the platform; 0 means
 	// DefaultWatchers.
 	Watchers int
-	// Check validates a version before it goes into force. Its result must depend on
-	// the set alone, so that every host reaches the same result.
+	// Check validates a version before it goes into force; nil accepts all. Its result
+	// must depend on the set alone, so that every host reaches the same result.
 	Check func(key string, s *Set) error
 
 	started           clock.Milli
@@ -270,7 +273,7 @@
 	return list
 }
 
-// HeldKeys lists the keys that have a version in force.
+// HeldKeys lists the keys that have a version in force, in alphabetical order.
 func (e *Engine) HeldKeys() []string {
 	var keys []string
 	for _, v := range e.sortedKeys() {
--- a/share/syncer/pull.go
+++ b/share/syncer/pull.go
@@ -9,8 +9,9 @@
 	"dandelionstile/share/clock"
 )
 
-// HandleStamps records a peer's stamps and pulls newer versions. If one of the stamps is
-// older than the version here, it sends the peer the stamps of all versions in force.
+// HandleStamps records a peer's stamps and pulls newer versions, also of keys that are
+// unknown here. If one of the stamps is older than the version here, it sends the peer the
+// stamps of all versions in force.
 func (e *Engine) HandleStamps(now clock.Milli, from string, stamps map[string]Stamp) []Action {
 	e.init(now)
 	p := e.peerOf(from)
@@ -35,7 +36,8 @@
 	return out
 }
 
-// pull asks a peer for the newest version of a key, if it is newer than the one in force.
+// pull asks a peer for the newest version of a key, if it is newer than the one in force
+// and than the last one that was rejected.
 // It asks one peer at a time and does nothing while a pull is in flight. A peer that does
 // not answer within pullTimeout, because it is paused or has reached maxServes, is
 // followed by the next one.
@@ -108,9 +110,9 @@
 	return []Action{SendDelta{Peer: from, Delta: state.current.diff(key, base)}}
 }
 
-// HandleDelta processes a peer's answer to a pull. A delta that starts at another version
-// than the one in force is pulled again; if a delta does not produce the version that it
-// names, the peer is asked for all items.
+// HandleDelta processes a peer's answer to a pull. A version that is not newer is ignored.
+// A delta that starts at another version than the one in force is pulled again; if a delta
+// does not produce the version that it names, the peer is asked for all items.
 func (e *Engine) HandleDelta(now clock.Milli, from string, d Delta) []Action {
 	e.init(now)
 	state := e.stateOf(d.Key)
@@ -131,8 +133,9 @@
 }
 
 // adoptIfNewer puts a newer version in force if it is valid, and sends its stamp to the
-// peers that have an older one. Versions never go back: an older stamp is ignored,
-// whatever its source.
+// peers that have an older one. For an invalid version, which is recorded, it returns Reject.
+// Versions never go back: an older stamp is ignored, whatever its source, and so is the
+// version that was rejected last.
 func (e *Engine) adoptIfNewer(now clock.Milli, key string, s *Set) []Action {
 	state := e.stateOf(key)
 	stamp := s.Stamp()
--- a/share/syncer/set.go
+++ b/share/syncer/set.go
@@ -54,8 +54,8 @@
 	return s.computeStamp()
 }
 
-// computeStamp sets the stamp of a set whose items are complete. The digest is a sum of
-// the items' hashes, so it does not depend on their order.
+// computeStamp sets the stamp of a set whose items are complete, and returns the set. The
+// digest is a sum of the items' hashes, so it does not depend on their order.
 func (s *Set) computeStamp() *Set {
 	var sum uint64
 	for name, body := range s.Items {
--- a/share/syncer/syncer_test.go
+++ b/share/syncer/syncer_test.go
@@ -31,8 +31,7 @@
 	assert.Equal(t, got.Stamp(), next.Stamp())
 }
 
-// A delta that is truncated or belongs to another version must not be accepted as
-// the version that it names.
+// A delta that lost its changed items must not be accepted as the version that it names.
 func TestWrongDeltaIsNotTaken(t *testing.T) {
 	old, next := set(1, "x", "y"), set(2, "x", "q")
 	d := next.diff("k", old)
@@ -82,7 +81,7 @@
 	})
 }
 
-// The peer that was asked for a version is paused. If the engine waited for it, the host
+// The peer that was asked for a version, p1, is paused. If the engine waited for it, the host
 // would keep the old version although another peer has the new one.
 func TestFrozenPeerIsNotWaitedFor(t *testing.T) {
 	e := Engine{WatchKeys: []string{"k"}, Rank: -1}
--- a/share/syncer/watch.go
+++ b/share/syncer/watch.go
@@ -14,7 +14,8 @@
 }
 
 // HandleRead processes the result of a read of the platform: it adopts a newer version
-// and sets the earliest time of the next read, with exponential backoff after errors.
+// and sets the earliest time of the next read, with exponential backoff after errors. A
+// read without an error counts as contact to the platform.
 func (e *Engine) HandleRead(now clock.Milli, r ReadResult) []Action {
 	e.init(now)
 	rd := e.readerOf(r.Key)
