--- a/share/topo/hosts.go
+++ b/share/topo/hosts.go
@@ -19,7 +19,7 @@
 	Hosts   []fileHost `yaml:"hosts" validate:"dive"`
 }
 
-// ParseHosts parses the platform's host list.
+// ParseHosts parses a host list of the platform.
 func ParseHosts(body []byte) (HostList, error) {
 	var f fileHosts
 	if _, err := conf.Decode("host-list", body, &f); err != nil {
--- a/share/topo/parse.go
+++ b/share/topo/parse.go
@@ -24,8 +24,8 @@
 	defaultPatience = 100
 )
 
-// Part is one of the operators' files: a fragment of the inventory, the rules, or
-// both.
+// Part is one of the operators' files. It holds any of the inventory's objects, the rules
+// and the routes.
 type Part struct {
 	Name string
 	Body []byte
@@ -98,7 +98,9 @@
 }
 
 // Parse builds a configuration from the operators' files. If there are faults, it
-// returns no configuration and conf.Faults with all of them.
+// returns no configuration and conf.Faults. The objects of a file that does not decode or
+// validate are unknown, so that references to them from other files are reported too, and
+// faults in its own references are found only once it validates.
 func Parse(version uint64, parts []Part) (*Config, error) {
 	var p Parser
 	return p.Parse(version, parts)
--- a/share/topo/topo.go
+++ b/share/topo/topo.go
@@ -168,7 +168,7 @@
 	return Service{}, false
 }
 
-// Host is an entry host in the platform's host list.
+// Host is a host in the platform's host list. It runs an entry and an aggregator.
 type Host struct {
 	Name   string
 	Domain string
@@ -179,7 +179,7 @@
 	Leaving bool
 }
 
-// HostList is the platform's list of entry hosts. It may be out of date.
+// HostList is the platform's list of the hosts of a failure domain. It may be out of date.
 type HostList struct {
 	Version uint64
 	Hosts   []Host
