--- a/share/mesh/mesh.go
+++ b/share/mesh/mesh.go
@@ -43,8 +43,8 @@
 	// sendQueueLen is how many messages a stream queues before Send returns ErrBusy.
 	sendQueueLen = 1024
 	dialTimeout  = 2 * time.Second
-	// idlePingInterval is the interval between pings on a link without traffic, and
-	// busyPingInterval on a link with traffic. A ping that takes longer than
+	// idlePingInterval is the interval between pings on a link on which no messages are
+	// received, and busyPingInterval on one on which they are. A ping that takes longer than
 	// pingTimeout closes the link. The side that dialed sends the pings.
 	idlePingInterval = 2 * time.Second
 	busyPingInterval = 10 * time.Second
