--- a/share/syncer/engine.go
+++ b/share/syncer/engine.go
@@ -24,7 +24,7 @@
 	// delay after a stale version.
 	retryBase = clock.Second
 	retryMax  = 10 * clock.Second
-	// maxServes is how many peers are sent a key's version per serveWindow.
+	// maxServes is how many deltas of a key are sent per serveWindow.
 	maxServes               = 4
 	serveWindow clock.Milli = 400
 	// maxPrevious is how many previous versions are kept to compute deltas from.
@@ -140,7 +140,7 @@
 	pullPeer    string
 	pulledAt    clock.Milli
 	attempts    int // pulls since a version was adopted or none was offered; selects the peer to ask
-	served      int // peers that were sent the version since windowStart
+	served      int // deltas sent since windowStart
 	windowStart clock.Milli
 }
 
