--- a/share/conf/conf.go
+++ b/share/conf/conf.go
@@ -21,7 +21,7 @@
 // Fault is one error in a file.
 type Fault struct {
 	File string
-	// Line counts from 1; 0 stands for the whole file.
+	// Line counts from 1; a fault of the whole file has line 1.
 	Line int
 	// Key is the path of the faulty key, such as servers[3].slots.
 	Key     string
