--- a/share/daemon/daemon.go
+++ b/share/daemon/daemon.go
@@ -53,7 +53,8 @@
 	Platform string `arg:"--platform" placeholder:"IP:PORT" help:"address of the platform"`
 }
 
-// overrideSettings replaces the settings whose flags are set.
+// overrideSettings replaces the settings whose flags are set. It does not validate the
+// flags' values.
 func (a Arguments) overrideSettings(s *node.Settings) {
 	for _, o := range []struct {
 		from string
@@ -90,8 +91,9 @@
 }
 
 // Main runs a program until a signal stops it and returns its exit code: ExitSettings if
-// the settings are invalid, ExitFailure after any other error. The arguments are parsed
-// into args, which embeds common.
+// the settings or the TLS files cannot be read or are invalid, ExitFailure after any other
+// error. With --check it only validates the settings file. The arguments are parsed into
+// args, which embeds common.
 func Main(program string, args any, common *Arguments, start func(Env) (Service, error)) int {
 	arg.MustParse(args)
 	settings, err := node.Load(common.Settings)
