--- a/share/spans/spans.go
+++ b/share/spans/spans.go
@@ -22,9 +22,9 @@
 	file     *os.File
 }
 
-// New returns a tracer that appends the spans of the given ratio of all traces to a file. A trace
-// that another process began is recorded if that process records it. An empty path
-// disables tracing.
+// New returns a tracer that appends spans to a file. It records the given ratio of the
+// traces that begin in this process; a trace that another process began is recorded if that
+// process records it. An empty path disables tracing.
 func New(path, program, host string, ratio float64) (*Tracer, error) {
 	if path == "" {
 		return &Tracer{}, nil
@@ -56,7 +56,7 @@
 }
 
 // Start starts a span as a child of the parent in a traceparent header, or as the
-// root of a new trace if parent is empty.
+// root of a new trace if parent is empty or invalid.
 func (t *Tracer) Start(parent, name string, attrs ...attribute.KeyValue) Span {
 	if t == nil || t.tracer == nil {
 		return Span{}
