--- a/share/clock/clock.go
+++ b/share/clock/clock.go
@@ -55,17 +55,19 @@
 // Now returns the time of the current event.
 func (v *Virtual) Now() Milli { return v.now }
 
-// At runs f at time t, or now if t is in the past. Events at equal times run in the
-// order in which they were added, which makes runs repeatable.
+// At schedules f for time t, or for the current time if t is in the past; Run calls it.
+// Events at equal times run in the order in which they were added, which makes runs
+// repeatable.
 func (v *Virtual) At(t Milli, f func()) {
 	v.lastSeq++
 	heap.Push(&v.events, event{at: max(t, v.now), seq: v.lastSeq, run: f})
 }
 
-// After runs f after a duration d.
+// After schedules f for the time that is d from now.
 func (v *Virtual) After(d Milli, f func()) { v.At(v.now+d, f) }
 
-// Run runs every event up to and including time end, then sets the clock to end.
+// Run runs every event up to and including time end, also those that are added meanwhile,
+// then sets the clock to end.
 func (v *Virtual) Run(end Milli) {
 	for len(v.events) > 0 && v.events[0].at <= end {
 		e := heap.Pop(&v.events).(event)
