--- a/share/admin/admin.go
+++ b/share/admin/admin.go
@@ -38,7 +38,7 @@
 	Peers       []Peer            `json:"peers"`
 }
 
-// Version is the version of a key that is in force.
+// Version is the version in force of a key, which is config or hosts/ and a failure domain.
 type Version struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
