--- a/share/topk/topk.go
+++ b/share/topk/topk.go
@@ -12,8 +12,8 @@
 // list is ignored.
 const RecordSize = 16
 
-// Merge returns the k greatest records of all lists, greatest first. Duplicates are
-// kept.
+// Merge returns the k greatest records of all lists, or all records if there are fewer,
+// concatenated with the greatest first. Duplicates are kept.
 func Merge(k int, lists [][]byte) []byte {
 	if k <= 0 {
 		return nil
