--- a/stile/cmds/admin.go
+++ b/stile/cmds/admin.go
@@ -28,7 +28,7 @@
 }
 
 // fetchStatuses queries all programs concurrently and sorts the results by host and
-// program. It returns ErrUnreachable if none answered.
+// program; those that did not answer come first. It returns ErrUnreachable if none answered.
 func (a *adminFlags) fetchStatuses() ([]programStatus, error) {
 	engine := &fetch.Engine{}
 	if err := engine.Start(); err != nil {
--- a/stile/cmds/check.go
+++ b/stile/cmds/check.go
@@ -9,7 +9,7 @@
 
 func init() { register(func() command { return &check{} }, "check", "validate") }
 
-// check validates an inventory with its rules and lists all faults and dangers.
+// check validates an inventory with its rules and routes and lists all faults and dangers.
 type check struct {
 	outputFlags
 	Manifest uint64   `arg:"--manifest" placeholder:"VERSION" help:"print the manifest to publish as this version"`
@@ -37,7 +37,8 @@
 // Help describes the command.
 func (*check) Help() string { return "check an inventory and rules; list every fault and danger" }
 
-// Run prints the faults, the dangers or the manifest.
+// Run prints the faults. If there are none, it prints the manifest if one is requested, or
+// else the dangers and totals. Dangers do not change the exit code.
 func (c *check) Run(out *printer) error {
 	parts, err := readParts(c.Files)
 	if err != nil {
--- a/stile/cmds/cmds.go
+++ b/stile/cmds/cmds.go
@@ -21,11 +21,12 @@
 const (
 	// ExitOK means that no fault was found.
 	ExitOK = 0
-	// ExitFault means that the input is faulty or an answer is incomplete.
+	// ExitFault means that the input is faulty, that an answer is incomplete, or that the
+	// command failed for a reason without a code of its own.
 	ExitFault = 1
 	// ExitUsage means that the command line is wrong.
 	ExitUsage = 2
-	// ExitUnreachable means that no program answered.
+	// ExitUnreachable means that no program answered, or that none knows the query.
 	ExitUnreachable = 3
 )
 
@@ -34,7 +35,7 @@
 	// ErrFaulty reports faulty or incomplete input after the faults have been
 	// printed.
 	ErrFaulty = errors.New("faults were found")
-	// ErrUnreachable reports that no program answered.
+	// ErrUnreachable reports that no program answered, or that none knows the query.
 	ErrUnreachable = errors.New("no answer")
 )
 
@@ -108,7 +109,7 @@
 }
 
 // Main runs the command that the arguments name and returns the exit code. Without a
-// command it prints the list of commands.
+// command, or with a flag in its place, it prints the list of commands.
 func Main(args []string, out, errOut io.Writer) int {
 	if len(args) == 0 || args[0] == "help" || strings.HasPrefix(args[0], "-") {
 		printUsage(out)
--- a/stile/cmds/coverage.go
+++ b/stile/cmds/coverage.go
@@ -21,7 +21,8 @@
 	return "show, for each entry and service, which shards it could answer now"
 }
 
-// Run prints the coverage of each entry; a missing shard is a fault.
+// Run prints the coverage of each entry; a missing shard is a fault. Programs that did not
+// answer are left out.
 func (c *coverage) Run(out *printer) error {
 	programs, err := c.fetchStatuses()
 	if err != nil {
--- a/stile/cmds/files.go
+++ b/stile/cmds/files.go
@@ -11,7 +11,8 @@
 	"dandelionstile/share/topo"
 )
 
-// readParts reads files, and the YAML files of directories sorted by name.
+// readParts reads files in the given order, and the *.yaml files of directories sorted by
+// name.
 func readParts(paths []string) ([]topo.Part, error) {
 	var files []string
 	for _, p := range paths {
--- a/stile/cmds/losses.go
+++ b/stile/cmds/losses.go
@@ -54,7 +54,8 @@
 
 // lossTable sums the losses of the requests in the logs. A request that is answered
 // completely and in time loses 0, one that lacks shards loses their share, and one that
-// is late or unanswered loses 1. Each attempt of a caller counts as a request.
+// is late or refused, or whose caller disconnects, loses 1. One whose end is not in the logs
+// loses 0. Each attempt of a caller counts as a request.
 type lossTable struct {
 	Routes []lossRow  `json:"Routes"`
 	Causes []lossRow  `json:"Causes"`
@@ -92,8 +93,9 @@
 	return &loss{route: l.text("route"), arrivedMillis: l.Time, causes: map[string]float64{}}
 }
 
-// sumLosses computes the loss of each request that the logs name, and sums them up. Lines
-// about forwarded requests only add causes to the request of the host that forwarded it.
+// sumLosses computes the loss of each request whose admission or refusal the logs hold, and
+// sums them up. Lines about forwarded requests only add causes to the request of the host
+// that forwarded it.
 func sumLosses(lines []logLine, spanMillis int64) lossTable {
 	peerCauses := forwardedCauses(lines)
 	byRequest := map[string]*loss{}
@@ -129,7 +131,7 @@
 
 // recordAnswer records what an answer lacks: everything if it is late, otherwise the
 // share of the missing shards. Shards that the line counts but does not name get a
-// common cause.
+// common cause. An answer without a number of shards lacks nothing.
 func (r *loss) recordAnswer(l logLine, peerCauses map[shardKey]string) {
 	if l.boolean("late") {
 		r.causes["answered late"] = 1
--- a/stile/cmds/status.go
+++ b/stile/cmds/status.go
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// printProgram prints one program. It reports a fault if the program did not answer or
-// is not ready.
+// printProgram prints one program, with the leaves whose primary aggregator it is. It
+// reports a fault if the program did not answer or is not ready.
 func (c *status) printProgram(out *printer, p programStatus) (faulty bool) {
 	if p.Problem != "" {
 		out.printText("%s %s: %s", out.colorize(red, "no answer:"), p.Admin, p.Problem)
@@ -90,8 +90,8 @@
 	return ""
 }
 
-// compareVersions returns the newest configuration and the programs that have an older
-// one. Programs that report no configuration are left out.
+// compareVersions returns the newest configuration, 0 if no program reports one, and the
+// programs that have an older one. Programs that report no configuration are left out.
 func compareVersions(programs []programStatus) (newest uint64, behind []string) {
 	installed := map[string]uint64{}
 	for _, p := range programs {
--- a/stile/cmds/timeline.go
+++ b/stile/cmds/timeline.go
@@ -31,7 +31,8 @@
 // are retried within about this time, so that older changes did not affect the request.
 const stateLookbackMillis = 8000
 
-// maxLogLineBytes is the length of the longest line that can be read.
+// maxLogLineBytes is the length of the longest line that can be read. A longer one is an
+// error.
 const maxLogLineBytes = 1 << 20
 
 // readLogs reads the log lines of all files; "-" is standard input. Text before the
@@ -116,8 +117,9 @@
 	return texts
 }
 
-// relatedLines returns the lines that name a request and, from just before and during
-// it, the state changes of the hosts that handled it and of the leaves that it used.
+// relatedLines returns the lines that name a request. It adds the state changes that the
+// hosts which handled it logged just before and during it, if they concern a leaf that the
+// request used or no leaf at all.
 func relatedLines(lines []logLine, id string) []logLine {
 	var requestLines []logLine
 	leaves := map[string]bool{}
--- a/stile/cmds/watch.go
+++ b/stile/cmds/watch.go
@@ -19,7 +19,9 @@
 	return "show changes of hosts, versions, leaves and coverage as they come"
 }
 
-// Run prints a line for each value that appears, changes or disappears between polls.
+// Run prints a line for each value that appears, changes or disappears between polls, and
+// with JSON output only the values of the last poll. It ends with an error once a poll
+// gets no answer.
 func (c *watch) Run(out *printer) error {
 	previous := map[string]string{}
 	for n := 0; c.Times == 0 || n < c.Times; n++ {
@@ -51,7 +53,8 @@
 }
 
 // addWatchedValues adds the values to watch of one program, keyed by what they describe. A
-// leaf is watched only while it is closed or its limit is below its slots.
+// leaf is watched at its primary aggregator, and only while it is closed or its limit is
+// below its slots.
 func addWatchedValues(p programStatus, values map[string]string) {
 	name := p.Node.Host + "/" + p.Node.Program
 	if p.Problem != "" {
