--- a/bench/cmds/check.go
+++ b/bench/cmds/check.go
@@ -19,8 +19,10 @@
 	Out    string `arg:"--out" placeholder:"FILE" help:"write the results to a file"`
 }
 
-// fileBound is one bound. OverBaseline limits the ratio of the product's figure
-// to the baseline's, for the same scenario and deployment.
+// fileBound is one bound on a figure of the product. Most and Least are the highest and
+// the lowest value that is within the bound. OverBaseline limits the ratio of the product's
+// figure to the baseline's, for the same scenario and deployment. An empty Deployment
+// stands for both.
 type fileBound struct {
 	Scenario     string   `yaml:"scenario" validate:"required"`
 	Deployment   string   `yaml:"deployment" validate:"omitempty,oneof=himal kumomaru"`
@@ -40,7 +42,8 @@
 func (*check) Help() string { return "run the scenarios that have bounds and check them" }
 
 // Run runs the scenarios and prints every figure that is out of bounds and every
-// violated safety property. It returns ErrBound if there is one.
+// violated safety property, also those of the baseline's runs. It returns ErrBound if
+// there is one.
 func (c *check) Run() error {
 	body, err := os.ReadFile(c.Bounds)
 	if err != nil {
@@ -64,9 +67,9 @@
 		violations += b.check(results)
 	}
 	for _, r := range results {
-		for _, fault := range r.Faults {
+		for _, violation := range r.Violations {
 			violations++
-			fmt.Printf("FAULT %s %s %s: %s\n", r.Scenario, r.Deployment, r.Policy, fault)
+			fmt.Printf("FAULT %s %s %s: %s\n", r.Scenario, r.Deployment, r.Policy, violation)
 		}
 	}
 	fmt.Printf("%d bounds, %d runs, %d out of bounds\n", len(f.Bounds), len(results), violations)
@@ -100,8 +103,8 @@
 	return execute(tasks), nil
 }
 
-// check prints the product's figures that are out of the bound and returns their
-// number.
+// check prints the product's figures that are out of the bound, or that a run did not
+// record, and returns their number.
 func (b fileBound) check(results []scene.Result) int {
 	violations := 0
 	for _, r := range results {
@@ -119,7 +122,7 @@
 			problem = fmt.Sprintf("is under %g", *b.Least)
 		case b.OverBaseline != nil:
 			if base := baselineFigure(results, r, b.Figure); v > *b.OverBaseline*base {
-				problem = fmt.Sprintf("is over %g of the baseline's %g", *b.OverBaseline, base)
+				problem = fmt.Sprintf("is over %g times the baseline's %g", *b.OverBaseline, base)
 			}
 		}
 		if problem != "" {
--- a/bench/cmds/compare.go
+++ b/bench/cmds/compare.go
@@ -8,7 +8,8 @@
 
 func init() { register("compare", &compare{}) }
 
-// compare prints the differences between two result files.
+// compare prints the differences between two result files, for the runs and figures that
+// both contain.
 type compare struct {
 	Before string `arg:"positional,required" help:"result file"`
 	After  string `arg:"positional,required" help:"result file"`
--- a/bench/cmds/load.go
+++ b/bench/cmds/load.go
@@ -39,8 +39,8 @@
 	latency  *hdrhistogram.Histogram // in units of 0.1 ms
 	complete int
 	partial  int
-	extra    int // leaf calls beyond the first per shard
-	failed   int
+	extra    int            // leaf calls beyond the first per shard
+	failed   int            // no answer, or one that is not JSON
 	refused  map[string]int // by reason
 }
 
@@ -71,7 +71,7 @@
 	defer func() { _ = engine.Close() }() // all queries have ended
 	// The histogram covers latencies up to 60 s.
 	t := &tally{latency: hdrhistogram.New(1, 600000, 3), refused: map[string]int{}}
-	// due holds the queries of at least one second.
+	// due has the capacity for the queries of at least one second.
 	due := make(chan int, maxRate)
 	var wg sync.WaitGroup
 	for w := range c.Workers {
@@ -96,7 +96,7 @@
 		for ; n < int(elapsed.Seconds()*float64(c.Rate)); n++ {
 			select {
 			case due <- n:
-			default: // the workers are far behind; the counts show the queries not sent
+			default: // the workers are far behind; the query is not sent and not counted
 			}
 		}
 		time.Sleep(time.Millisecond)
@@ -138,7 +138,8 @@
 	t.failed++
 }
 
-// countReply counts a reply by its result.
+// countReply counts a reply by its result. The latency counts from the sending of the
+// query, for replies with status 200 alone.
 func (t *tally) countReply(reply fetch.Reply, elapsed time.Duration) {
 	var a loadAnswer
 	err := json.Unmarshal(reply.Body, &a)
--- a/bench/cmds/plot.go
+++ b/bench/cmds/plot.go
@@ -97,7 +97,7 @@
 		for i := range d.Services {
 			d.Services[i].Patience = percent
 		}
-		tasks = append(tasks, task{s, d, scene.Policies()[0], c.Seed})
+		tasks = append(tasks, task{s, d, scene.Policies()[0], c.Seed}) // the first policy is the product's
 	}
 	results := execute(tasks)
 	var tail, incomplete, extra plotter.XYs
--- a/bench/cmds/results.go
+++ b/bench/cmds/results.go
@@ -34,7 +34,8 @@
 	Results []fileResult `yaml:"results"`
 }
 
-// writeResults writes results to a file, with the version of this program.
+// writeResults writes results to a file, with the version of this program. Violated
+// safety properties are not part of the file.
 func writeResults(path string, results []scene.Result) error {
 	f := fileResults{Version: daemon.Version}
 	for _, r := range results {
--- a/bench/cmds/run.go
+++ b/bench/cmds/run.go
@@ -37,7 +37,7 @@
 		if c.Notes {
 			fmt.Println("    " + r.Notes)
 		}
-		for _, f := range r.Faults {
+		for _, f := range r.Violations {
 			fmt.Println("    FAULT " + f)
 		}
 	}
--- a/bench/deploy/deploy.go
+++ b/bench/deploy/deploy.go
@@ -86,10 +86,11 @@
 }
 
 // Shards is the number of shards of a service: its leaves divided by its
-// replicas.
+// replicas, rounded down, and at least 1.
 func (s Service) Shards() int { return max(1, s.Instances*s.Leaves/s.Replicas) }
 
-// mergedShards is the number of shards in the second layout, which merges pairs.
+// mergedShards is the number of shards in the second layout, which merges pairs. If the
+// number of shards is odd and at least 3, three of them become one.
 func (s Service) mergedShards() int { return max(1, s.Shards()/2) }
 
 // Times that apply to every service.
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -65,8 +65,8 @@
 	changedParts   int                // parts that the latest version changed
 }
 
-// pendingWatch is a watch that waits for a change of its key. done becomes true once
-// it has been answered or has timed out.
+// pendingWatch is a watch that waits for a version of its key other than after. done
+// becomes true once it has been answered or has timed out.
 type pendingWatch struct {
 	node  *Node
 	after uint64
@@ -219,7 +219,8 @@
 	}
 }
 
-// Restart restarts a host with empty state. The peers see its links close.
+// Restart restarts a host with empty state. The peers' engines remove it; the links of
+// the simulation stay open.
 func (n *Node) Restart() {
 	var list []topo.Host
 	for _, o := range n.fleet.Nodes {
@@ -321,8 +322,10 @@
 	n.adoptedAt[a.Stamp.Version] = n.fleet.Clock.Now()
 }
 
-// readPlatform executes a read of the fake platform. A watch is answered by the next
-// version, or by an empty result after watchTimeout.
+// readPlatform executes a read of the fake platform. A watch of the version that the
+// platform has is answered by the next version, or by an empty result after watchTimeout;
+// any other read is answered after readLatency. All reads fail while the platform is down
+// or the host is isolated from it.
 func (n *Node) readPlatform(a syncer.ReadPlatform) {
 	f := n.fleet
 	f.Reads++
--- a/bench/scene/clairvoyant.go
+++ b/bench/scene/clairvoyant.go
@@ -104,8 +104,8 @@
 }
 
 // assignEarliest assigns the work of a query that arrives at a host in the domain
-// from to the slot that answers first, and returns the time of the answer. All
-// times are in ms.
+// from to the slot that answers first, which is then occupied until the work ends. It
+// returns the time at which the answer reaches the host. All times are in ms.
 func assignEarliest(slots []slot, from string, arrival, work float64, d deploy.Deployment) float64 {
 	best, finish := 0, 0.0
 	for i := range slots {
--- a/bench/scene/cold.go
+++ b/bench/scene/cold.go
@@ -8,12 +8,12 @@
 func init() {
 	register(Scenario{
 		Name: "cold-server",
-		Goal: "one backend server restarts cold: no requests beyond its capacity, full service within 1.5 of its ramp",
+		Goal: "one backend server restarts cold: no requests beyond its capacity, full service within 1.5 times its ramp",
 		run:  func(r *Run) { r.runColdStart(r.World.Config.Inventory.Servers[0].Name) },
 	})
 	register(Scenario{
 		Name: "cold-domain",
-		Goal: "a failure domain's backend servers restart cold at once: no requests beyond their capacity, full service within 1.5 of the ramp",
+		Goal: "a failure domain's backend servers restart cold at once: no requests beyond their capacity, full service within 1.5 times the ramp",
 		run: func(r *Run) {
 			var names []string
 			for _, s := range r.World.Config.Inventory.Servers {
@@ -41,7 +41,7 @@
 }
 
 // runColdStart crashes servers and records how long after their restart the answers
-// are complete again, see recoverySeconds.
+// are complete again, as a multiple of the ramp; see recoverySeconds.
 func (r *Run) runColdStart(names ...string) {
 	r.settle(steadyLoad * 2 / 3)
 	r.advance(3 * clock.Second)
@@ -57,8 +57,8 @@
 	r.recordCommon()
 }
 
-// callsPerSecond returns the mean number of leaf calls per second, over the n
-// seconds that follow a time.
+// callsPerSecond returns the mean number of leaf calls per second, over n whole
+// seconds, of which the first contains the time since.
 func (r *Run) callsPerSecond(since clock.Milli, n int) float64 {
 	sum := 0
 	for i := range n {
@@ -73,9 +73,10 @@
 	return r.recoverySeconds(since) * float64(clock.Second) / float64(deploy.WarmUp)
 }
 
-// worstCompleteShare returns the lowest share of complete answers in any second. The
-// last two seconds don't count, since their queries may still be in flight: a query has
-// up to deploy.Deadline, 1 s, and its answer counts in the second in which it was sent.
+// worstCompleteShare returns the lowest share of complete answers in any second since the
+// last reset of the measurements. The last two seconds don't count, since their queries
+// may still be in flight: a query has up to deploy.Deadline, 1 s, and its answer counts in
+// the second in which it was sent.
 func (r *Run) worstCompleteShare() float64 {
 	worst := 1.0
 	for i, s := range r.World.Stats.Seconds {
--- a/bench/scene/domains.go
+++ b/bench/scene/domains.go
@@ -13,7 +13,7 @@
 func init() {
 	register(Scenario{
 		Name: "domain-out",
-		Goal: "a failure domain is taken out and put back: no new work 3 s after the rule, the remaining domains serve the queries, peak load at most 1.2 of steady on its return",
+		Goal: "a failure domain is taken out and put back: no new work 3 s after the rule, the remaining domains serve the queries, peak load on its return at most 1.2 times the steady load",
 		run:  func(r *Run) { r.runDomainOut() },
 	})
 	register(Scenario{
@@ -23,8 +23,9 @@
 	})
 }
 
-// runDomainOut takes a failure domain out of service and back, and records the load
-// during its return relative to the steady load.
+// runDomainOut takes a failure domain out of service and back. It records when the domain
+// got its last work after the rule, and the load during its return relative to the steady
+// load.
 func (r *Run) runDomainOut() {
 	const load = 0.4
 	r.settle(load)
@@ -45,7 +46,8 @@
 	r.recordCommon()
 }
 
-// peakCalls returns the largest number of leaf calls in one second since a time.
+// peakCalls returns the largest number of leaf calls in one of the whole seconds that
+// begin at a time or later.
 func (r *Run) peakCalls(since clock.Milli) float64 {
 	highest := 0
 	for i, s := range r.World.Stats.Seconds {
@@ -56,7 +58,9 @@
 	return float64(highest)
 }
 
-// runDomainCut partitions a failure domain from the others and heals the partition.
+// runDomainCut partitions a failure domain from the others and heals the partition. It
+// records the share of queries with an answer, complete or not, during the partition, and
+// the load peak and the recovery after it.
 func (r *Run) runDomainCut() {
 	const load = 0.3
 	r.settle(load)
--- a/bench/scene/faults.go
+++ b/bench/scene/faults.go
@@ -10,17 +10,17 @@
 func init() {
 	register(Scenario{
 		Name: "crash-request",
-		Goal: "a request that crashes each server that runs it, resent endlessly through all hosts: at most 2 servers, others complete to 99 %",
+		Goal: "a request that crashes each server that runs it, resent endlessly through all hosts: at most 2 servers crash, 99 % of the other queries are complete",
 		run:  func(r *Run) { r.runCrashRequest() },
 	})
 	register(Scenario{
 		Name: "silent",
-		Goal: "10 % of the connections go silent at once: p99.9 at most 2 of steady after 1 s, no healthy server ejected",
+		Goal: "10 % of the connections go silent at once: after 1 s, p99.9 is at most twice that under steady load, and no leaf is closed as silent or unreachable",
 		run:  func(r *Run) { r.runSilent() },
 	})
 	register(Scenario{
 		Name: "greedy",
-		Goal: "one caller sends 10 times its share: the others' p99 at most 1.2 of steady",
+		Goal: "one caller sends 10 times its share: p99 of the others at most 1.2 times that under steady load",
 		run:  func(r *Run) { r.runGreedy() },
 	})
 	register(Scenario{
@@ -63,8 +63,9 @@
 	r.recordCommon()
 }
 
-// runSilent makes a share of all connections silent and compares the latency, from
-// one second later on, with that before.
+// runSilent makes a share of all connections silent. It compares the latency, from one
+// second later on, with that before, and records how often schedulers closed a leaf as
+// silent or unreachable.
 func (r *Run) runSilent() {
 	r.settle(steadyLoad * 2 / 3)
 	r.advance(6 * clock.Second)
@@ -86,7 +87,8 @@
 	steady := float64(r.World.Stats.OthersLatency.ValueAtQuantile(99))
 	r.World.Stats.Reset()
 	for _, v := range r.Deployment.Services {
-		// Four times ten callers' shares: as much as all 40 callers send together.
+		// Four times ten callers' shares: as much as all callers send together, as
+		// callerCount is 40.
 		rate := 10 * steadyLoad * 2 / 3 * r.World.Capacity(v) / callerCount
 		r.World.StartLoad(virt.Load{Service: v.Name, Rate: rate * 4, Texts: textCount, Caller: virt.GreedyCaller})
 	}
@@ -128,5 +130,6 @@
 	r.recordCommon()
 }
 
-// inFlight returns the number of unanswered queries whose deadline has not passed.
+// inFlight returns the number of unanswered queries whose deadline has not passed,
+// given that each has the budget deploy.Deadline.
 func (r *Run) inFlight() int { return r.World.PendingWithin(deploy.Deadline) }
--- a/bench/scene/overload.go
+++ b/bench/scene/overload.go
@@ -46,8 +46,8 @@
 }
 
 // recoverySeconds returns how many seconds after a time it took until every
-// later second answered at least 97 % of its queries completely. The last two
-// seconds don't count, as in worstCompleteShare.
+// later second answered at least 97 % of its queries completely, or 0 if no second was
+// below that. The last two seconds don't count, as in worstCompleteShare.
 func (r *Run) recoverySeconds(since clock.Milli) float64 {
 	seconds := r.World.Stats.Seconds
 	first := int(since / clock.Second)
--- a/bench/scene/scene.go
+++ b/bench/scene/scene.go
@@ -27,8 +27,8 @@
 	Policy     string
 	Seed       uint64
 	Figures    []Figure
-	// Faults lists the violated safety properties.
-	Faults []string
+	// Violations lists the violated safety properties.
+	Violations []string
 	// Notes lists the counts of reasons and leaf events.
 	Notes string
 }
@@ -77,7 +77,7 @@
 type Run struct {
 	World      *virt.World
 	Deployment deploy.Deployment
-	// Baseline reports whether the run uses the baseline's policies.
+	// Baseline reports whether the run uses the baseline's policies. No scenario reads it.
 	Baseline bool
 	figures  []Figure
 }
@@ -92,7 +92,8 @@
 	Name string
 	// Goal states the figures to reach.
 	Goal string
-	// NoBaseline excludes the baseline where a comparison makes no sense.
+	// NoBaseline excludes the baseline where a comparison makes no sense. No scenario
+	// sets it.
 	NoBaseline bool
 	run        func(r *Run)
 }
@@ -124,16 +125,19 @@
 	r := &Run{World: w, Deployment: d, Baseline: p.Name == "baseline"}
 	s.run(r)
 	return Result{
-		Scenario: s.Name, Deployment: d.Name, Policy: p.Name, Seed: seed, Figures: r.figures, Faults: w.Stats.Faults, Notes: w.Stats.Summary(),
+		Scenario: s.Name, Deployment: d.Name, Policy: p.Name, Seed: seed, Figures: r.figures, Violations: w.Stats.Violations, Notes: w.Stats.Summary(),
 	}
 }
 
-// Load levels and times that the scenarios share.
+// Load levels, times and numbers that the scenarios share.
 const (
+	// steadyLoad is a share of the capacity.
 	steadyLoad = 0.6
 	// settleTime is how long a world runs before measurements start: connections
 	// are open and the initial ramps have ended.
-	settleTime  = 8 * clock.Second
+	settleTime = 8 * clock.Second
+	// textCount is the number of different queries, and callerCount the number of
+	// callers, of each service.
 	textCount   = 2000
 	callerCount = 40
 )
@@ -176,7 +180,7 @@
 	r.record("excess-cold", float64(cold))
 	r.record("excess-unseen", float64(unseen))
 	r.record("excess-warm", float64(warm))
-	r.record("faults", float64(len(s.Faults)))
+	r.record("faults", float64(len(s.Violations)))
 }
 
 // Line formats a result as one line.
--- a/bench/scene/steady.go
+++ b/bench/scene/steady.go
@@ -5,7 +5,7 @@
 func init() {
 	register(Scenario{
 		Name: "steady",
-		Goal: "load of 60 % of the slots: extra load at most 2 %, p99 within 1.15 of a clairvoyant scheduler",
+		Goal: "load of 60 % of the slots: extra load at most 2 %, p99 at most 1.15 times that of a clairvoyant scheduler",
 		run: func(r *Run) {
 			r.settle(steadyLoad)
 			const span = 15 * clock.Second
--- a/bench/slope/measure.go
+++ b/bench/slope/measure.go
@@ -97,7 +97,8 @@
 }
 
 // LeafUpkeep measures the time that owned leaves without calls cost per second:
-// ticks, health checks and claims.
+// ticks and health checks. There are no claims, since no other host is a candidate for the
+// servers.
 func LeafUpkeep() Line {
 	l := Line{Name: "aggregator: upkeep per second", Unit: "us", Per: "leaf owned"}
 	for _, leaves := range []int{6, 24, 96} {
@@ -187,7 +188,8 @@
 	return fit(l)
 }
 
-// EntryChange measures applying a change in an entry, with 5,600 hosts.
+// EntryChange measures applying a configuration in an entry, with 5,600 hosts; it is the
+// same one each time.
 func EntryChange() Line {
 	l := Line{Name: "entry: put one change in force", Unit: "ms", Per: "leaf in the inventory"}
 	hosts := hostList(5600, domains)
@@ -199,8 +201,8 @@
 	return fit(l)
 }
 
-// AggregatorChange measures applying a change in an aggregator, with 5,600
-// hosts.
+// AggregatorChange measures applying a configuration in an aggregator, with 5,600
+// hosts; it is the same one each time.
 func AggregatorChange() Line {
 	l := Line{Name: "aggregator: put one change in force", Unit: "ms", Per: "leaf in the inventory"}
 	hosts := hostList(5600, domains)
--- a/bench/virt/host.go
+++ b/bench/virt/host.go
@@ -28,7 +28,7 @@
 	paused        bool
 	pauseDetected bool            // paused longer than detectionTime: the peers closed their links
 	backlog       []func()        // what the host runs when it resumes
-	linked        map[string]bool // hosts with an open link
+	linked        map[string]bool // hosts with an open link, itself included
 }
 
 // boot starts the host's programs with empty state.
@@ -71,7 +71,8 @@
 	})
 }
 
-// relinkAll makes all hosts bring their links in line with the state of this one.
+// relinkAll makes all hosts, this one included, open and close their links according to
+// the current states.
 func (h *Host) relinkAll() {
 	for _, other := range h.World.Hosts {
 		other.do(other.relink)
@@ -101,9 +102,9 @@
 // Restart starts the programs of a host that is down.
 func (h *Host) Restart() { h.boot() }
 
-// Leave begins a graceful shutdown: the scheduler stops admission after 500 ms, and the
-// programs end once they are idle, but not before 2 s. It calls done when the host is
-// down.
+// Leave begins a graceful shutdown: all hosts learn of it at once, the scheduler stops
+// admission after 500 ms, and the programs end once they are idle, but not before 2 s. It
+// calls done when the host is down.
 func (h *Host) Leave(done func()) {
 	h.leaving = true
 	for _, other := range h.World.Hosts {
@@ -140,7 +141,8 @@
 }
 
 // relink opens and closes the host's links according to the partitions and the
-// peers' states, and informs both engines.
+// peers' states, and informs both engines. On a new link the entry gets the round-trip time
+// and the peer's feedback at once.
 func (h *Host) relink() {
 	now := h.World.Now()
 	for _, other := range h.World.Hosts {
@@ -171,7 +173,8 @@
 func (h *Host) tickSched() {
 	out, paused := h.Sched.Tick(h.World.Now())
 	if paused {
-		// The scheduler suspends admission until a peer has confirmed the configuration.
+		// The process was paused. The scheduler suspends admission until a peer has
+		// confirmed the configuration; here, that takes 50 ms.
 		h.World.Clock.After(50, func() { h.do(func() { h.configure(h.World.Config); h.Sched.ResumeAdmission() }) })
 	}
 	h.applySched(out)
@@ -207,7 +210,8 @@
 			w.recordAnswer(h, a)
 		case fanout.ShareStrike:
 			h.shareStrike(a.Strike)
-			// A query that waits for the peers to know of the strike then continues.
+			// A query that waits for the peers to know of the strike then continues; Query is
+			// 0 if there is none.
 			if a.Query == 0 {
 				break
 			}
@@ -241,7 +245,8 @@
 	h.applySched(out)
 }
 
-// leafRequest is the part of a call that the virtual leaf needs.
+// leafRequest is the part of a call that the virtual leaf needs. For an update, update is
+// set, text is its body, and query, pin and shard are zero.
 type leafRequest struct {
 	entry  *Host
 	query  uint64
@@ -263,7 +268,8 @@
 	}
 }
 
-// receiveUpdate submits an update call to the scheduler.
+// receiveUpdate submits an update call to the scheduler, always as a canary, so that a
+// crash of its server counts as a strike.
 func (h *Host) receiveUpdate(from *Host, a fanout.SendUpdate, budget clock.Milli) {
 	now := h.World.Now()
 	h.applySched(h.Sched.Submit(now, sched.Call{
@@ -275,7 +281,7 @@
 
 // forward sends an update to the host that minted its ID, where it runs under another
 // request ID, and returns the result to this host. It fails at once if the other host
-// is down or partitioned.
+// is unknown, down or partitioned.
 func (h *Host) forward(a fanout.Forward) {
 	w := h.World
 	owner := w.host(a.Host)
--- a/bench/virt/leaf.go
+++ b/bench/virt/leaf.go
@@ -20,7 +20,7 @@
 	LogStdDev float64
 	// WarmUp is how long a cold leaf takes to reach the capacity of all its slots.
 	WarmUp clock.Milli
-	// ColdFactor multiplies the service time of a leaf that has just started.
+	// ColdFactor multiplies the service time of a leaf that has just become cold.
 	ColdFactor float64
 }
 
@@ -60,21 +60,21 @@
 	incarnation     uint64
 	down            bool
 	draining        bool
-	active          int
+	active          int         // calls that run now
 	coldSince       clock.Milli // start of the warm-up
 	warming         bool
-	unseen          bool // cold, and no reply has shown it yet
+	unseen          bool // cold, and no health check or rejection has shown it yet
 	stragglerFactor float64
 	holds           []topo.SnapshotID
-	conns           map[connKey]bool // false for a silent connection
-	running         map[attemptKey]func()
+	conns           map[connKey]bool      // open connections; false for a silent one
+	running         map[attemptKey]func() // running calls; the function stops one with an error
 	maxConns        int
 
-	calls        int
-	excessCold   int // requests beyond its capacity while cold, after a reply showed it
-	excessUnseen int // requests beyond its capacity while cold, before a reply showed it
-	excessWarm   int // requests beyond its slots while warm
-	lastUse      clock.Milli
+	calls        int         // that it has run
+	excessCold   int         // requests beyond its capacity while cold, when unseen is not set
+	excessUnseen int         // requests beyond its capacity while cold, when unseen is set
+	excessWarm   int         // requests beyond its slots while warm
+	lastUse      clock.Milli // when its last call began
 }
 
 // newLeaf returns a warm leaf that holds version 1 of layout 1.
@@ -184,8 +184,8 @@
 	}
 }
 
-// abort stops a running query; an update runs to its end. The result is reported
-// like that of a health check.
+// abort stops a running query, which replies with an error; an update runs to its end.
+// The result of the abort itself is reported like that of a health check.
 func (f *Leaf) abort(h *Host, a sched.Abort) {
 	attempt := attemptKey{h.Index, h.incarnation, a.Call.Key}
 	f.w.Clock.After(f.w.delay(h.Domain, f.domain), func() {
@@ -197,7 +197,8 @@
 	f.probe(h, a.Conn, a.NewConn)
 }
 
-// probe runs a health check of the leaf and reports the result to the scheduler.
+// probe runs a health check of the leaf and reports the result to the scheduler. Its
+// reply shows the state of a cold leaf, see unseen.
 func (f *Leaf) probe(h *Host, id sched.ConnID, newConn bool) {
 	incarnation := h.incarnation
 	f.callAtLeaf(h, id, newConn, func(opened bool) {
@@ -244,7 +245,8 @@
 }
 
 // run runs a call, unless the leaf is draining, does not hold the shard in the
-// pinned snapshot or has no free slot.
+// pinned snapshot or has no free slot; the outcome then says so. A call
+// with CrashText crashes the server.
 func (f *Leaf) run(h *Host, s sched.Send, r sched.Result) {
 	request, ok := s.Call.Request.(leafRequest)
 	if !ok {
@@ -386,7 +388,8 @@
 	}
 }
 
-// crash closes all connections of the leaf; the calls on them are lost.
+// crash closes all connections of the leaf, of which the hosts are informed; the calls on
+// them are lost.
 func (f *Leaf) crash() {
 	f.down = true
 	f.incarnation++
--- a/bench/virt/property_test.go
+++ b/bench/virt/property_test.go
@@ -17,8 +17,8 @@
 	"dandelionstile/share/topo"
 )
 
-// TestMain fixes the seed, so that CI is deterministic. The command line can
-// set others: go test ./virt -rapid.seed=N.
+// TestMain fixes the seed and the number of checks, so that CI is deterministic. The
+// command line can set others: go test ./virt -rapid.seed=N.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "12", "rapid.nofailfile": "true"} {
@@ -124,7 +124,7 @@
 }
 
 // switchSnapshots moves the leaves to a new version or to the other layout, at
-// different times.
+// different times. They may keep one of their previous snapshots.
 func (c *chaos) switchSnapshots() {
 	layout := uint32(rapid.IntRange(1, 2).Draw(c.t, "layout"))
 	version := uint64(rapid.IntRange(1, 5).Draw(c.t, "version"))
@@ -179,8 +179,8 @@
 			w.Clock.Run(w.Now() + clock.Milli(rapid.IntRange(5, 800).Draw(t, "wait")))
 		}
 		w.Clock.Run(w.Now() + 3*clock.Second)
-		for _, fault := range w.Stats.Faults {
-			t.Fatalf("safety property violated: %s", fault)
+		for _, violation := range w.Stats.Violations {
+			t.Fatalf("safety property violated: %s", violation)
 		}
 		for _, s := range c.updates {
 			c.checkUpdate(s)
--- a/bench/virt/stats.go
+++ b/bench/virt/stats.go
@@ -30,7 +30,7 @@
 // Stats holds the measurements of a run.
 type Stats struct {
 	Latency    *hdrhistogram.Histogram // of answered queries, at the caller, in ms
-	Seconds    []Second
+	Seconds    []Second                // by the second since the start of the run
 	Queries    int
 	Answered   int
 	Complete   int
@@ -38,9 +38,9 @@
 	Missing    map[query.Reason]int
 	Shards     int                      // of all answered queries
 	Covered    int                      // shards that answers cover
-	FirstCalls int                      // the first leaf call of each shard
+	FirstCalls int                      // the first leaf call of each shard, also of refused queries
 	ExtraCalls int                      // retries and hedges
-	Faults     []string                 // violated safety properties
+	Violations []string                 // violated safety properties
 	LeafEvents map[string]int           // event and cause -> events of the schedulers
 	Crashes    map[string][]clock.Milli // server -> times at which a query crashed it
 	Updates    map[query.Kind]int
@@ -75,12 +75,12 @@
 	}
 }
 
-// Reset clears the measurements, but keeps the pending requests and the faults.
+// Reset clears the measurements, but keeps the pending requests and the violations.
 func (s *Stats) Reset() {
 	pending, onForwarded, onUpdate, onAnswer := s.pending, s.onForwarded, s.onUpdate, s.onAnswer
-	faults := s.Faults
+	violations := s.Violations
 	s.init()
-	s.pending, s.onForwarded, s.onUpdate, s.onAnswer, s.Faults = pending, onForwarded, onUpdate, onAnswer, faults
+	s.pending, s.onForwarded, s.onUpdate, s.onAnswer, s.Violations = pending, onForwarded, onUpdate, onAnswer, violations
 }
 
 // second returns the counts of the second that contains a time.
@@ -182,7 +182,7 @@
 	s := &w.Stats
 	q, ok := s.pending[a.Query]
 	if !ok {
-		w.recordFault(fmt.Sprintf("query %d is unknown or has been answered before", a.Query))
+		w.recordViolation(fmt.Sprintf("query %d is unknown or has been answered before", a.Query))
 		return
 	}
 	delete(s.pending, a.Query)
@@ -223,12 +223,12 @@
 // GreedyCaller is the name of the caller that sends far more than the others.
 const GreedyCaller = "greedy"
 
-// verify checks an answer: one row of each answered shard, from the pinned snapshot
+// verify checks an answer: as many rows as answered shards, each from the pinned snapshot
 // and for this query, and none of a missing shard.
 func (w *World) verify(q pendingQuery, a query.Answer) {
 	c := a.Coverage
 	if c.Answered+len(c.Missing) != c.Shards {
-		w.recordFault(fmt.Sprintf("coverage does not add up: %+v", c))
+		w.recordViolation(fmt.Sprintf("coverage does not add up: %+v", c))
 	}
 	missing := map[string]bool{}
 	for _, m := range c.Missing {
@@ -237,18 +237,18 @@
 	rows := 0
 	for _, r := range a.Rows {
 		if !strings.HasPrefix(r.Key, q.service+"/"+a.Pin.String()+"/") {
-			w.recordFault("row of another service or snapshot: " + r.Key + " in " + a.Pin.String())
+			w.recordViolation("row of another service or snapshot: " + r.Key + " in " + a.Pin.String())
 		}
 		if r.Text != q.text {
-			w.recordFault("row of another query: " + r.Text)
+			w.recordViolation("row of another query: " + r.Text)
 		}
 		if missing[r.Key] {
-			w.recordFault("row of a shard that is listed as missing: " + r.Key)
+			w.recordViolation("row of a shard that is listed as missing: " + r.Key)
 		}
 		rows++
 	}
 	if rows != c.Answered {
-		w.recordFault(fmt.Sprintf("%d rows for %d answered shards", rows, c.Answered))
+		w.recordViolation(fmt.Sprintf("%d rows for %d answered shards", rows, c.Answered))
 	}
 }
 
--- a/bench/virt/update.go
+++ b/bench/virt/update.go
@@ -36,7 +36,7 @@
 }
 
 // handleUpdateResult handles the result of an update: it goes to the host that forwarded the
-// update, if any, or else to the caller.
+// update, if any, or else is counted and goes to the caller.
 func (w *World) handleUpdateResult(_ *Host, a fanout.UpdateAnswered) {
 	s := &w.Stats
 	if respond, ok := s.onForwarded[a.RequestID]; ok {
--- a/bench/virt/world.go
+++ b/bench/virt/world.go
@@ -19,8 +19,10 @@
 	Sched  sched.Policy
 }
 
-// Baseline is the reference for comparisons: a random replica, three fixed
-// retries, no hedges, no ramp, a fixed limit and no admission control.
+// Baseline is the reference for comparisons: a random replica, three more attempts per
+// shard than the product and no retry budget, no hedges, no canaries, no admission control
+// of queries, no ramp for cold leaves, no fairness between callers, and long queues in
+// order of arrival.
 func Baseline() Policies {
 	return Policies{
 		Fanout: fanout.Policy{
@@ -38,14 +40,15 @@
 	detectionTime = 2 * clock.Second
 )
 
-// World is one simulation run. Deployment to Strict are set before Start.
+// World is one simulation run. Deployment to OnViolation are set before Start.
 type World struct {
 	Deployment deploy.Deployment
 	Policies   Policies
 	Seed       uint64
 	Model      Model
-	// Strict, if set, is called on a violated safety property, to end the run.
-	Strict func(fault string)
+	// OnViolation, if set, is called with the text of each violated safety property, so that
+	// a caller can end the run. Nothing in this repository sets it.
+	OnViolation func(violation string)
 
 	Clock      clock.Virtual
 	Random     *rand.Rand
@@ -56,7 +59,7 @@
 	Stats      Stats
 	partitions map[domainPair]bool // in both directions
 	nextID     uint64
-	// Executed counts the executions of each update, by ID.
+	// Executed counts the executions of each update, by the update's ID.
 	Executed map[string]int
 }
 
@@ -109,11 +112,11 @@
 // Now returns the virtual time.
 func (w *World) Now() clock.Milli { return w.Clock.Now() }
 
-// recordFault records a violated safety property.
-func (w *World) recordFault(text string) {
-	w.Stats.Faults = append(w.Stats.Faults, text)
-	if w.Strict != nil {
-		w.Strict(text)
+// recordViolation records a violated safety property and calls OnViolation, if set.
+func (w *World) recordViolation(text string) {
+	w.Stats.Violations = append(w.Stats.Violations, text)
+	if w.OnViolation != nil {
+		w.OnViolation(text)
 	}
 }
 
@@ -191,8 +194,8 @@
 func (w *World) partitioned(a, b string) bool { return w.partitions[domainPair{a, b}] }
 
 // deliver runs f at a host after the network latency from a failure domain, unless the
-// domains are partitioned or the host is down by then. A paused host runs f when it
-// resumes.
+// domains are partitioned, now or at the arrival, or the host is down by then. A paused
+// host runs f when it resumes.
 func (w *World) deliver(fromDomain string, to *Host, f func()) {
 	if w.partitioned(fromDomain, to.Domain) {
 		return
@@ -205,7 +208,8 @@
 }
 
 // Excess counts the requests beyond the capacity of leaves: of cold leaves once a
-// reply has shown that they are cold, of cold leaves before that, and of warm leaves.
+// health check or a rejection has shown that they are cold, of cold leaves before that, and
+// of warm leaves.
 func (w *World) Excess() (cold, unseen, warm int) {
 	for _, f := range w.leafOrder {
 		cold += f.excessCold
