--- a/soak/runner/cancelled.go
+++ b/soak/runner/cancelled.go
@@ -37,7 +37,7 @@
 			}
 		}
 		for _, run := range trace.runs {
-			// Only a stalled or frozen leaf would have run the request beyond the bound.
+			// Only a leaf with a fault, such as a stalled one, may run the request beyond the bound.
 			if strings.HasPrefix(r.path, "/set/") || t.hostHadFault(run.SourceIP, r.sent, deadline) || !t.leavesHadFault(run.At, deadline) {
 				continue
 			}
@@ -56,8 +56,8 @@
 	}
 }
 
-// leavesHadFault reports whether leaves were stalled, frozen or slow within an
-// interval, so that a run may have lasted that long.
+// leavesHadFault reports whether any leaf had a fault within an interval, so that a run
+// may have lasted that long.
 func (t *testbed) leavesHadFault(from, to time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,7 +65,8 @@
 }
 
 // hostHadFault reports whether a fault affected the host with an IP address within
-// an interval or up to one second before it.
+// an interval or up to one second before it, or whether the host was shutting down within
+// the interval. It reports true if no host has the address.
 func (t *testbed) hostHadFault(ip string, from, to time.Time) bool {
 	for _, h := range t.hosts {
 		if h.ip != ip {
--- a/soak/runner/check.go
+++ b/soak/runner/check.go
@@ -144,7 +144,7 @@
 }
 
 // mayHaveMissedChange reports whether a fault kept the host with an IP address
-// from receiving changes within an interval.
+// from receiving changes within an interval. It reports true if no host has the address.
 func (t *testbed) mayHaveMissedChange(ip string, from, to time.Time) bool {
 	for _, h := range t.hosts {
 		if h.ip == ip {
--- a/soak/runner/client.go
+++ b/soak/runner/client.go
@@ -17,8 +17,8 @@
 
 const (
 	hostHeader    = "soak.example" // the Host header of all requests
-	topK          = 5
-	minShare      = 0.6
+	topK          = 5              // how many records an answer of the sharded route has at most
+	minShare      = 0.6            // the lowest share of the shards that such an answer may cover
 	callerTimeout = 3 * time.Second
 	// lateTolerance is the time after its deadline for which a request may remain
 	// unanswered.
@@ -32,8 +32,8 @@
 	maxCancelDelay = 150 * time.Millisecond
 )
 
-// caller sends requests to one host over a persistent connection, and to another
-// host after the connection has closed.
+// caller sends requests to a random host over a persistent connection, and chooses a
+// host again after the connection has closed.
 type caller struct {
 	testbed *testbed
 	rand    *rand.Rand
@@ -69,8 +69,9 @@
 	}
 }
 
-// sendRequest sends a random request, and retries it on another connection if it
-// was rejected or lost.
+// sendRequest sends a random request, or cancels it. It retries a request that was
+// rejected or lost on another connection, up to maxAttempts attempts in all; an update
+// only if it got a 503 or no connection.
 func (c *caller) sendRequest() {
 	path := []string{"/all/x", "/all/y", "/one/x", "/set/x"}[c.rand.IntN(4)]
 	if c.rand.IntN(largeBodyOneIn) == 0 {
@@ -127,8 +128,8 @@
 	}
 }
 
-// sendOnce makes one attempt, and checks the answer if it is successful. It returns
-// nil if it could not connect.
+// sendOnce makes one attempt, and checks the answer if it is successful, and that no bytes
+// follow any answer. It returns nil if it could not connect.
 func (c *caller) sendOnce(path string) *request {
 	reused := c.conn != nil
 	if !reused && !c.connect() {
--- a/soak/runner/fault.go
+++ b/soak/runner/fault.go
@@ -165,7 +165,9 @@
 	h.shouldRun = true
 }
 
-// terminate shuts a host down gracefully with SIGTERM and starts it again.
+// terminate shuts a host down gracefully with SIGTERM and starts it again. An exit status
+// other than 0 is a violation. A host that still runs after shutdownTimeout is killed,
+// which is a violation unless a recent fault may have delayed the shutdown.
 func (t *testbed) terminate(draw uint64, duration time.Duration) {
 	h := t.chooseHost(draw)
 	if !h.claim() {
@@ -350,7 +352,8 @@
 	return list
 }
 
-// crashLeaf closes a leaf without a drain, and later starts a replacement.
+// crashLeaf closes a leaf without a drain. It unregisters the leaf after the duration, and
+// starts a replacement.
 func (t *testbed) crashLeaf(draw uint64, duration time.Duration) {
 	l := t.chooseLeaf(draw)
 	t.mu.Lock()
@@ -371,7 +374,7 @@
 }
 
 // drainLeaf starts a replacement of a leaf and marks the leaf as draining. It
-// unregisters the leaf once all hosts must have learned of the drain.
+// unregisters the leaf once all hosts must have learned of the drain. The leaf keeps running.
 func (t *testbed) drainLeaf(draw uint64, _ time.Duration) {
 	l := t.chooseLeaf(draw)
 	t.startReplacement(l)
--- a/soak/runner/harmful.go
+++ b/soak/runner/harmful.go
@@ -63,7 +63,7 @@
 }
 
 // checkHarmful checks that a request that crashed harmfulCrashLimit leaves reaches
-// no others once the hosts have had time to inform each other.
+// leaves at most maxHarmfulArrivals times once the hosts have had time to inform each other.
 func (t *testbed) checkHarmful(traces map[string]*requestTrace) {
 	if len(t.harmfulCrashes) < harmfulCrashLimit {
 		return
--- a/soak/runner/testbed.go
+++ b/soak/runner/testbed.go
@@ -56,7 +56,7 @@
 	mu             sync.Mutex
 	cmd            *exec.Cmd
 	ended          chan struct{} // closed when the process has ended
-	shouldRun      bool          // no fault has ended the process
+	shouldRun      bool          // an exit is unexpected: no fault is ending, or has ended, the process
 	ready          bool
 	terminations   []interval // from SIGTERM to the end of the process
 	faults         []interval // all other faults
@@ -71,7 +71,7 @@
 	relay   *relay.Relay
 	public  string    // address of the relay, which the store lists
 	drained time.Time // when its drain began; zero before that
-	closed  bool
+	closed  bool      // it has crashed, by a fault or a harmful request
 }
 
 // testbed is the state of one run.
@@ -95,7 +95,7 @@
 	removedPrefix  string // prefix of the route that it removed
 	changedAt      time.Time
 	storeFaults    []interval
-	leafFaults     []interval  // when leaves stalled, froze or were slow
+	leafFaults     []interval  // when leaves had a fault of any kind that setLeafMode applies
 	harmfulCrashes []time.Time // when a harmful request crashed a leaf
 }
 
@@ -280,8 +280,8 @@
 	h.staleIntervals = append(h.staleIntervals, interval{from, to})
 }
 
-// wasStale reports whether a fault kept the host from receiving changes within an
-// interval.
+// wasStale reports whether a fault or a termination kept the host from receiving changes
+// within an interval.
 func (h *host) wasStale(from, to time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
