--- a/fakes/demo/demo.go
+++ b/fakes/demo/demo.go
@@ -44,7 +44,8 @@
 	confirmed map[string]int // update id -> number of replies that confirmed it
 }
 
-// counts holds the figures of the closing table.
+// counts holds the figures of the closing table. calls is the number of leaf calls of the
+// answers: one per shard, and the extra ones.
 type counts struct {
 	complete, partial, refused, wrong  int
 	updates, unknown, notRun, ranTwice int
@@ -101,7 +102,7 @@
 // without a reader.
 func (d *Demo) print(format string, args ...any) { _, _ = fmt.Fprintf(d.Out, format, args...) }
 
-// awaitReady waits until every host is ready and answers for all shards.
+// awaitReady waits until every host is ready and answers for all shards of every service.
 func (d *Demo) awaitReady() error {
 	for _, h := range d.lab.Hosts {
 		err := lab.Await(readyTimeout, h.Name+" is ready", func() bool {
@@ -139,7 +140,8 @@
 	}
 }
 
-// sendQuery sends a query through a host, checks the answer and counts the result.
+// sendQuery sends a query through a host, checks the answer and counts the result. A
+// query without a reply counts as wrong.
 func (d *Demo) sendQuery(h *lab.Host, service, text string) {
 	a, err := d.client.Query(h.CallerAddress, service, text, budget)
 	line := ""
@@ -166,7 +168,8 @@
 	d.print("%s  %-21s %s\n", h.Name, service, line)
 }
 
-// sendUpdate sends an update through one host and again through another.
+// sendUpdate sends an update through one host and again through another, if another is
+// ready.
 func (d *Demo) sendUpdate(h *lab.Host) {
 	ids, err := d.client.IDs(h.CallerAddress, 1)
 	if err != nil {
--- a/fakes/lab/lab.go
+++ b/fakes/lab/lab.go
@@ -37,7 +37,7 @@
 	Servers      map[string]*leaf.Server
 	Specs        []topo.Server
 	Hosts        []*Host
-	Version      uint64
+	Version      uint64 // of the configuration that was published last
 	platformAddr string
 }
 
@@ -69,7 +69,8 @@
 	removed                          bool // not in the platform's host list
 }
 
-// UnexpectedExit returns the error of the first program that exited unexpectedly.
+// UnexpectedExit returns the error of the first program, in the order of the hosts, that
+// exited unexpectedly, or nil.
 func (l *Lab) UnexpectedExit() error {
 	for _, h := range l.Hosts {
 		for _, p := range []*Process{h.Entry, h.Aggregator} {
@@ -255,8 +256,8 @@
 	}
 }
 
-// Close stops everything. It returns the errors of programs that exited
-// unexpectedly or with a failure.
+// Close stops everything. It returns the error of the first program that had exited
+// unexpectedly, combined with the errors of stopping the rest.
 func (l *Lab) Close() error {
 	err := l.UnexpectedExit()
 	type result struct {
@@ -277,7 +278,7 @@
 			}
 			n++
 			go func() {
-				p.Signal(syscall.SIGCONT)
+				p.Signal(syscall.SIGCONT) // a frozen program would not handle SIGTERM
 				results <- result{p.name, p.Stop()}
 			}()
 		}
--- a/fakes/lab/lab_test.go
+++ b/fakes/lab/lab_test.go
@@ -416,8 +416,8 @@
 }
 
 // Guards against queries that wait for unresponsive connections. All connections to the
-// leaves stop responding while new ones work. Queries must use new connections,
-// and no healthy server may be excluded.
+// leaves stop responding while new ones work. Queries must use new connections, and every
+// host must answer completely again.
 func TestSilentConnections(t *testing.T) {
 	l, c := startLab(t, nil)
 	d := startLoad(t, l, 3)
--- a/fakes/lab/leave_test.go
+++ b/fakes/lab/leave_test.go
@@ -11,8 +11,8 @@
 )
 
 // Guards against leaves that continue a cancelled query. A caller disconnects 80 ms after it
-// sent a query that takes the leaves 300 ms. The cancellation must reach them through
-// entry and aggregators within 150 ms, well before they would have finished.
+// sent a query that takes the leaves 300 ms. The cancellation must reach a leaf through
+// entry and aggregator within 150 ms, well before the leaf would have finished.
 func TestLeavesStopWhenTheCallerDisconnects(t *testing.T) {
 	l, c := startLab(t, func(l *Lab) { l.Model.ServiceTime = 300 * time.Millisecond })
 	cancelled := func() int {
@@ -22,7 +22,7 @@
 		}
 		return n
 	}
-	// An unproven query would go to a canary before it goes to all shards.
+	// A query that no leaf has completed would go to a canary before it goes to all shards.
 	_, err := c.Query(l.Hosts[0].CallerAddress, "subscriber-app", "leaves", budget)
 	assert.NilError(t, err)
 	before := cancelled()
--- a/fakes/lab/process.go
+++ b/fakes/lab/process.go
@@ -52,7 +52,7 @@
 }
 
 // Stop sends SIGTERM and returns the exit error. A process that doesn't exit
-// within 30 s is killed.
+// within 30 s is killed, which is an error.
 func (p *Process) Stop() error {
 	p.stopping.Store(true)
 	p.Signal(syscall.SIGTERM)
--- a/fakes/leaf/control.go
+++ b/fakes/leaf/control.go
@@ -40,7 +40,8 @@
 }
 
 // handleCommand applies a command to each server that it is for. It replies 400 to a
-// body or an action that is invalid.
+// body or an action that is invalid. A command for an unknown server has no effect and
+// gets 200.
 func (c Control) handleCommand(w http.ResponseWriter, r *http.Request) {
 	var cmd Command
 	if err := json.NewDecoder(r.Body).Decode(&cmd); err != nil {
--- a/fakes/leaf/leaf.go
+++ b/fakes/leaf/leaf.go
@@ -27,7 +27,8 @@
 	WarmUp time.Duration
 	// RestartDelay is the time from a crash of a server to its restart.
 	RestartDelay time.Duration
-	// StateLag is the time until a change of draining shows in Leaf-State.
+	// StateLag is the time until a change of draining shows in Leaf-State. A rejection
+	// because of the drain shows it at once.
 	StateLag time.Duration
 	Seed     uint64
 }
@@ -56,10 +57,10 @@
 type Leaf struct {
 	spec      topo.Leaf
 	active    int             // requests that are running
-	conns     map[string]bool // remote addresses of the open connections
+	conns     map[string]bool // remote addresses of the open connections with a request for the leaf
 	coldSince time.Time       // start of the warm-up; zero when warm
-	slowdown  float64
-	fault     Fault // of its replies to queries
+	slowdown  float64         // factor on the service time
+	fault     Fault           // of its replies to queries
 	snapshots []topo.SnapshotID
 
 	// Calls counts the requests that started, Excess and Shed those rejected
@@ -237,7 +238,8 @@
 	Executed map[string]int `json:"executed"`
 }
 
-// Stats returns the counters, summed over all leaves.
+// Stats returns the counters, summed over all leaves, the highest MaxBusy of a leaf, and
+// the latest use of any leaf.
 func (s *Server) Stats() Stats {
 	executed := s.Executed()
 	s.mu.Lock()
@@ -280,8 +282,8 @@
 	s.restartTimer = time.AfterFunc(s.model.RestartDelay, s.restart)
 }
 
-// restart starts the server again, cold and under a new incarnation. It retries for
-// about a second if it can't listen.
+// restart starts the server again, cold, not draining and under a new incarnation. It
+// retries for about a second if it can't listen.
 func (s *Server) restart() {
 	s.mu.Lock()
 	if s.closed {
--- a/fakes/leaf/opaque.go
+++ b/fakes/leaf/opaque.go
@@ -27,7 +27,7 @@
 }
 
 // handleOpaque answers a routed request in the product's default dialect. It replies
-// that the request did not run if another leaf was expected.
+// that the request did not run if another leaf was expected. The request takes no slot.
 func (s *Server) handleOpaque(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(httpc.DefaultDialect.RequestID)
 	w.Header().Set(httpc.DefaultDialect.RequestID, id)
--- a/fakes/plat/plat.go
+++ b/fakes/plat/plat.go
@@ -92,7 +92,8 @@
 	p.changed = make(chan struct{})
 }
 
-// SetBlocked blocks or unblocks reads from a source IP.
+// SetBlocked makes the reads from a source IP that arrive from now on fail, or succeed
+// again.
 func (p *Platform) SetBlocked(ip string, blocked bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,7 +130,7 @@
 	return ln.Addr().String(), nil
 }
 
-// Close closes the server and waits until its requests have ended.
+// Close closes the server. Requests have 100 ms to end; then their connections are closed.
 func (p *Platform) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
@@ -140,8 +141,8 @@
 	return nil
 }
 
-// lookup returns the value of a key, whether it exists, the mode, and a channel
-// that is closed on the next change.
+// lookup returns the value of a key, which is the first one in mode Stale, whether it
+// exists, the mode, and a channel that is closed on the next change.
 func (p *Platform) lookup(key string) (Value, bool, Mode, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,7 +154,8 @@
 }
 
 // handleRead returns a value. With the parameter after, it waits up to wait-ms
-// for a version other than that one, and replies 304 if there is none.
+// for a version other than that one, and replies 304 if there is none. It closes the
+// connection of a blocked source.
 func (p *Platform) handleRead(w http.ResponseWriter, r *http.Request) {
 	source, _, _ := net.SplitHostPort(r.RemoteAddr)
 	p.mu.Lock()
--- a/fakes/ports/ports.go
+++ b/fakes/ports/ports.go
@@ -32,8 +32,8 @@
 	pidStride = 211
 )
 
-// Pool allocates each port once per process, below the ephemeral ports. The zero
-// value is ready to use.
+// Pool allocates the ports below the ephemeral ports in turn, so that it allocates a port
+// again only after all others. The zero value is ready to use.
 type Pool struct {
 	mu   sync.Mutex
 	next int
