--- a/bench/virt/world.go
+++ b/bench/virt/world.go
@@ -26,7 +26,7 @@
 func Baseline() Policies {
 	return Policies{
 		Fanout: fanout.Policy{
-			Choice: fanout.ChooseRandom, FixedRetries: 3, NoHedge: true, NoCanary: true, NoBackpressure: true,
+			Choice: fanout.ChooseRandom, ExtraAttempts: 3, NoHedge: true, NoCanary: true, NoBackpressure: true,
 		},
 		Sched: sched.Policy{NoRamp: true, NoFairness: true, Order: sched.OrderOldest, QueuePerSlot: 64},
 	}
--- a/share/fanout/engine.go
+++ b/share/fanout/engine.go
@@ -124,9 +124,9 @@
 	NoCanary      bool
 	// NoBackpressure admits every query. Only the benchmark's baseline sets it.
 	NoBackpressure bool
-	// FixedRetries is how many attempts per shard are allowed beyond maxAttempts. If it
+	// ExtraAttempts is how many attempts per shard are allowed beyond maxAttempts. If it
 	// is set, there is no budget. Only the benchmark's baseline sets it.
-	FixedRetries int
+	ExtraAttempts int
 }
 
 // Defaults and bounds.
--- a/share/fanout/retry.go
+++ b/share/fanout/retry.go
@@ -57,7 +57,7 @@
 // is left, or the outcome is not NotRun and the budget is empty.
 func (e *Engine) retry(now clock.Milli, q *activeQuery, a *attempt, o query.Outcome, b *batches) bool {
 	st := &q.shards[a.shard]
-	if now >= q.answerBy || st.attempts >= maxAttempts+e.Policy.FixedRetries {
+	if now >= q.answerBy || st.attempts >= maxAttempts+e.Policy.ExtraAttempts {
 		return false
 	}
 	if c, ok := e.otherAggregator(now, q, a, o); ok {
@@ -101,7 +101,7 @@
 // spendBudget takes one extra call from the budget and reports whether it may be
 // made. With fixed retries there is no budget.
 func (e *Engine) spendBudget(s *service) bool {
-	return e.Policy.FixedRetries > 0 || s.budget.spend(1)
+	return e.Policy.ExtraAttempts > 0 || s.budget.spend(1)
 }
 
 // retryWait returns how long to wait before a shard is retried, and whether to
