--- a/share/router/aggregators.go
+++ b/share/router/aggregators.go
@@ -54,7 +54,7 @@
 		aggregators = min(aggregators, len(peers))
 		slices.SortFunc(peers[:aggregators], func(a, b *peer) int { return cmp.Compare(a.rank, b.rank) })
 	}
-	// Without other hosts in the domain, the loop above doesn't come to it.
+	// Without other hosts in this host's domain, the loop above skips the domain.
 	if len(e.peersByDomain[e.Self.Domain]) == 0 {
 		e.aggregator = true
 	}
@@ -82,7 +82,8 @@
 	at    clock.Milli
 }
 
-// observe records the current value and returns the largest of recentMaxWindow.
+// observe records the current value and returns the largest recent one. A largest value that
+// isn't reached again for recentMaxWindow is replaced by the current one.
 func (m *recentMax) observe(now clock.Milli, value int) int {
 	if value >= m.value || now > m.at+recentMaxWindow {
 		m.value, m.at = value, now
--- a/share/router/arrive.go
+++ b/share/router/arrive.go
@@ -104,9 +104,9 @@
 	return true
 }
 
-// requestedServices returns the services that a request is for; false if another host
-// forwarded it, and it names no shard, or the route here is not sharded or lacks one of its
-// shards.
+// requestedServices returns the services that a request is for. It returns false for a
+// forwarded request that names no shard, or if the route here isn't sharded or lacks one of
+// the named shards.
 func (e *Engine) requestedServices(r *route.Route, a Arrival) ([]string, bool) {
 	if !r.Sharded() {
 		return []string{e.nextService(r)}, !a.Forwarded
@@ -124,7 +124,7 @@
 
 // setDeadlines sets the query's target and deadline, and returns the estimated
 // time between the caller's first attempt and the request's arrival. It is 0 for a
-// forwarded request, whose wait isn't that of a caller.
+// forwarded request, whose wait is at most what remains of its caller's.
 func (e *Engine) setDeadlines(now clock.Milli, q *query, a Arrival) clock.Milli {
 	r := q.route
 	wait := a.Wait
@@ -147,7 +147,8 @@
 	}
 	elapsed := estimate.sinceFirstAttempt(wait)
 	estimate.learn(wait)
-	// The target counts from the caller's first attempt, at the caller's end.
+	// The target counts from the caller's first attempt until the answer reaches the
+	// caller, so the round trip and the margin are subtracted as well.
 	target := now + r.Target - elapsed - e.callers.learnRoundTrip(a.Remote, elapsed) - e.Policy.Margin
 	switch {
 	case r.Target <= 0:
--- a/share/router/calldone.go
+++ b/share/router/calldone.go
@@ -215,7 +215,7 @@
 // leaf's slots for longer than the rest of the call.
 const orphanGrace clock.Milli = 60
 
-// orphan lets a call that is no longer needed run for orphanGrace.
+// orphan lets a call that is no longer needed run for orphanGrace before it is cancelled.
 func (e *Engine) orphan(now clock.Milli, a *attempt) {
 	a.orphaned = true
 	heap.Push(&e.timers, timer{at: now + orphanGrace, call: a})
--- a/share/router/caller.go
+++ b/share/router/caller.go
@@ -12,8 +12,8 @@
 // not shorten the targets of other callers at the address.
 
 const (
-	// maxCallers bounds the number of remembered addresses, which are all forgotten when
-	// it is reached, and that of the connections in each of recent and former.
+	// maxCallers bounds the number of remembered addresses, and of connections in each of
+	// recent and former. When it is reached, all addresses are forgotten.
 	maxCallers = 4096
 	// maxRoundTrip is the longest plausible round trip to a caller: a first
 	// request that took longer is a retry.
@@ -24,8 +24,8 @@
 type callers struct {
 	// roundTrips holds the shortest round trip to each address.
 	roundTrips map[string]clock.Milli
-	// recent and former are connections that have carried a request. A connection
-	// that stays unused is removed together with former.
+	// recent and former are connections that have carried a request. When recent is full,
+	// it replaces former, so that connections unused since then are forgotten.
 	recent, former map[string]bool
 }
 
--- a/share/router/dispatch.go
+++ b/share/router/dispatch.go
@@ -179,7 +179,8 @@
 	return !q.route.Sharded() || !q.forwarded && q.answered < q.route.MinShards()
 }
 
-// abandon gives up on a shard, for a cause unless the shard has one from a failed call.
+// abandon gives up on a shard. The cause is recorded unless the shard has one already, such
+// as that of a failed call.
 func (e *Engine) abandon(s *shard, cause string) {
 	if s.settled() {
 		return
--- a/share/router/engine.go
+++ b/share/router/engine.go
@@ -197,8 +197,8 @@
 func (e *Engine) updateShares(now clock.Milli) {
 	for _, s := range e.services {
 		e.configureBudget(s)
-		for _, l := range s.leaves {
-			e.setLeafShare(l, s)
+		for _, f := range s.leaves {
+			e.setLeafShare(f, s)
 		}
 		e.dispatchWaiting(now, s)
 	}
--- a/share/router/forward.go
+++ b/share/router/forward.go
@@ -24,8 +24,8 @@
 }
 
 // lateTargets is the time, in targets of the route, that another host may take for parts
-// of a late query. With one target, it returned the shards available by then, and queries
-// that lacked a few shards failed as a whole.
+// of a late query. With one target, that host returned the shards available by then, and
+// queries that lacked a few shards failed as a whole.
 const lateTargets = 3
 
 // forward sends shards of a query to another host.
@@ -178,7 +178,8 @@
 // at about the time when the query was answered without it.
 const forwardOrphanGrace clock.Milli = 150
 
-// orphanForward lets a forward that is no longer needed run for forwardOrphanGrace.
+// orphanForward lets a forward that is no longer needed run for forwardOrphanGrace before it is
+// cancelled.
 func (e *Engine) orphanForward(now clock.Milli, fwd *forward) {
 	if fwd.orphaned || fwd.ended {
 		return
--- a/share/router/forward_test.go
+++ b/share/router/forward_test.go
@@ -95,7 +95,7 @@
 }
 
 // A forwarded part names a configuration or a shard that this host does not know. It is
-// refused as Stale: an answer by the older configuration would undo the newer.
+// refused as Stale, so that the host that sent it calls the leaves by its own configuration.
 func TestOlderHostRefusesAForward(t *testing.T) {
 	r := newRig(t)
 	r.handle(Topology{Table: table(6, shardedRoute(2)), Leaves: leafPairs(2)})
--- a/share/router/late_test.go
+++ b/share/router/late_test.go
@@ -66,8 +66,9 @@
 	assert.Equal(t, r.sinceFirstAttempt(), clock.Milli(7)) // 1500 - 1493
 }
 
-// Another host forwards parts of queries with their remaining time. That is no caller's wait
-// and must not change the estimate.
+// Another host forwards a part of a query with the time that remains, which is less than its
+// caller's full wait. If it counted towards the estimate of the full wait, the estimate would
+// fall to 1100 ms, and a retry that has 1100 ms left would look like a first attempt.
 func TestForwardedPartsDoNotChangeWaitEstimates(t *testing.T) {
 	r := newRig(t)
 	r.handle(Topology{Table: table(1, shardedRoute(1)), Leaves: leafPairs(1)})
--- a/share/router/leaflog_test.go
+++ b/share/router/leaflog_test.go
@@ -16,10 +16,10 @@
 	first := []roster.Leaf{leafOf("s0", "s0-near", nearDomain)}
 	r.handle(Topology{Table: table(1, shardedRoute(1)), Leaves: first})
 	count := func(kind LogKind) (lines, leaves int) {
-		for _, n := range r.logs {
-			if n.Kind == kind {
+		for _, record := range r.logs {
+			if record.Kind == kind {
 				lines++
-				leaves += n.Total
+				leaves += record.Total
 			}
 		}
 		return lines, leaves
--- a/share/router/overload.go
+++ b/share/router/overload.go
@@ -54,7 +54,7 @@
 const (
 	// unservable queries lack too many shards even after unservableShare of their time.
 	unservable prospect = iota
-	// tight queries are between the two.
+	// tight queries are neither unservable nor ample.
 	tight
 	// ample queries have enough shards within ampleShare of their time.
 	ample
@@ -154,15 +154,15 @@
 	if !q.route.Sharded() || len(local) == 0 || !e.usesAggregators(e.Self.Domain) {
 		return true
 	}
-	l := e.shedders[q.route.Name]
-	if l == nil {
-		l = &shedder{}
-		e.shedders[q.route.Name] = l
+	shed := e.shedders[q.route.Name]
+	if shed == nil {
+		shed = &shedder{}
+		e.shedders[q.route.Name] = shed
 	}
 	p := e.prospect(now, q, local)
 	if q.late {
 		// It would take capacity from queries that can be in time.
-		return l.refusedShare == 0 && p == ample
+		return shed.refusedShare == 0 && p == ample
 	}
-	return l.admit(now, q.sample, p)
+	return shed.admit(now, q.sample, p)
 }
--- a/share/router/peer.go
+++ b/share/router/peer.go
@@ -89,9 +89,9 @@
 
 // splitShards divides a query's shards into those requested from here and those forwarded
 // to other hosts. An aggregator requests the shards that have a leaf in its own failure domain.
-// The others are grouped by the nearest failure domain with a leaf, or by region if none is in
-// this one; a group below minForwardShards, or for which no host is available, is requested
-// from here.
+// The others are grouped by the nearest failure domain with a leaf or, if this host's region has
+// none, by region; a group below minForwardShards, or for which no host is available, is
+// requested from here.
 func (e *Engine) splitShards(now clock.Milli, q *query) (local []*shard, remote []forwardGroup) {
 	if !q.route.Sharded() || len(e.peers) == 0 {
 		return q.shards, nil
@@ -176,6 +176,7 @@
 	shards []*shard
 }
 
+// sortedKeys returns the failure domains of groups in a fixed order: that of a map's keys varies.
 func sortedKeys(groups map[string][]*shard) []string {
 	names := make([]string, 0, len(groups))
 	for name := range groups {
--- a/share/router/reports.go
+++ b/share/router/reports.go
@@ -55,8 +55,9 @@
 	e.emit(SendLeafReports{List: []report.Leaf{r}})
 }
 
-// applyLeafReports applies another host's reports where no call of this host has ended
-// within ownCallFresh. It records the others as well as the last reports on their leaves.
+// applyLeafReports applies another host's reports, except on leaves for which a call of this
+// host has ended within ownCallFresh. It records every one as the last report on its leaf, so
+// that this host doesn't repeat it.
 func (e *Engine) applyLeafReports(now clock.Milli, list []report.Leaf) {
 	for _, r := range list {
 		f := e.leaves[r.ID]
--- a/share/router/reports_test.go
+++ b/share/router/reports_test.go
@@ -56,7 +56,8 @@
 	assert.Equal(t, r.last().Leaf, "s0-near")
 }
 
-// timedCall has a query answered after a time and returns the reports sent on its leaf.
+// timedCall sends a query whose call is answered after a duration, and returns the leaf
+// reports that this host sends meanwhile.
 func (r *rig) timedCall(took clock.Milli) []report.Leaf {
 	before := len(r.leafReports)
 	r.arrive("/all/x", 1500)
--- a/share/router/router_test.go
+++ b/share/router/router_test.go
@@ -119,8 +119,8 @@
 
 // logged reports whether the engine has logged a record of a kind.
 func (r *rig) logged(kind LogKind) bool {
-	for _, n := range r.logs {
-		if n.Kind == kind {
+	for _, record := range r.logs {
+		if record.Kind == kind {
 			return true
 		}
 	}
--- a/share/router/single_test.go
+++ b/share/router/single_test.go
@@ -250,8 +250,8 @@
 	r := newRig(t)
 	count := func(kind LogKind) int {
 		n := 0
-		for _, note := range r.logs {
-			if note.Kind == kind {
+		for _, record := range r.logs {
+			if record.Kind == kind {
 				n++
 			}
 		}
--- a/share/router/world_test.go
+++ b/share/router/world_test.go
@@ -75,7 +75,7 @@
 	return r.value == 0 && (r.lastRefusal == Failed || r.lastRefusal == Late || r.lastRefusal == None)
 }
 
-// simEvent runs a function at a time; seq orders events of the same time.
+// simEvent is a function to call at a simulated time; seq orders events of the same time.
 type simEvent struct {
 	at  clock.Milli
 	seq int
@@ -97,7 +97,7 @@
 	return x
 }
 
-// schedule runs a function at a time, or now if that has passed.
+// schedule arranges that run is called at the simulated time at, or now if that has passed.
 func (w *world) schedule(at clock.Milli, run func()) {
 	w.seq++
 	heap.Push(&w.events, simEvent{max(at, w.now), w.seq, run})
@@ -125,7 +125,7 @@
 	simWorkSigma = 0.35
 )
 
-// simHost is one host.
+// simHost is a simulated host with its engine, which is nil while the host is down.
 type simHost struct {
 	w       *world
 	address string
@@ -135,7 +135,7 @@
 	queries uint64
 	answers map[uint64]func(Answer)
 	calls   map[uint64]*simJob
-	tickAt  clock.Milli
+	tickAt  clock.Milli // when the next tick is scheduled; 0 if none is
 }
 
 // start starts a new process.
@@ -336,7 +336,7 @@
 	simTailFactor                = 5.0
 )
 
-// pause pauses the leaf at regular intervals.
+// pause pauses the leaf now and schedules its next pause.
 func (l *simLeaf) pause() {
 	l.pausedUntil = l.w.now + simPause
 	l.w.schedule(l.w.now+simPauseInterval, l.pause)
@@ -477,7 +477,7 @@
 	}
 	r.attempts++
 	connectTime := clock.Milli(0)
-	if r.attempts > 1 || w.now-r.firstAt > 0 { // later if a host was down
+	if r.attempts > 1 || w.now-r.firstAt > 0 { // a retry, or a host was down before
 		connectTime = 2 * simCallerDelay
 	}
 	left := r.firstAt + r.kind.wait - w.now - connectTime
