--- a/share/topk/topk.go
+++ b/share/topk/topk.go
@@ -32,7 +32,7 @@
 // minHeap is a min-heap of the records kept so far.
 type minHeap [][]byte
 
-// offer adds a record if it is among the k greatest so far, and removes the least if the
+// offer keeps a record if it is among the k greatest so far, in place of the least one if the
 // heap is full.
 func (h *minHeap) offer(k int, record []byte) {
 	if len(*h) < k {
