--- a/share/crash/crash.go
+++ b/share/crash/crash.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// Add stores a report on a leaf that went down at a time, and reports whether it was new.
-// Nothing is stored beyond maxReports.
+// Add stores the report that a leaf went down at downAt with a request, and reports whether it
+// was new. Nothing is stored beyond maxReports.
 func (t *Tracker) Add(downAt clock.Milli, fingerprint uint64, leaf string) bool {
 	if t.seen == nil {
 		t.seen = map[uint64]map[string]clock.Milli{}
