--- a/share/dedup/dedup.go
+++ b/share/dedup/dedup.go
@@ -67,7 +67,7 @@
 	}
 	id := ID{Host: host, Incarnation: incarnation, Sequence: sequence}
 	if id.String() != s {
-		return ID{}, ErrMalformed // other hosts would treat a second spelling as another id
+		return ID{}, ErrMalformed // a second spelling, such as h.01.1 for h.1.1
 	}
 	return id, nil
 }
--- a/share/dedup/dedup_test.go
+++ b/share/dedup/dedup_test.go
@@ -74,7 +74,8 @@
 	assert.Equal(t, got, Unknown)
 }
 
-// Two spellings of one id would count as two ids, and the request could run twice.
+// Parse must accept only the text that String returns. Whoever compares ids as text would
+// take a second spelling of an id (h.01.1 for h.1.1) for another id.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{"host-1.abc.1", "", "..", "h.1.", "a.b.c.d", "h.01.1"} {
 		f.Add(s)
