--- a/share/deny/deny.go
+++ b/share/deny/deny.go
@@ -41,7 +41,8 @@
 	TimeLeft clock.Milli
 }
 
-// record is a Strike with the end of its time instead of the time left.
+// record is a Strike with the time until which the request is rejected, instead of how
+// long it still is.
 type record struct {
 	count int
 	until clock.Milli
