--- a/share/assign/assign.go
+++ b/share/assign/assign.go
@@ -131,7 +131,8 @@
 }
 
 // BestIndex returns the index of the name with the highest weight for a key, or -1 if
-// there are no names. All hosts with the same names agree on it.
+// there are no names. All hosts that have the same names choose the same one, whatever
+// their order.
 func BestIndex(names []string, key string) int {
 	best := -1
 	var topWeight uint64
