--- a/share/fanout/answer.go
+++ b/share/fanout/answer.go
@@ -6,7 +6,7 @@
 )
 
 // answerIfComplete answers a query once all shards are settled. It returns nil while
-// any is open or a strike of the query is being reported, and if it has been answered.
+// any is open or the query's strike is being reported, and if the query has been answered.
 func (e *Engine) answerIfComplete(now clock.Milli, q *activeQuery) []Action {
 	if q.openShards > 0 || q.done || q.sharingStrike {
 		return nil
--- a/share/fanout/budget.go
+++ b/share/fanout/budget.go
@@ -77,9 +77,9 @@
 	_ = t.current.RecordValue(int64(max(1, min(took, 60000)))) // can't fail: the value is in range
 }
 
-// delay returns how long a call runs before it is hedged: longer than the quantile, in
-// percent, of recent call times, computed again every hedgeUpdateInterval, or
-// defaultHedgeDelay while there are too few of them. It also updates the median.
+// delay returns how long a call runs before it is hedged: just over the given quantile, in
+// percent, of recent call times, or defaultHedgeDelay while too few are recorded. It
+// computes the delay and the median again every hedgeUpdateInterval.
 func (t *timing) delay(now clock.Milli, quantile float64) clock.Milli {
 	if t.current == nil {
 		return defaultHedgeDelay
--- a/share/fanout/canary.go
+++ b/share/fanout/canary.go
@@ -25,7 +25,7 @@
 	q.canaries++
 	q.canaryAttempts++
 	b := batches{}
-	e.addCall(now, q, shard, c, true, EventCanary, &b)
+	e.addCall(now, q, shard, c, true /* canary */, EventCanary, &b)
 	return b.actions(), true
 }
 
@@ -42,7 +42,7 @@
 	}
 	b := batches{}
 	if list := e.candidates(now, q, a.shard); len(list) > 0 && st.inFlight == 0 {
-		e.addCall(now, q, a.shard, e.choose(list), false, EventSent, &b)
+		e.addCall(now, q, a.shard, e.choose(list), false /* canary */, EventSent, &b)
 	}
 	return b.actions()
 }
@@ -90,9 +90,10 @@
 	return append(e.cancelAll(q), ShareStrike{Query: q.ID, Strike: strike})
 }
 
-// recordCrash merges a crash report with its strike count, and how long the request is
-// blocked, and removes the request from those that a leaf has completed. Only aggregators
-// count crashes; counting here as well would count each crash twice.
+// recordCrash merges an aggregator's report of a crash: how many servers the request has
+// crashed, and how long it is blocked. It also removes the request from those that a leaf
+// has completed. Only aggregators count crashes; counting here as well would count each
+// crash twice.
 func (e *Engine) recordCrash(now clock.Milli, fingerprint uint64, strikes int, left clock.Milli) {
 	e.strikes.Merge(now, deny.Strike{Fingerprint: fingerprint, Count: max(1, strikes), TimeLeft: left})
 	e.proven.Remove(fingerprint)
--- a/share/fanout/choose.go
+++ b/share/fanout/choose.go
@@ -43,8 +43,8 @@
 }
 
 // expectedLatency returns the time in ms that a call to the leaf is expected to
-// take: its latency plus a wait for as many calls ahead as exceed the free slots.
-// Among leaves with free slots, the less loaded one is ranked first.
+// take: its latency, plus the wait for a slot if none is free. Among leaves with free
+// slots, the less loaded one is ranked first.
 func (e *Engine) expectedLatency(now clock.Milli, f *leaf) float64 {
 	// At least 1 ms, so that the load counts also while the latency is unknown (0).
 	latency := max(f.decayedLatency(now, f.service.timing.median), f.feedback.CallTime, 1)
--- a/share/fanout/engine_test.go
+++ b/share/fanout/engine_test.go
@@ -61,8 +61,8 @@
 
 func answerOf(actions []Action) (query.Answer, bool) {
 	for _, a := range actions {
-		if d, ok := a.(Answered); ok {
-			return d.Answer, true
+		if answered, ok := a.(Answered); ok {
+			return answered.Answer, true
 		}
 	}
 	return query.Answer{}, false
@@ -305,11 +305,11 @@
 // One caller fills the admission limit. Another, far below its fair share, must still
 // be admitted.
 func TestGreedyCallerDoesNotLockOthersOut(t *testing.T) {
-	var d admission
-	for d.admit("greedy", false) {
+	var a admission
+	for a.admit("greedy", false /* force */) {
 	}
-	assert.Assert(t, d.admit("modest", false))
-	assert.Assert(t, !d.admit("greedy", false))
+	assert.Assert(t, a.admit("modest", false /* force */))
+	assert.Assert(t, !a.admit("greedy", false /* force */))
 }
 
 // An aggregator rejects a canary as quarantined, without a Retry-After, before this
--- a/share/fanout/hosts.go
+++ b/share/fanout/hosts.go
@@ -41,7 +41,7 @@
 	return h.inFlight >= minCallsForSilence && now-max(h.lastReplyAt, h.busySince) > hostSilenceTimeout+clock.Milli(h.rtt)
 }
 
-// HostUp reports that an aggregator is connected.
+// HostUp records that an aggregator is connected.
 func (e *Engine) HostUp(name string) {
 	e.init()
 	e.host(name).up = true
--- a/share/fanout/query.go
+++ b/share/fanout/query.go
@@ -165,7 +165,7 @@
 			e.settle(now, q, i, e.missingReason(q, i))
 			continue
 		}
-		e.addCall(now, q, i, e.choose(list), false, EventSent, &b)
+		e.addCall(now, q, i, e.choose(list), false /* canary */, EventSent, &b)
 	}
 	q.service.budget.earn(q.firstCalls, e.budgetPercent())
 	return append(b.actions(), e.answerIfComplete(now, q)...)
--- a/share/fanout/retry.go
+++ b/share/fanout/retry.go
@@ -11,8 +11,8 @@
 
 // callFailed decides how to continue after a call without a result: in this order,
 // another attempt at once, another after a wait, another snapshot for the whole query,
-// or giving the shard up. It does nothing while a hedge of the shard is
-// in flight. Canaries and quarantined queries are handled apart.
+// or giving the shard up. It does nothing while a hedge of the shard is in flight.
+// Canaries and quarantined queries are handled apart.
 func (e *Engine) callFailed(now clock.Milli, q *activeQuery, a *attempt, o query.Outcome) []Action {
 	st := &q.shards[a.shard]
 	if o.Reason == query.ReasonProven {
@@ -61,7 +61,7 @@
 		return false
 	}
 	if c, ok := e.otherAggregator(now, q, a, o); ok {
-		e.addCall(now, q, a.shard, c, false, EventRetried, b)
+		e.addCall(now, q, a.shard, c, false /* canary */, EventRetried, b)
 		return true
 	}
 	list := e.candidates(now, q, a.shard)
@@ -75,12 +75,13 @@
 		st.lastReason = o.Reason
 		return false
 	}
-	e.addCall(now, q, a.shard, e.choose(list), false, EventRetried, b)
+	e.addCall(now, q, a.shard, e.choose(list), false /* canary */, EventRetried, b)
 	return true
 }
 
-// otherAggregator returns the same leaf through its other candidate if the first
-// rejected the call for reasons of its own, and remembers the first.
+// otherAggregator returns the call's leaf through its other candidate, if the call's
+// aggregator rejected it for reasons of its own, such as no longer owning the server. It
+// adds that aggregator to the shard's rejectedBy, whose aggregators it doesn't choose.
 func (e *Engine) otherAggregator(now clock.Milli, q *activeQuery, a *attempt, o query.Outcome) (candidate, bool) {
 	if o.Kind != query.NotRun {
 		return candidate{}, false
@@ -99,7 +100,7 @@
 }
 
 // spendBudget takes one extra call from the budget and reports whether it may be
-// made. With fixed retries there is no budget.
+// made. If Policy.ExtraAttempts is set, there is no budget.
 func (e *Engine) spendBudget(s *service) bool {
 	return e.Policy.ExtraAttempts > 0 || s.budget.spend(1)
 }
--- a/share/fanout/tick.go
+++ b/share/fanout/tick.go
@@ -72,8 +72,8 @@
 	return e.Policy.HedgeQuantile
 }
 
-// retryShard calls a shard again after a wait. All replicas may be called, also those
-// tried before. It gives the shard up if none can be.
+// retryShard calls a shard again after a wait. All usable replicas may be called, also
+// those tried before. It gives the shard up if there is none.
 func (e *Engine) retryShard(now clock.Milli, q *activeQuery, shard int, b *batches) {
 	st := &q.shards[shard]
 	st.retryAt = 0
@@ -85,7 +85,7 @@
 		e.settle(now, q, shard, e.missingReason(q, shard))
 		return
 	}
-	e.addCall(now, q, shard, e.choose(list), false, EventRetried, b)
+	e.addCall(now, q, shard, e.choose(list), false /* canary */, EventRetried, b)
 }
 
 // hedge calls a second replica if a call is slow, once per shard. Only leaves with a
@@ -112,5 +112,5 @@
 		q.addStep(now, Step{Event: EventHeldByBudget, Shard: shard})
 		return
 	}
-	e.addCall(now, q, shard, e.choose(free), false, EventHedged, b)
+	e.addCall(now, q, shard, e.choose(free), false /* canary */, EventHedged, b)
 }
--- a/share/fanout/update.go
+++ b/share/fanout/update.go
@@ -156,6 +156,8 @@
 	return []Action{UpdateAnswered{RequestID: requestID, Result: r}}
 }
 
+// runUpdate sends a new update and keeps it by id, so that requests with the same id can
+// wait for its result.
 func (e *Engine) runUpdate(now clock.Milli, u Update) []Action {
 	r := &runningUpdate{Update: u, tried: map[string]bool{}, waiting: []uint64{u.RequestID}}
 	e.updates.byID[u.ID] = r
@@ -252,7 +254,8 @@
 	return out
 }
 
-// ForwardDone handles the owner's answer to a forwarded update.
+// ForwardDone answers a forwarded update with the owner's result. It does nothing if the
+// update has been answered, for example at its deadline.
 func (e *Engine) ForwardDone(requestID uint64, res UpdateResult) []Action {
 	if _, ok := e.updates.forwarded[requestID]; !ok {
 		return nil
@@ -284,7 +287,8 @@
 	return out
 }
 
-// OwnerDown answers the updates that were forwarded to a host whose link was lost.
+// OwnerDown answers the updates that were forwarded to a host whose link was lost, as
+// ForwardFailed does.
 func (e *Engine) OwnerDown(host string) []Action {
 	var lost []uint64
 	for requestID, update := range e.updates.forwarded {
