--- a/share/node/heartbeats.go
+++ b/share/node/heartbeats.go
@@ -31,7 +31,7 @@
 // ConfirmVersions asks the peers whether the versions in force here are current. Once
 // a peer with the same versions answers, the node calls the delegate's
 // VersionsConfirmed. Heartbeats that a peer sent before it received this request do not
-// count. Without a peer that answers so, the request stays pending.
+// count. Until such an answer arrives, the request stays pending.
 func (n *Node) ConfirmVersions(now clock.Milli) {
 	n.confirmSequence = n.sequence + 1
 	for _, p := range n.sortedPeers() {
@@ -88,7 +88,7 @@
 
 // heartbeatIntervalOf returns the interval between heartbeats on a link. It is the
 // short one within a host and between aggregators. Both ends of a link compute the same
-// interval, on which the limit of missed heartbeats relies.
+// interval, so each knows how often the other sends, as maxMissedHeartbeats requires.
 func (n *Node) heartbeatIntervalOf(p *peer) clock.Milli {
 	sameHost := p.link.Peer.GetHost() == n.Settings.Host.Name
 	if sameHost || (p.link.Peer.GetProgram() == Aggregator && n.Program == Aggregator) {
--- a/share/node/settings_tls.go
+++ b/share/node/settings_tls.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &certReloader{settings: t, report: report, lastValid: first}
+	reloader := &certReloader{settings: t, report: report, lastValid: first}
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		ClientAuth: tls.RequireAndVerifyClientCert,
@@ -66,10 +66,10 @@
 		// server's GetConfigForClient. So verify replaces the built-in check: it reads
 		// the authority's file for each connection.
 		InsecureSkipVerify:    true,
-		VerifyPeerCertificate: k.verify,
-		GetCertificate:        func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return k.cert(), nil },
-		GetClientCertificate:  func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return k.cert(), nil },
-		GetConfigForClient:    func(*tls.ClientHelloInfo) (*tls.Config, error) { return k.serverConfig(), nil },
+		VerifyPeerCertificate: reloader.verify,
+		GetCertificate:        func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return reloader.cert(), nil },
+		GetClientCertificate:  func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return reloader.cert(), nil },
+		GetConfigForClient:    func(*tls.ClientHelloInfo) (*tls.Config, error) { return reloader.serverConfig(), nil },
 	}, nil
 }
 
@@ -109,32 +109,32 @@
 
 // reload reads the files and returns their last valid content. It reports a fault
 // when it appears or changes, and nil once the files are valid again.
-func (k *certReloader) reload() identity {
-	latest, err := k.settings.read()
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (r *certReloader) reload() identity {
+	latest, err := r.settings.read()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	fault := ""
 	if err != nil {
 		fault = err.Error()
 	} else {
-		k.lastValid = latest
+		r.lastValid = latest
 	}
-	if fault != k.lastFault && k.report != nil {
-		k.report(err)
+	if fault != r.lastFault && r.report != nil {
+		r.report(err)
 	}
-	k.lastFault = fault
-	return k.lastValid
+	r.lastFault = fault
+	return r.lastValid
 }
 
 // cert returns this host's certificate, for either side of a connection.
-func (k *certReloader) cert() *tls.Certificate {
-	latest := k.reload()
+func (r *certReloader) cert() *tls.Certificate {
+	latest := r.reload()
 	return &latest.cert
 }
 
 // serverConfig returns the server side's configuration.
-func (k *certReloader) serverConfig() *tls.Config {
-	latest := k.reload()
+func (r *certReloader) serverConfig() *tls.Config {
+	latest := r.reload()
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{latest.cert},
 		ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: latest.pool,
@@ -143,11 +143,11 @@
 
 // verify checks a server's certificate against the authority alone. It does not
 // check names and addresses because they change whenever a host is replaced.
-func (k *certReloader) verify(raw [][]byte, _ [][]*x509.Certificate) error {
+func (r *certReloader) verify(raw [][]byte, _ [][]*x509.Certificate) error {
 	if len(raw) == 0 {
 		return errors.Mark(errors.New("peer sent no certificate"), ErrTLS)
 	}
-	leaf, err := x509.ParseCertificate(raw[0])
+	peerCert, err := x509.ParseCertificate(raw[0])
 	if err != nil {
 		return errors.Mark(errors.Wrap(err, "parse peer certificate"), ErrTLS)
 	}
@@ -157,8 +157,8 @@
 			intermediates.AddCert(c)
 		}
 	}
-	_, err = leaf.Verify(x509.VerifyOptions{
-		Roots: k.reload().pool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
+	_, err = peerCert.Verify(x509.VerifyOptions{
+		Roots: r.reload().pool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
 	return errors.Wrap(err, "verify peer")
 }
