--- a/share/sched/health.go
+++ b/share/sched/health.go
@@ -153,8 +153,8 @@
 	}
 	c, newConn := f.idleConn(true /* leastRecent */), false
 	if c == nil || (len(f.conns) < min(f.slotLimit, f.connShare()) && !h.down) {
-		if n := e.openConn(now, f); n != nil {
-			c, newConn = n, true
+		if added := e.openConn(now, f); added != nil {
+			c, newConn = added, true
 		}
 	}
 	if c == nil {
@@ -215,7 +215,7 @@
 		return append(out, e.publish(f, now)...)
 	}
 	if aborted := c.aborting; aborted != (Key{}) {
-		f.removeLost(func(o lostCall) bool { return o.key == aborted })
+		f.removeLost(func(lost lostCall) bool { return lost.key == aborted })
 	}
 	c.probing, c.opened, c.lastUsed, c.aborting = false, true, now, Key{}
 	f.recordSuccess(now)
@@ -297,16 +297,16 @@
 // cold. A lost call ends when the leaf confirms the abort, after probeTimeout, or at its
 // deadline.
 func (f *leaf) lostCount(now clock.Milli) int {
-	f.removeLost(func(o lostCall) bool { return now >= o.until })
+	f.removeLost(func(lost lostCall) bool { return now >= lost.until })
 	return len(f.lostCalls)
 }
 
 // removeLost removes the lost calls that match.
 func (f *leaf) removeLost(match func(lostCall) bool) {
 	kept := f.lostCalls[:0]
-	for _, o := range f.lostCalls {
-		if !match(o) {
-			kept = append(kept, o)
+	for _, lost := range f.lostCalls {
+		if !match(lost) {
+			kept = append(kept, lost)
 		}
 	}
 	f.lostCalls = kept
--- a/share/sched/latency.go
+++ b/share/sched/latency.go
@@ -22,7 +22,7 @@
 	latencyHalfLife = 2 * clock.Second
 )
 
-// record adds the duration of a call. The first one is the average.
+// record adds the duration of a call. The average starts with the first one.
 func (l *recentLatency) record(now, took clock.Milli) {
 	l.updatedAt = now
 	if l.ms == 0 {
--- a/share/sched/sched_test.go
+++ b/share/sched/sched_test.go
@@ -242,7 +242,7 @@
 		}
 		f := e.leaves["l"]
 		f.rank = 0
-		f.ramp.restart(now-750, true) // allows three of four slots
+		f.ramp.restart(now-750, true /* known */) // allows three of four slots
 		sum += e.limit(now, f)
 	}
 	assert.Assert(t, sum <= 3, "both hosts together send %d calls; the ramp allows 3", sum)
