--- a/share/roster/roster.go
+++ b/share/roster/roster.go
@@ -1,7 +1,7 @@
-// Package roster keeps the entries that leaves write about themselves to a
-// directory that this system only reads. A restarted leaf is a new incarnation,
-// and a removed entry is a removed leaf, except while the directory itself is
-// unreachable or has just recovered.
+// Package roster keeps the entries that leaves write about themselves to the
+// platform's store, which this system only reads. A restarted leaf is a new
+// incarnation, and a removed entry is a removed leaf, except while the store itself
+// is unreachable or has just recovered.
 package roster
 
 import (
@@ -10,7 +10,7 @@
 	"dandelionstile/share/clock"
 )
 
-// Leaf is one entry of the directory.
+// Leaf is the entry of one leaf.
 type Leaf struct {
 	ID      string
 	Service string
@@ -28,20 +28,19 @@
 	WarmupLeft clock.Milli
 }
 
-// RemovalGrace is how long an entry that disappeared while the directory was
-// unreachable is kept after the directory is back. Live leaves rewrite their
-// entries within about 2 s of its return. Without the grace period, a directory
-// that lost all entries in an outage would leave every route without a leaf at
-// once.
+// RemovalGrace is how long an entry that disappeared while the store was
+// unreachable is kept after the store is back. Live leaves rewrite their entries
+// within about 2 s of its return. Without the grace period, a store that lost all
+// entries in an outage would leave every route without a leaf at once.
 const RemovalGrace clock.Milli = 2300
 
 // Directory holds the entries known to this host. The zero value is empty.
 type Directory struct {
 	leaves map[string]Leaf
-	// removals holds entries that disappeared during or just after an outage, and
-	// when each is removed.
+	// removals holds entries that disappeared during or just after an outage of the
+	// store, and when each is removed.
 	removals    map[string]clock.Milli
-	unreachable bool
+	unreachable bool        // the store is unreachable
 	graceUntil  clock.Milli // end of the grace period after an outage
 }
 
@@ -63,7 +62,7 @@
 }
 
 // Remove records that an entry disappeared and reports whether the leaf is removed now.
-// While the directory is unreachable and in the grace period after that, the entry is
+// While the store is unreachable and in the grace period after that, the entry is
 // kept until Expire.
 func (d *Directory) Remove(now clock.Milli, id string) bool {
 	if _, ok := d.leaves[id]; !ok {
@@ -91,13 +90,13 @@
 	return removed
 }
 
-// StoreLost records that the directory is unreachable; no entry is removed until it is
+// StoreLost records that the store is unreachable; no entry is removed until it is
 // reachable again.
 func (d *Directory) StoreLost() { d.unreachable = true }
 
-// StoreRecovered records that the directory is reachable again and starts the grace
+// StoreRecovered records that the store is reachable again and starts the grace
 // period, at whose end the entries are removed that have disappeared. It does nothing
-// unless the directory was unreachable.
+// unless the store was unreachable.
 func (d *Directory) StoreRecovered(now clock.Milli) {
 	if !d.unreachable {
 		return
@@ -110,7 +109,7 @@
 }
 
 // Expire removes entries whose grace period is over and returns their IDs in order. While
-// the directory is unreachable, it removes none.
+// the store is unreachable, it removes none.
 func (d *Directory) Expire(now clock.Milli) []string {
 	if d.unreachable {
 		return nil
--- a/share/roster/roster_test.go
+++ b/share/roster/roster_test.go
@@ -17,7 +17,7 @@
 	return list
 }
 
-// The directory fails and loses all its entries. The leaves still run and rewrite
+// The store fails and loses all its entries. The leaves still run and rewrite
 // their entries after it is back: none must be removed. A leaf whose entry does not
 // return is removed.
 func TestEntriesLostInAnOutageGetAGracePeriod(t *testing.T) {
@@ -36,7 +36,7 @@
 	assert.DeepEqual(t, ids(&d), []string{"a"})
 }
 
-// An entry disappears while the directory is reachable: the leaf has ended, and a grace
+// An entry disappears while the store is reachable: the leaf has ended, and a grace
 // period would send requests to it.
 func TestEntryThatDisappearsIsRemoved(t *testing.T) {
 	var d Directory
