--- a/share/mirror/follow.go
+++ b/share/mirror/follow.go
@@ -301,8 +301,8 @@
 	f.mu.Lock()
 	f.chooser.recordSuccess(f.source)
 	f.mu.Unlock()
-	// A read may wait PollTimeout for a change, so data that is this much older than
-	// lostAfter was not lost.
+	// A read may wait PollTimeout for a change, so a loss is assumed only when the data is
+	// older than that and lostAfter together.
 	if f.lost || now-f.freshAt > lostAfter+f.PollTimeout {
 		f.Log.Info().Str("source", f.sourceLabel()).Int64("away-ms", int64(now-f.freshAt)).Msg("store-regained")
 		f.Sink.StoreLost(now) // the loss may not have been reported: no read may have failed
--- a/share/mirror/mirror_test.go
+++ b/share/mirror/mirror_test.go
@@ -165,6 +165,7 @@
 
 func (k *recordingSink) Tick(clock.Milli) { k.ticks.Add(1) }
 
+// has returns a poll check that succeeds once the sink has received the revision.
 func (k *recordingSink) has(revision int64) func(poll.LogT) poll.Result {
 	return func(poll.LogT) poll.Result {
 		k.mu.Lock()
@@ -307,15 +308,15 @@
 // old data, and get fresh data once the store is back.
 func TestNewHostAppliesStaleData(t *testing.T) {
 	store := &scriptedStore{revision: 7}
-	old := startRegion(t, store, 1)[0]
-	poll.WaitOn(t, old.sink.has(7))
+	oldHost := startRegion(t, store, 1)[0]
+	poll.WaitOn(t, oldHost.sink.has(7))
 	store.set(7, storeDown)
-	poll.WaitOn(t, old.sink.wasLost)
-	fresh := startRegion(t, store, 1)[0]
-	fresh.follower.SetPeers([]Peer{old.follower.Self})
-	poll.WaitOn(t, fresh.sink.has(7), poll.WithTimeout(3*time.Second))
+	poll.WaitOn(t, oldHost.sink.wasLost)
+	newHost := startRegion(t, store, 1)[0]
+	newHost.follower.SetPeers([]Peer{oldHost.follower.Self})
+	poll.WaitOn(t, newHost.sink.has(7), poll.WithTimeout(3*time.Second))
 	store.set(8, storeUp)
-	poll.WaitOn(t, fresh.sink.has(8))
+	poll.WaitOn(t, newHost.sink.has(8))
 }
 
 // A configuration of thousands of routes goes to a dozen hosts over one host's link at
