--- a/share/httpc/conn.go
+++ b/share/httpc/conn.go
@@ -101,8 +101,8 @@
 	return true
 }
 
-// newConnWatch is how much longer than its opening took a new connection is
-// watched before a request with AwaitRejection, which one leaf serves whole, is sent.
+// newConnWatch is how long a new connection is watched, in addition to the time that it
+// took to open, before a request with AwaitRejection, which one leaf serves whole, is sent.
 // A leaf at its connection limit resets a connection as it accepts it; the reset
 // arrives one round trip after the connection opens, plus a few ms until the leaf is
 // scheduled. Once the request is sent it is unknown whether it ran: it cannot be
--- a/share/httpc/pool.go
+++ b/share/httpc/pool.go
@@ -23,8 +23,8 @@
 // its accept queue is full and the kernel sends the next SYN only after 1 s.
 const dialTimeout = 400 * time.Millisecond
 
-// Pool holds the connections to all leaves. Send, Forward and Cancel do not block. Each
-// call ends with one call of OnDone, unless the pool is closed before.
+// Pool holds the connections to leaves and other hosts. Send, Forward and Cancel do not
+// block. Each call ends with one call of OnDone, unless the pool is closed before.
 type Pool struct {
 	Dialect Dialect
 	// Source is the local IP of connections; empty lets the operating system
@@ -378,8 +378,8 @@
 }
 
 // takeIdle assigns a call to the most recently used idle connection, and returns nil if
-// there is none. Less recently used ones may reach their idle timeout and be closed. It
-// closes the connections that it finds no longer usable.
+// there is none. That connection has been idle for the shortest time, so the leaf is the
+// least likely to close it. takeIdle closes the connections that it finds no longer usable.
 func (p *Pool) takeIdle(leaf string, j *job) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
