--- a/share/httpd/conns.go
+++ b/share/httpd/conns.go
@@ -67,7 +67,8 @@
 }
 
 // recordPeerClosed records that the caller has closed a connection, and cancels the request
-// that is being handled on it.
+// that is being handled on it. It does nothing if another connection has the same address by
+// then.
 func (c *conns) recordPeerClosed(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,8 +82,8 @@
 	}
 }
 
-// remove removes a connection once its last request has been handled. It does nothing if
-// another connection has the same address by then.
+// remove removes a connection, which the library reports as closed once its last request has
+// been handled. It does nothing if another connection has the same address by then.
 func (c *conns) remove(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/share/httpd/httpd.go
+++ b/share/httpd/httpd.go
@@ -43,7 +43,8 @@
 	// is below the largest body, the library resets connections whose body
 	// arrives in pieces.
 	readLimitBytes = 2 * fallbackMaxBodyBytes
-	// engineIdleTimeout is the library's own limit, longer than any in Limits.
+	// engineIdleTimeout is the library's own limit, longer than the default of
+	// Limits.IdleTimeout.
 	engineIdleTimeout = 10 * time.Minute
 	writeTimeout      = 10 * time.Second
 	// maxHandlers bounds the handlers that run concurrently.
