--- a/share/member/fleet_test.go
+++ b/share/member/fleet_test.go
@@ -52,6 +52,7 @@
 	return f
 }
 
+// name returns the gossip address of the host with a number.
 func name(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/200, i%200) }
 
 // start adds a host, which replaces one at the same address, and returns it.
--- a/share/member/gossip.go
+++ b/share/member/gossip.go
@@ -20,8 +20,8 @@
 	gossipAnyDomain  = 1
 	// updatesPerPacket is the limit of updates in a packet, about 1 KB.
 	updatesPerPacket = 32
-	// extraSends is added to the bit length of the number of hosts to give how often
-	// each host sends an update, after which the update has reached nearly all hosts.
+	// extraSends and the bit length of the number of hosts add up to the number of times
+	// that each host sends an update. By then the update has reached nearly all hosts.
 	extraSends = 2
 	// maxQueued bounds the queued updates. When more hosts change at once, digests
 	// repair what was not queued.
@@ -55,8 +55,9 @@
 	hostsPerBucket = 8
 )
 
-// publish queues an update for the next packets. A queued update starts over with its
-// sends. If the queue is full, only the update of this host itself is queued.
+// publish queues an update for the next packets. An update that is already queued gets its
+// full number of sends again. If the queue is full, only the update of this host itself is
+// queued.
 func (l *List) publish(e *entry) {
 	e.sendsLeft = extraSends + bits.Len(uint(len(l.ring)+1))
 	if !e.queued && (len(l.queue) < maxQueued || e == &l.self) {
--- a/share/member/member.go
+++ b/share/member/member.go
@@ -201,7 +201,8 @@
 	l.probes = map[uint64]*probe{}
 	l.proxiedProbes = map[uint64]proxiedProbe{}
 	l.self = entry{Update: Update{Host: l.Self}, hash: rank.Hash(l.Self.GossipAddress)}
-	// The seed is derived from the address: reproducible and different on each host.
+	// The seed is derived from the address and the start time: reproducible and different
+	// on each host.
 	l.rand = rand.New(rand.NewPCG(l.self.hash, l.Self.Started))
 	// A random phase spreads the probes of all hosts over the period.
 	l.probeAt = now + clock.Milli(l.rand.Int64N(int64(probeInterval)))
--- a/share/member/probe.go
+++ b/share/member/probe.go
@@ -65,7 +65,7 @@
 
 // probeTargets returns the hosts to probe in a round: of the alive hosts that follow this
 // host on the ring, the first sameDomainProbes of its own failure domain, and the first
-// ringProbes of the others.
+// ringProbes of the rest, of any domain.
 func (l *List) probeTargets() []*entry {
 	start, _ := l.position(&l.self)
 	var list []*entry
@@ -184,7 +184,7 @@
 func (l *List) refute(u Update) {
 	switch own := l.self.Update; {
 	case u.Host.Started > own.Host.Started:
-		// An earlier process at this address whose clock was ahead.
+		// The update is of an earlier process at this address, whose clock was ahead.
 		l.self.Host.Started = u.Host.Started + 1
 	case u.Host.Started == own.Host.Started && (u.State > own.State && u.Host.Incarnation == own.Host.Incarnation || u.Host.Incarnation > own.Host.Incarnation):
 		l.self.Host.Incarnation = u.Host.Incarnation + 1
