--- a/share/fetch/fetch.go
+++ b/share/fetch/fetch.go
@@ -125,8 +125,8 @@
 	})
 }
 
-// openClient returns the library's connection and creates it for the first call; it opens when
-// it is used. The result is false if the Conn or its engine is closed.
+// openClient returns the library's connection, which the first call creates and which opens
+// when it is used. The result is false if the Conn or its engine is closed.
 func (c *Conn) openClient() (*nbhttp.ClientConn, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
