--- a/share/evloop/evloop.go
+++ b/share/evloop/evloop.go
@@ -80,7 +80,8 @@
 		}
 		conns = append(conns, c)
 		reached[c.Hash()%loopCount] = true // as the engine assigns it
-		// Every loopCount rounds, one more descriptor is opened in between.
+		// The first loopCount rounds open no more descriptors in between, the next
+		// loopCount rounds one each, and so on up to loopCount-1; then it starts over.
 		for range try / loopCount % loopCount {
 			if fd, err := syscall.Dup(pair[1]); err == nil {
 				fds = append(fds, fd)
