--- a/share/proxy/peers.go
+++ b/share/proxy/peers.go
@@ -266,7 +266,8 @@
 }
 
 // logChanges logs the hosts that were added or removed since the last report, up to
-// maxHostsLogged by name.
+// maxHostsLogged by name. more is the number of changes that the list did not keep, and
+// known the number of other hosts that are up.
 func (p *peers) logChanges(changes []member.Change, more, known int) {
 	names := map[member.State][]string{}
 	named := changes[:min(len(changes), maxHostsLogged)]
--- a/share/proxy/server.go
+++ b/share/proxy/server.go
@@ -138,11 +138,11 @@
 // SetSeeds replaces the addresses of the hosts to contact first.
 func (s *Server) SetSeeds(list []string) { s.peers.setSeeds(list) }
 
-func (s *Server) callDone(d router.CallDone) { s.post(d) }
+func (s *Server) callDone(done router.CallDone) { s.post(done) }
 
-func (s *Server) probeDone(p router.ProbeResult) { s.post(p) }
+func (s *Server) probeDone(probed router.ProbeResult) { s.post(probed) }
 
-func (s *Server) connRefused(a router.ConnRefused) { s.post(a) }
+func (s *Server) connRefused(refused router.ConnRefused) { s.post(refused) }
 
 // post queues an event for the control loop. It blocks while the queue is full, and drops
 // the event once Close has been called.
@@ -246,6 +246,8 @@
 	s.Log.Info().Int64("under-way", s.inFlight.Load()).Msg("leaving")
 	time.Sleep(balancerDelay)
 	for waited := balancerDelay; waited < maxLeaveTime; waited += leavePollInterval {
+		// CloseIdle spares connections that had a request in the last 100 ms, so the
+		// loop makes a few rounds even if no request is in flight.
 		s.server.CloseIdle()
 		if s.inFlight.Load() == 0 && waited > balancerDelay+4*leavePollInterval {
 			break
--- a/share/proxy/server_test.go
+++ b/share/proxy/server_test.go
@@ -257,8 +257,8 @@
 }
 
 // A caller disconnects while its query waits for a slow shard that another host serves.
-// That host's caller is the first host, which closes the connection between them. The leaf
-// must stop there as well.
+// The test stands in for the first host, which then closes its connection to the other one.
+// The leaf must stop there as well.
 func TestForwardedWorkEndsWithTheCaller(t *testing.T) {
 	r := newRig(t)
 	began, stopped := r.startHangingLeaf("s0")
