--- a/entry/core/core.go
+++ b/entry/core/core.go
@@ -289,7 +289,8 @@
 
 // Query runs a query until it is answered or until its context ends because the caller
 // has disconnected; the query is then cancelled. A budget of 0 selects the service's
-// default. The second result is false if there is no answer, also none in time.
+// default. The second result is false if there is no answer: the context or the loop has
+// ended, or the loop doesn't reply in time.
 func (c *Core) Query(ctx context.Context, req fanout.Request, budget clock.Milli, trace string) (QueryResult, bool) {
 	m := startQuery{req: req, budget: budget, trace: trace, reply: make(chan QueryResult, 1)}
 	if !c.loop.Post(m) {
--- a/entry/core/history.go
+++ b/entry/core/history.go
@@ -22,7 +22,7 @@
 // queryHistory keeps the last answered queries without their rows.
 type queryHistory struct {
 	ring []HistoryEntry
-	next int
+	next int // index of the oldest query once the ring is full
 }
 
 // add keeps a query, in place of the oldest one if there are maxHistory.
--- a/entry/core/updates.go
+++ b/entry/core/updates.go
@@ -110,7 +110,7 @@
 }
 
 // Update runs an update. A budget of 0 selects the service's default. The second
-// result is false if there is no answer.
+// result is false if the loop has ended or doesn't reply in time.
 func (c *Core) Update(req fanout.Update, budget clock.Milli, trace string) (fanout.UpdateResult, bool) {
 	m := startUpdate{req: req, budget: budget, trace: trace, reply: make(chan fanout.UpdateResult, 1)}
 	if !c.loop.Post(m) {
