--- a/aggregator/core/core.go
+++ b/aggregator/core/core.go
@@ -320,8 +320,8 @@
 	c.execute(now, c.sched.Configure(now, cfg, hosts))
 }
 
-// LinkUp registers a link. It sends the state of all leaves to a new entry, and has
-// servers claimed at once if the peer is an aggregator.
+// LinkUp registers a link. It sends the state of all leaves to a new entry; after a link to
+// an aggregator, the scheduler claims servers at its next tick.
 func (d delegate) LinkUp(now clock.Milli, l *mesh.Link) {
 	c := d.c
 	c.links[l.ID] = l
