--- a/share/syncer/pull.go
+++ b/share/syncer/pull.go
@@ -111,8 +111,9 @@
 }
 
 // HandleDelta processes a peer's answer to a pull. A version that is not newer is ignored.
-// A delta that starts at another version than the one in force is pulled again; if a delta
-// does not produce the version that it names, the peer is asked for all items.
+// So is a delta that starts at another version than the one in force, but its key is pulled
+// again; if a delta does not produce the version that it names, the peer is asked for all
+// items.
 func (e *Engine) HandleDelta(now clock.Milli, from string, d Delta) []Action {
 	e.init(now)
 	state := e.stateOf(d.Key)
