--- a/share/clock/clock.go
+++ b/share/clock/clock.go
@@ -52,7 +52,7 @@
 	events  eventHeap
 }
 
-// Now returns the time of the current event.
+// Now returns the time of the current event, or between runs the end of the last one.
 func (v *Virtual) Now() Milli { return v.now }
 
 // At schedules f for time t, or for the current time if t is in the past; Run calls it.
--- a/share/conf/conf.go
+++ b/share/conf/conf.go
@@ -44,7 +44,7 @@
 	return b.String()
 }
 
-// Faults is a list of faults that is an error. It matches ErrInvalid in errors.Is.
+// Faults is a list of faults that implements error. It matches ErrInvalid in errors.Is.
 type Faults []Fault //nolint:errname // a list of faults, not a single error
 
 // Error returns the faults, one per line.
--- a/share/logs/bounded.go
+++ b/share/logs/bounded.go
@@ -101,7 +101,7 @@
 }
 
 // flush writes the queued lines, failures first, and a line with the numbers of dropped
-// lines if there are any. It blocks while the reader does.
+// lines if there are any. It blocks while out does.
 func (b *BoundedWriter) flush() {
 	b.mu.Lock()
 	lines := make([]byte, 0, b.failures.buf.Len()+b.normal.buf.Len())
--- a/share/topo/routes.go
+++ b/share/topo/routes.go
@@ -132,7 +132,7 @@
 	}
 	for _, s := range c.Inventory.Servers {
 		service := t.Services[s.Service]
-		// 0 is that of a service without a server so far.
+		// 0 means that this is the first server of the service.
 		if n := s.Connections(); service.Connections == 0 || n < service.Connections {
 			service.Connections = n
 		}
