--- a/stile/cmds/capacity.go
+++ b/stile/cmds/capacity.go
@@ -8,13 +8,14 @@
 	"dandelionstile/share/topo"
 )
 
-// capacity is the capacity that a configuration leaves in service.
+// capacity describes all leaves of a configuration, and for each service what its leaves in
+// service provide.
 type capacity struct {
 	leaves   map[string]leafCapacity
 	services map[string]*serviceCapacity
 }
 
-// leafCapacity is what one leaf contributes to a capacity.
+// leafCapacity is one leaf, in service or not.
 type leafCapacity struct {
 	server    string
 	domain    string
--- a/stile/cmds/check.go
+++ b/stile/cmds/check.go
@@ -61,8 +61,8 @@
 	}
 	result := checkResult{Valid: true, Faults: []faultResult{}, Dangers: findDangers(cfg)}
 	result.Services, result.Servers, result.Routes = len(cfg.Inventory.Services), len(cfg.Inventory.Servers), len(cfg.Routes)
-	for _, v := range cfg.Inventory.Servers {
-		result.Leaves += len(v.Leaves)
+	for _, s := range cfg.Inventory.Servers {
+		result.Leaves += len(s.Leaves)
 	}
 	for _, d := range result.Dangers {
 		out.printText("%s %s", out.colorize(yellow, "danger:"), d)
--- a/stile/cmds/diff.go
+++ b/stile/cmds/diff.go
@@ -62,12 +62,12 @@
 	}
 	result := compareCapacity(capacityOf(before), capacityOf(after))
 	result.Routes = compareRoutes(before.Routes, after.Routes)
-	for _, m := range result.Leaves {
-		out.printText("leaf %-28s %s", m.Leaf, m.Change)
+	for _, l := range result.Leaves {
+		out.printText("leaf %-28s %s", l.Leaf, l.Change)
 	}
-	for _, v := range result.Services {
+	for _, s := range result.Services {
 		out.printText("service %-25s slots %d -> %d, shards lost %d, left with one leaf %d",
-			v.Service, v.SlotsBefore, v.SlotsAfter, v.ShardsLost, v.ShardsSingle)
+			s.Service, s.SlotsBefore, s.SlotsAfter, s.ShardsLost, s.ShardsSingle)
 	}
 	for _, r := range result.Routes {
 		out.printText("route %-27s %s", r.Route, r.Change)
@@ -110,10 +110,10 @@
 		}
 	}
 	for _, name := range sortedNames(after.services) {
-		v := compareService(name, before.services[name], after.services[name])
-		d.Safe = d.Safe && v.ShardsLost == 0
-		if v.SlotsBefore != v.SlotsAfter || v.ShardsLost > 0 || v.ShardsSingle > 0 {
-			d.Services = append(d.Services, v)
+		change := compareService(name, before.services[name], after.services[name])
+		d.Safe = d.Safe && change.ShardsLost == 0
+		if change.SlotsBefore != change.SlotsAfter || change.ShardsLost > 0 || change.ShardsSingle > 0 {
+			d.Services = append(d.Services, change)
 		}
 	}
 	sort.Slice(d.Leaves, func(i, j int) bool { return d.Leaves[i].Leaf < d.Leaves[j].Leaf })
--- a/stile/cmds/status.go
+++ b/stile/cmds/status.go
@@ -8,7 +8,7 @@
 
 func init() { register(func() command { return &status{} }, "status", "st") }
 
-// status shows hosts, versions in force, leaves in warm-up and quarantines.
+// status shows hosts, versions in force, leaves that are closed or warm up, and quarantines.
 type status struct {
 	adminFlags
 	Leaves bool `arg:"--leafs" help:"list every leaf, not only those that are closed or warm up"`
@@ -70,10 +70,10 @@
 	for _, r := range n.Rejected {
 		out.printText("    refused %s %d: %s", r.Key, r.Version, r.Reason)
 	}
-	for _, f := range p.Leaves {
-		if f.Primary && (c.Leaves || f.Closed != "" || f.RampLeft > 0) {
+	for _, l := range p.Leaves {
+		if l.Primary && (c.Leaves || l.Closed != "" || l.RampLeft > 0) {
 			out.printText("    leaf %-26s busy %d/%d of %d, queued %d, connections %d, ramp left %d ms %s",
-				f.Leaf, f.Busy, f.Limit, f.Slots, f.Queued, f.Conns, f.RampLeft, f.Closed)
+				l.Leaf, l.Busy, l.Limit, l.Slots, l.Queued, l.Conns, l.RampLeft, l.Closed)
 		}
 	}
 	for _, s := range p.Strikes {
--- a/stile/cmds/watch.go
+++ b/stile/cmds/watch.go
@@ -68,9 +68,9 @@
 	for _, v := range p.Services {
 		values[name+" "+v.Service] = fmt.Sprintf("snapshot %s, %d/%d%s", v.Snapshot, v.Reachable, v.Shards, formatMissing(v.Missing))
 	}
-	for _, f := range p.Leaves {
-		if f.Primary && (f.Closed != "" || f.Limit < f.Slots) {
-			values[name+" leaf "+f.Leaf] = fmt.Sprintf("limit %d of %d %s", f.Limit, f.Slots, f.Closed)
+	for _, l := range p.Leaves {
+		if l.Primary && (l.Closed != "" || l.Limit < l.Slots) {
+			values[name+" leaf "+l.Leaf] = fmt.Sprintf("limit %d of %d %s", l.Limit, l.Slots, l.Closed)
 		}
 	}
 }
