--- a/share/topo/parse.go
+++ b/share/topo/parse.go
@@ -433,6 +433,6 @@
 }
 
 // String returns the snapshot ID in the form layout-version.
-func (p SnapshotID) String() string {
-	return strconv.FormatUint(uint64(p.Layout), 10) + "-" + strconv.FormatUint(p.Version, 10)
+func (s SnapshotID) String() string {
+	return strconv.FormatUint(uint64(s.Layout), 10) + "-" + strconv.FormatUint(s.Version, 10)
 }
--- a/share/topo/topo.go
+++ b/share/topo/topo.go
@@ -18,12 +18,12 @@
 	Version uint64
 }
 
-// Less reports whether p is older than o.
-func (p SnapshotID) Less(o SnapshotID) bool {
-	if p.Layout != o.Layout {
-		return p.Layout < o.Layout
+// Less reports whether s is older than o.
+func (s SnapshotID) Less(o SnapshotID) bool {
+	if s.Layout != o.Layout {
+		return s.Layout < o.Layout
 	}
-	return p.Version < o.Version
+	return s.Version < o.Version
 }
 
 // Domain is a failure domain.
