--- a/aggregator/leaves/codec.go
+++ b/aggregator/leaves/codec.go
@@ -162,8 +162,8 @@
 	s.Incarnation, _ = strconv.ParseUint(h.Get(headerIncarnation), 10, 64) // 0 means unknown
 	if text := h.Get(headerSnapshots); text != "" {
 		for _, one := range strings.Split(text, ",") {
-			if p, ok := topo.ParseSnapshotID(strings.TrimSpace(one)); ok {
-				s.Holds = append(s.Holds, p)
+			if id, ok := topo.ParseSnapshotID(strings.TrimSpace(one)); ok {
+				s.Holds = append(s.Holds, id)
 			}
 		}
 	}
