--- a/entry/core/admin.go
+++ b/entry/core/admin.go
@@ -51,19 +51,19 @@
 		return admin.Query{}, false
 	}
 	e := got.query
-	s := admin.Query{
+	q := admin.Query{
 		ID: e.ID, Service: e.Service, Snapshot: e.Answer.Pin.String(), Took: int64(e.Answered - e.Arrived),
 		Shards: e.Answer.Coverage.Shards, Answered: e.Answer.Coverage.Answered, Calls: e.Answer.Calls,
 		Extra: e.Answer.Extra, Refused: string(e.Answer.Refused), Steps: []admin.Step{},
 		Missing: admin.MissingFrom(e.Answer.Coverage.Missing),
 	}
-	for _, t := range e.Steps {
-		s.Steps = append(s.Steps, admin.Step{
-			At: int64(t.At - e.Arrived), Event: string(t.Event), Shard: t.Shard,
-			Leaf: t.Leaf, Host: t.Host, Cause: string(t.Cause),
+	for _, step := range e.Steps {
+		q.Steps = append(q.Steps, admin.Step{
+			At: int64(step.At - e.Arrived), Event: string(step.Event), Shard: step.Shard,
+			Leaf: step.Leaf, Host: step.Host, Cause: string(step.Cause),
 		})
 	}
-	return s, true
+	return q, true
 }
 
 // Admin returns the handler for health checks, metrics and the endpoints that `stile`
