--- a/stile/cmds/coverage.go
+++ b/stile/cmds/coverage.go
@@ -35,14 +35,14 @@
 			continue
 		}
 		shown = append(shown, coverageResult{Host: p.Node.Host, Services: p.Services})
-		for _, v := range p.Services {
-			missing = missing || len(v.Missing) > 0
+		for _, s := range p.Services {
+			missing = missing || len(s.Missing) > 0
 			color := green
-			if len(v.Missing) > 0 {
+			if len(s.Missing) > 0 {
 				color = red
 			}
-			out.printText("%-10s %-24s snapshot %-8s %s%s", p.Node.Host, v.Service, v.Snapshot,
-				out.colorize(color, strconv.Itoa(v.Reachable)+"/"+strconv.Itoa(v.Shards)), formatMissing(v.Missing))
+			out.printText("%-10s %-24s snapshot %-8s %s%s", p.Node.Host, s.Service, s.Snapshot,
+				out.colorize(color, strconv.Itoa(s.Reachable)+"/"+strconv.Itoa(s.Shards)), formatMissing(s.Missing))
 		}
 	}
 	if err := out.printJSON(shown); err != nil {
