--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// link links each host, in both directions, to the hosts that assign.Neighbours
+// link links each host, in both directions, to the hosts that assign.Neighbors
 // selects for its aggregator. In the simulation a host's name is also the link address
 // of its aggregator.
 func (f *Fleet) link(list []topo.Host) {
@@ -219,8 +219,8 @@
 	}
 }
 
-// Restart restarts a host with empty state. The peers' engines remove it; the links of
-// the simulation stay open.
+// Restart restarts a host with empty state. The peers' engines remove the host; the links
+// of the simulation stay open.
 func (n *Node) Restart() {
 	var list []topo.Host
 	for _, o := range n.fleet.Nodes {
@@ -398,8 +398,8 @@
 	return f.config.Version
 }
 
-// AllHave reports whether every running host, that is neither down nor paused, has a
-// version or a later one.
+// AllHave reports whether every host that is neither down nor paused has a version or a
+// later one.
 func (f *Fleet) AllHave(version uint64) bool {
 	for _, n := range f.Nodes {
 		if !n.Down && !n.Paused && n.Engine.Stamp(configKey).Version < version {
--- a/bench/scene/cold.go
+++ b/bench/scene/cold.go
@@ -67,8 +67,8 @@
 	return float64(sum) / float64(n)
 }
 
-// recoveryOverRamp returns the time that recovery took, counted from a time, as a
-// multiple of the ramp.
+// recoveryOverRamp returns the duration of the recovery that began at since, as a multiple
+// of the ramp.
 func (r *Run) recoveryOverRamp(since clock.Milli, _ float64) float64 {
 	return r.recoverySeconds(since) * float64(clock.Second) / float64(deploy.WarmUp)
 }
--- a/bench/scene/overload.go
+++ b/bench/scene/overload.go
@@ -45,9 +45,10 @@
 	r.recordCommon()
 }
 
-// recoverySeconds returns how many seconds after a time it took until every
-// later second answered at least 97 % of its queries completely, or 0 if no second was
-// below that. The last two seconds don't count, as in worstCompleteShare.
+// recoverySeconds returns the number of seconds from the one that contains a time to the
+// last one in which fewer than 97 % of the queries were answered completely, both
+// included, or 0 if there is no such second. The last two seconds of the run don't count,
+// as in worstCompleteShare.
 func (r *Run) recoverySeconds(since clock.Milli) float64 {
 	seconds := r.World.Stats.Seconds
 	first := int(since / clock.Second)
--- a/bench/slope/measure.go
+++ b/bench/slope/measure.go
@@ -188,8 +188,8 @@
 	return fit(l)
 }
 
-// EntryChange measures applying a configuration in an entry, with 5,600 hosts; it is the
-// same one each time.
+// EntryChange measures applying a configuration in an entry, with 5,600 hosts. All
+// repetitions apply the same configuration.
 func EntryChange() Line {
 	l := Line{Name: "entry: put one change in force", Unit: "ms", Per: "leaf in the inventory"}
 	hosts := hostList(5600, domains)
@@ -202,7 +202,7 @@
 }
 
 // AggregatorChange measures applying a configuration in an aggregator, with 5,600
-// hosts; it is the same one each time.
+// hosts. All repetitions apply the same configuration.
 func AggregatorChange() Line {
 	l := Line{Name: "aggregator: put one change in force", Unit: "ms", Per: "leaf in the inventory"}
 	hosts := hostList(5600, domains)
--- a/bench/virt/host.go
+++ b/bench/virt/host.go
@@ -353,8 +353,8 @@
 		if entry.incarnation != incarnation {
 			return
 		}
-		// Query and update calls share one sequence of IDs; the engine ignores an
-		// ID that is not of the method's kind.
+		// Query and update calls share one sequence of IDs. CallDone ignores the IDs of
+		// updates, and UpdateDone those of queries.
 		entry.applyFanout(entry.Fanout.CallDone(w.Now(), a.Outcome))
 		entry.applyFanout(entry.Fanout.UpdateDone(w.Now(), a.Key.ID, fanout.UpdateResult{
 			Kind: a.Outcome.Kind, Reason: a.Outcome.Reason, RetryAfter: a.Outcome.RetryAfter,
--- a/bench/virt/leaf.go
+++ b/bench/virt/leaf.go
@@ -168,7 +168,8 @@
 // closeConn closes a connection.
 func (f *Leaf) closeConn(k connKey) { delete(f.conns, k) }
 
-// hostDown closes the connections of a host whose programs have ended.
+// hostDown closes the connections of a host whose programs have ended, and ends the
+// host's calls.
 func (f *Leaf) hostDown(h *Host) {
 	for k := range f.conns {
 		if k.host == h.Index && k.incarnation == h.incarnation {
@@ -197,8 +198,8 @@
 	f.probe(h, a.Conn, a.NewConn)
 }
 
-// probe runs a health check of the leaf and reports the result to the scheduler. Its
-// reply shows the state of a cold leaf, see unseen.
+// probe runs a health check of the leaf and reports the result to the scheduler. A
+// reply that reaches the host clears unseen.
 func (f *Leaf) probe(h *Host, id sched.ConnID, newConn bool) {
 	incarnation := h.incarnation
 	f.callAtLeaf(h, id, newConn, func(opened bool) {
@@ -335,6 +336,7 @@
 func ServiceTime(m Model, seed, query uint64, shard int) float64 {
 	u1 := uniform(seed, query, uint64(shard)*2+1)
 	u2 := uniform(seed, query, uint64(shard)*2+2)
+	// Box-Muller transform. The last term below makes ServiceTime the mean.
 	normal := math.Sqrt(-2*math.Log(u1)) * math.Cos(2*math.Pi*u2)
 	return m.ServiceTime * math.Exp(m.LogStdDev*normal-m.LogStdDev*m.LogStdDev/2)
 }
@@ -370,7 +372,7 @@
 	}
 }
 
-// restartCold starts the warm-up under a new incarnation.
+// restartCold starts the warm-up under a new incarnation, without running calls.
 func (f *Leaf) restartCold() {
 	f.incarnation++
 	f.active = 0
--- a/bench/virt/property_test.go
+++ b/bench/virt/property_test.go
@@ -228,7 +228,7 @@
 	}
 }
 
-// Guards against a fleet that stays degraded after its peers and servers have
+// Guards against a fleet that stays degraded after its hosts and servers have
 // recovered, held down by a queue, limit, quarantine or stale state that is left
 // from the failure.
 func TestServiceReturnsAfterChaos(t *testing.T) {
--- a/bench/virt/stats.go
+++ b/bench/virt/stats.go
@@ -84,8 +84,8 @@
 }
 
 // second returns the counts of the second that contains a time.
-func (s *Stats) second(now clock.Milli) *Second {
-	i := int(now / clock.Second)
+func (s *Stats) second(instant clock.Milli) *Second {
+	i := int(instant / clock.Second)
 	for len(s.Seconds) <= i {
 		s.Seconds = append(s.Seconds, Second{})
 	}
