--- a/soak/runner/cancelled.go
+++ b/soak/runner/cancelled.go
@@ -37,7 +37,8 @@
 			}
 		}
 		for _, run := range trace.runs {
-			// Only a leaf with a fault, such as a stalled one, may run the request beyond the bound.
+			// Only queries count whose run a fault of a leaf, such as a stall, may have
+			// extended; without one, a run ends soon even if it isn't cancelled.
 			if strings.HasPrefix(r.path, "/set/") || t.hostHadFault(run.SourceIP, r.sent, deadline) || !t.leavesHadFault(run.At, deadline) {
 				continue
 			}
@@ -76,5 +77,5 @@
 		defer h.mu.Unlock()
 		return overlaps(h.faults, from.Add(-time.Second), to) || overlaps(h.terminations, from, to)
 	}
-	return true // not from a host but a probe of the soak, which is not checked
+	return true // not from a host, so it is not checked
 }
--- a/soak/runner/check.go
+++ b/soak/runner/check.go
@@ -151,7 +151,7 @@
 			return h.wasStale(from, to)
 		}
 	}
-	return true // not from a host but a probe of the soak, which is not checked
+	return true // not from a host, so it is not checked
 }
 
 // collectRepeats adds the times of retries and hedges at a leaf's service to repeats:
