--- a/fakes/leaf/serve.go
+++ b/fakes/leaf/serve.go
@@ -40,7 +40,7 @@
 }
 
 // Start listens on an address and serves in the background. It returns the
-// address; port 0 picks a free port.
+// address, with the port that the kernel chose if addr has port 0.
 func (s *Server) Start(addr string) (string, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/fakes/ports/ports.go
+++ b/fakes/ports/ports.go
@@ -45,7 +45,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.end == 0 {
-		triggerForkProbe()
+		triggerPidfdCheck()
 		p.end = ephemeralStart()
 		p.next = minPort + os.Getpid()*pidStride%(p.end-minPort)
 	}
@@ -62,10 +62,12 @@
 	return "", errors.Wrapf(ErrNoFreePort, "%s, ports %d to %d", ip, minPort, p.end-1)
 }
 
-// triggerForkProbe makes package os check how it can handle processes. It does
-// so once, when a program is started or a process is looked up, with a fork that
-// doesn't take ForkLock: the child would inherit a socket of canListen.
-func triggerForkProbe() {
+// triggerPidfdCheck makes package os check now whether the kernel supports pidfds.
+// Package os does that once per process, when the first program is started or process
+// looked up, and forks for it without taking ForkLock. If the check ran during a
+// canListen, the child would inherit the listening socket, and the port would look in
+// use.
+func triggerPidfdCheck() {
 	self, err := os.FindProcess(os.Getpid())
 	if err != nil {
 		return // there is no handle to release
