--- a/soak/runner/client.go
+++ b/soak/runner/client.go
@@ -20,8 +20,9 @@
 	topK          = 5              // how many records an answer of the sharded route has at most
 	minShare      = 0.6            // the lowest share of the shards that such an answer may cover
 	callerTimeout = 3 * time.Second
-	// lateTolerance is the time after its deadline for which a request may remain
-	// unanswered.
+	// lateTolerance is how long a caller still waits for the answer after the request's
+	// deadline. If it has waited for more than half of this and gets no answer, that is a
+	// violation unless a fault explains it, see checkRequest.
 	lateTolerance = 1500 * time.Millisecond
 	// maxAttempts matches the number of attempts of the platform's callers.
 	maxAttempts = 2
@@ -55,8 +56,8 @@
 	cancelled bool // the caller closed the connection at ended without waiting for the answer
 }
 
-// run sends requests until the testbed stops, at random intervals of meanInterval on
-// average.
+// run sends requests one after the other until the testbed stops. Between two, it waits
+// for a random time of meanInterval on average.
 func (c *caller) run(meanInterval time.Duration) {
 	for {
 		c.sendRequest()
