--- a/soak/runner/fault.go
+++ b/soak/runner/fault.go
@@ -41,7 +41,7 @@
 	}
 	callers := max(4, t.Rate/4)
 	for i := range callers {
-		// With a Rate of at least 16, each caller waits about 250 ms between its requests.
+		// With a Rate of at least 16, each caller sends up to about 4 requests per second.
 		c := &caller{testbed: t, rand: rand.New(rand.NewPCG(t.Seed, uint64(100+i))), name: "c" + string(rune('a'+i%26)) + string(rune('a'+i/26))}
 		t.wait.Go(func() {
 			time.Sleep(warmUpTime / 2)
