--- a/bench/scene/clairvoyant.go
+++ b/bench/scene/clairvoyant.go
@@ -55,8 +55,10 @@
 				heap.Push(&queues[s], done)
 				end = max(end, done)
 			}
-			// The latency between caller and host and between host and leaf, both ways.
-			_ = all.RecordValue(int64(end - arrival + float64(2*d.CallerLatency) + 2)) // bounded by the duration
+			// The latency between caller and host and between host and leaf, both ways, is
+			// added. Recording fails only above the histogram's maximum of 60,000 ms; queues
+			// build up no longer than for the duration, which is far shorter.
+			_ = all.RecordValue(int64(end - arrival + float64(2*d.CallerLatency) + 2))
 		}
 	}
 	return float64(all.ValueAtQuantile(99))
@@ -91,7 +93,9 @@
 				work := max(1, virt.ServiceTime(w.Model, w.Seed+uint64(i), n, s))
 				end = max(end, assignEarliest(slots[s], from, arrival, work, d))
 			}
-			_ = all.RecordValue(int64(end - arrival + float64(2*d.CallerLatency))) // bounded by the duration
+			// Recording fails only above the histogram's maximum of 60,000 ms; queues build up
+			// no longer than for the duration, which is far shorter.
+			_ = all.RecordValue(int64(end - arrival + float64(2*d.CallerLatency)))
 		}
 	}
 	return float64(all.ValueAtQuantile(99))
--- a/bench/virt/leaf.go
+++ b/bench/virt/leaf.go
@@ -70,7 +70,7 @@
 	running         map[attemptKey]func() // running calls; the function stops one with an error
 	maxConns        int
 
-	calls        int         // that it has run
+	calls        int         // calls begun so far
 	excessCold   int         // requests beyond its capacity while cold, when unseen is not set
 	excessUnseen int         // requests beyond its capacity while cold, when unseen is set
 	excessWarm   int         // requests beyond its slots while warm
@@ -153,8 +153,9 @@
 	})
 }
 
-// callAtHost calls run at the host after the network latency, unless the connection
-// is closed or silent by then.
+// callAtHost calls run at the host after the network latency. The call is lost if by then
+// the failure domains are partitioned, the host is down or has restarted, or the connection
+// is closed or silent. A paused host makes it when it resumes.
 func (f *Leaf) callAtHost(h *Host, id sched.ConnID, run func()) {
 	incarnation := h.incarnation
 	f.w.Clock.After(f.w.delay(h.Domain, f.domain), func() {
@@ -245,9 +246,9 @@
 	})
 }
 
-// run runs a call, unless the leaf is draining, does not hold the shard in the
-// pinned snapshot or has no free slot; the outcome then says so. A call
-// with CrashText crashes the server.
+// run runs a call, unless the leaf is draining, does not hold a query's shard in the
+// pinned snapshot or is at its capacity; the outcome then says so. A call
+// with CrashText crashes the server. A request that is not a leafRequest is ignored.
 func (f *Leaf) run(h *Host, s sched.Send, r sched.Result) {
 	request, ok := s.Call.Request.(leafRequest)
 	if !ok {
@@ -372,7 +373,7 @@
 	}
 }
 
-// restartCold starts the warm-up under a new incarnation, without running calls.
+// restartCold starts the warm-up under a new incarnation, with no calls running.
 func (f *Leaf) restartCold() {
 	f.incarnation++
 	f.active = 0
--- a/share/httpd/limits.go
+++ b/share/httpd/limits.go
@@ -91,15 +91,16 @@
 const (
 	// keepOpen leaves the connection open.
 	keepOpen connAction = iota
-	// closeConn closes a connection that waits for no answer.
+	// closeConn closes a connection on which no answer is due.
 	closeConn
 	// rejectTimedOut answers that the request timed out.
 	rejectTimedOut
 )
 
 // nextAction returns what to do with a connection. While a handler runs, no time limit
-// applies. Bytes that have arrived and are not read yet count as in
-// time, except for the limit on the whole request.
+// applies. A connection with bytes that have arrived but are not read yet is neither
+// stalled nor idle; the limits on the whole request and on the time after a rejection
+// apply to it all the same.
 func (l Limits) nextAction(o *openConn, now time.Time) connAction {
 	switch {
 	case o.requests > 0:
--- a/share/member/codec.go
+++ b/share/member/codec.go
@@ -21,7 +21,7 @@
 const perMille = 1000
 
 // Encode encodes a packet. It omits updates of hosts without a valid IP and port,
-// which are unreachable, and fails if the sender has none.
+// which are unreachable, and fails if the sender is such a host.
 func Encode(p Packet) ([]byte, error) {
 	e := encoder{domains: map[string]uint32{}}
 	message := &wire.MemberPacket{
@@ -73,8 +73,8 @@
 	}
 }
 
-// Decode decodes a packet. It skips updates that are invalid, and fails if the sender, the
-// kind or the host to probe is.
+// Decode decodes a packet. It skips invalid updates, and fails if the packet is malformed
+// or the sender, the kind or, in a PingReq, the host to probe is invalid.
 func Decode(body []byte) (Packet, error) {
 	var message wire.MemberPacket
 	if err := proto.Unmarshal(body, &message); err != nil {
--- a/share/mirror/mirror_test.go
+++ b/share/mirror/mirror_test.go
@@ -19,9 +19,10 @@
 	"dandelionstile/share/httpd"
 )
 
-// A reader that is behind could miss a change, and one further behind than the history
-// would miss all older ones. It must get the changes after its revision in order, or a
-// full page.
+// A reader that is behind could miss a change. It must get the changes after its revision,
+// or a full page if the history no longer has them all: the remaining ones alone would leave
+// gaps in its copy. The page must carry its age, and a waiting reader must be notified of
+// the next change. An empty mirror must report false.
 func TestSince(t *testing.T) {
 	var m Mirror
 	_, _, ok := m.Since(0, 0)
--- a/share/router/finish.go
+++ b/share/router/finish.go
@@ -94,7 +94,7 @@
 	return true
 }
 
-// queueDeadline returns when a request that got no leaf is refused.
+// queueDeadline returns when a request that is still unsent is refused.
 func (e *Engine) queueDeadline(q *query) clock.Milli {
 	return q.arrived + clock.Milli(e.Policy.MaxWaitShare*float64(q.route.Target))
 }
@@ -107,7 +107,7 @@
 }
 
 // sufficient reports whether a query can be answered with the shards answered so far. A
-// part of another host's query always can.
+// part of another host's query over shards can be answered with any number of them.
 func (e *Engine) sufficient(q *query) bool {
 	if !q.route.Sharded() {
 		return q.answered == 1
@@ -119,8 +119,9 @@
 }
 
 // tryFinish answers a query that has enough of its shards, if nothing more is done for the
-// others, if its target has passed, or if it is late and the limiter is active. It refuses a
-// query that can't get enough. Otherwise the query continues.
+// others, if its target has passed, or, unless it is a part of another host's query, if it is
+// late and the limiter is active. It refuses a query that can't get enough. Otherwise the
+// query continues.
 func (e *Engine) tryFinish(now clock.Milli, q *query) {
 	if q.ended {
 		return
@@ -212,15 +213,16 @@
 
 // Durations after which callers should retry, in ms.
 const (
-	// retryNoConfig applies to a host that has had time to receive its
-	// configuration and has not: it reaches no host that has one.
+	// retryNoConfig applies to a host that has had time to receive its configuration
+	// but has none, since it reaches no host with a configuration. It applies to Stale
+	// too.
 	retryNoConfig clock.Milli = 500
 	// retryStarting applies to a host that has just started and receives its
 	// configuration shortly: well within callers' usual targets.
 	retryStarting clock.Milli = 120
 	// startupWindow is how long a host counts as just started.
 	startupWindow = clock.Second
-	// retryNoLeaf is about the time until a leaf is seen again.
+	// retryNoLeaf is about the time until a leaf is available again.
 	retryNoLeaf clock.Milli = 300
 	// retryNoCapacity is about one and a half targets: queries in flight have ended
 	// by then, so that the retries don't meet the same overload.
@@ -230,8 +232,8 @@
 	retrySpreadMs = 200
 )
 
-// retryAfter returns how long a refused caller should wait before it retries. For NoRoute,
-// Failed and Late that is only the spread.
+// retryAfter returns how long a refused caller should wait before it retries. That is only
+// the spread for NoRoute and Late, and for Failed unless another host lacked capacity.
 func (e *Engine) retryAfter(now clock.Milli, q *query, reason Refusal) clock.Milli {
 	// Multiples of the golden ratio spread consecutive requests evenly, without
 	// randomness.
--- a/share/warmup/warmup.go
+++ b/share/warmup/warmup.go
@@ -30,9 +30,9 @@
 	// tokenTTL is how long a saved request is valid when there are more hosts than
 	// burstHosts.
 	tokenTTL clock.Milli = 300
-	// burstHosts is the largest number of hosts that may each save a request: the
-	// operators' bound usually allows that much beyond the rate (half of it, plus
-	// five).
+	// burstHosts is the largest number of hosts that may each save a request. In any
+	// second the operators allow a cold leaf 1.5 times the rate plus five requests, so
+	// at a rate of 10 or more there is room for ten saved ones.
 	burstHosts = 10
 	// manyHostsShare is the share of the rate that more hosts than burstHosts use:
 	// their intervals coincide by chance, and some second gets half as many requests
