--- a/share/sched/sched_test.go
+++ b/share/sched/sched_test.go
@@ -150,7 +150,7 @@
 // the configuration is confirmed.
 func TestPauseHoldsNewWorkBack(t *testing.T) {
 	e, now := warmEngine(t)
-	now += 5 * pauseThreshold
+	now += 5000 // longer than pauseThreshold
 	_, paused := e.Tick(now)
 	assert.Assert(t, paused)
 	out := submit(e, now, 1)
@@ -279,7 +279,7 @@
 	other := sends(submit(e, now, 9))[0]
 	finishCall(e, now+900, other, query.OK, LeafStatus{Incarnation: 1})
 	lost := 0
-	for _, a := range tick(e, now+defaultSilenceTimeout) {
+	for _, a := range tick(e, now+999+1) { // defaultSilenceTimeout after the calls were sent
 		if closed, ok := a.(CloseConn); ok && silent[closed.Conn] {
 			lost++
 		}
